--- a/src/agent/internal/httpmodelengine.cpp
+++ b/src/agent/internal/httpmodelengine.cpp
@@ -167,7 +167,7 @@
     for (const web::json::value& part : objectsIn(value, "checkpoints")) {
         const bool isInMemory = textIn(part, "place") == "memory";
         state.checkpoints.push_back(
-            { checkpointIn(part), isInMemory ? policy::CheckpointPlace::Memory : policy::CheckpointPlace::Disk });
+            { checkpointIn(part), isInMemory ? policy::CheckpointLocation::Memory : policy::CheckpointLocation::Disk });
     }
     return state;
 }
--- a/src/agent/internal/replicacontroller.cpp
+++ b/src/agent/internal/replicacontroller.cpp
@@ -511,11 +511,11 @@
 /// Between that from where its checkpoint is now and that from disk: by then others may have taken its place in memory.
 Milliseconds ReplicaController::nextLoadTime(const Replica& replica) const
 {
-    const auto from = [&](policy::CheckpointPlace place) {
+    const auto from = [&](policy::CheckpointLocation place) {
         return loadTimes_.estimate(replicaText(replica.id), place, replica.memory, ports_.clock.now()).typical;
     };
-    const policy::CheckpointPlace present = placeOf(replica.id);
-    return (from(present) + from(std::max(present, policy::CheckpointPlace::Disk))) / 2;
+    const policy::CheckpointLocation present = placeOf(replica.id);
+    return (from(present) + from(std::max(present, policy::CheckpointLocation::Disk))) / 2;
 }
 
 void ReplicaController::publish(SteadyTime now)
--- a/src/agent/internal/replicacontroller.h
+++ b/src/agent/internal/replicacontroller.h
@@ -51,7 +51,7 @@
     framework::MebiBytes available;
     framework::MebiBytes evicted;
     framework::Milliseconds victimIdle { 0 };
-    policy::CheckpointPlace checkpoint = policy::CheckpointPlace::Remote;
+    policy::CheckpointLocation checkpoint = policy::CheckpointLocation::Remote;
     framework::Milliseconds expectedLoad { 0 };
 };
 
@@ -155,7 +155,7 @@
     bool hasRequiredModel(const ReplicaId&) const;
     bool hasAdaptersOnTheWay(const framework::ModelName&) const;
     framework::Milliseconds nextLoadTime(const Replica&) const;
-    policy::CheckpointPlace placeOf(const ReplicaId&) const;
+    policy::CheckpointLocation placeOf(const ReplicaId&) const;
     policy::LoadTimeEstimate expectedLoad(const ReplicaId&) const;
     bool isInTransition() const;
     bool isWanted(const Replica&) const;
--- a/src/agent/internal/replicaqueries.cpp
+++ b/src/agent/internal/replicaqueries.cpp
@@ -159,14 +159,14 @@
     return expected;
 }
 
-policy::CheckpointPlace ReplicaController::placeOf(const ReplicaId& id) const
+policy::CheckpointLocation ReplicaController::placeOf(const ReplicaId& id) const
 {
     const auto weights = weightsOf(id);
     for (const CachedCheckpoint& cached : engineState_.checkpoints) {
         if (weights && cached.checkpoint == Checkpoint { id, weights->version })
             return cached.place;
     }
-    return policy::CheckpointPlace::Remote;
+    return policy::CheckpointLocation::Remote;
 }
 
 std::optional<ReplicaController::Weights> ReplicaController::weightsOf(const ReplicaId& id) const
--- a/src/agent/internal/requestgate.cpp
+++ b/src/agent/internal/requestgate.cpp
@@ -97,7 +97,7 @@
 /// In [0, 1), by the dispatch, so that those refused together don't come back together.
 double spread(const DispatchKey& key)
 {
-    return static_cast<double>(policy::mixed(key.router.value() + key.sequence.value()) >> 11U) * 0x1p-53;
+    return static_cast<double>(policy::mixBits(key.router.value() + key.sequence.value()) >> 11U) * 0x1p-53;
 }
 
 } // namespace
@@ -187,7 +187,7 @@
             forecast, Deadline(lastAnswer(waiting.deadline).at() - deliveryMargin), ports_.clock.now()))
         return std::nullopt;
     Error hopeless = refusal(ErrorCode::DeadlineHopeless, "the queue is longer than the deadline", Execution::NotRun);
-    hopeless.retryAfter = policy::timeToComeBack(forecast, spread(waiting.key));
+    hopeless.retryAfter = policy::retryAfterFor(forecast, spread(waiting.key));
     return hopeless;
 }
 
@@ -211,7 +211,7 @@
     const ErrorCode code = own ? ErrorCode::DeadlineHopeless : ErrorCode::DeadlinePassed;
     call.deadlineTimer = ports_.control.runAt(startBy, [this, key, code] {
         Error late = refusal(code, "its turn didn't come in time", Execution::NotRun);
-        late.retryAfter = policy::timeToComeBack({}, spread(key));
+        late.retryAfter = policy::retryAfterFor({}, spread(key));
         stop(key, std::move(late));
     });
 }
--- a/src/agent/tests/httpupstream_test.cpp
+++ b/src/agent/tests/httpupstream_test.cpp
@@ -310,7 +310,7 @@
     BOOST_REQUIRE(state.value().replicas.size() == 2u);
     BOOST_TEST(replicaText(state.value().replicas[1].checkpoint.replica) == "a/f");
     BOOST_CHECK(state.value().replicas[1].state == EngineReplicaState::Unloading);
-    BOOST_CHECK(state.value().checkpoints.at(0).place == lagoon::policy::CheckpointPlace::Memory);
+    BOOST_CHECK(state.value().checkpoints.at(0).place == lagoon::policy::CheckpointLocation::Memory);
 }
 
 // An engine's answer that lacks its memory or replicas, or is cut, must not be taken for an empty engine: all claims
--- a/src/agent/types/enginestate.h
+++ b/src/agent/types/enginestate.h
@@ -19,7 +19,7 @@
 /// Where the engine has weights that it needn't fetch; what isn't listed is remote.
 struct CachedCheckpoint {
     Checkpoint checkpoint;
-    policy::CheckpointPlace place = policy::CheckpointPlace::Remote;
+    policy::CheckpointLocation place = policy::CheckpointLocation::Remote;
 };
 
 /// What a model engine says of itself.
--- a/src/engines/internal/placementplan.cpp
+++ b/src/engines/internal/placementplan.cpp
@@ -58,7 +58,7 @@
 /// and loads that single callers wait for went before it, while its own callers were refused for seconds.
 bool isStrainedCopy(const Wanted& wanted)
 {
-    return wanted.isCopy && wanted.waiting == 0 && policy::isStrained(wanted.work, wanted.holders);
+    return wanted.isCopy && wanted.waiting == 0 && policy::isOverloaded(wanted.work, wanted.holders);
 }
 
 MegaBytes adapterSize(const PlacementInput& input, const ModelName& model)
@@ -241,7 +241,7 @@
             catalog::loadTime(model, input.report.atHand), wanted.priority });
     }
     std::vector<Wanted> ordered;
-    for (const std::size_t index : policy::sequenceOf(*loadOrder_, pending, input.now))
+    for (const std::size_t index : policy::loadSequence(*loadOrder_, pending, input.now))
         ordered.push_back(waited[index]);
     return ordered;
 }
@@ -323,7 +323,7 @@
     if (input.now - use.since < residence)
         return false;
     const Wanted wanted = wantedOf(input, { held, {} });
-    const bool isSurplus = wanted.holders > policy::wantedCopies(wanted.work);
+    const bool isSurplus = wanted.holders > policy::desiredCopies(wanted.work);
     // A busy model may lose one of several copies, never its only one.
     if (loaded.waiting > 0)
         return isSurplus || !policy::isBusyModel(wanted.work) || wanted.holders > 1;
@@ -340,7 +340,7 @@
 double PlacementPlan::missed(const PlacementInput& input, const ModelName& held) const
 {
     const Wanted wanted = wantedOf(input, { held, {} });
-    if (wanted.holders > policy::wantedCopies(wanted.work))
+    if (wanted.holders > policy::desiredCopies(wanted.work))
         return 0;
     return wanted.work / std::max<std::uint32_t>(1, wanted.holders);
 }
--- a/src/forwarding/internal/forwarder.cpp
+++ b/src/forwarding/internal/forwarder.cpp
@@ -244,7 +244,7 @@
     {
         const double reserve = std::max(1.0, shareOfReserve * settings_.repeatReserve / upstreams_.routers());
         policy::RetryBudget& budget = budgets_.try_emplace(service, settings_.repeatShare, reserve).first->second;
-        budget.setMost(reserve);
+        budget.setMax(reserve);
         return budget;
     }
 
--- a/src/forwarding/internal/promptcache.cpp
+++ b/src/forwarding/internal/promptcache.cpp
@@ -13,7 +13,7 @@
     for (const PromptPart& part : facts.prompt) {
         const std::string id = part.id + ',';
         hash = policy::fnv1a(id.data(), id.size(), hash);
-        chain.push_back({ policy::mixed(hash), part.tokens });
+        chain.push_back({ policy::mixBits(hash), part.tokens });
     }
     return chain;
 }
--- a/src/forwarding/internal/roomdamage.cpp
+++ b/src/forwarding/internal/roomdamage.cpp
@@ -42,7 +42,7 @@
 {
     const double work = work_.at(held);
     const auto holders = static_cast<std::uint32_t>(input_.replicas.loadedAt(held).size());
-    if (holders > policy::wantedCopies(work))
+    if (holders > policy::desiredCopies(work))
         return 0;
     if (policy::isBusyModel(work))
         return isWaitedFor && holders > 1 && input_.policy.displacesBusyCopies ? std::optional(damageOfBusyCopy)
--- a/src/forwarding/internal/wantedplanner.cpp
+++ b/src/forwarding/internal/wantedplanner.cpp
@@ -188,8 +188,8 @@
         loads.emplace(engine.engine.value() + ' ' + model->name.value(), model->loadFromStore);
         left.push_back(expectedAt(engine, model->name, input.now).value_or(model->loadFromStore));
     }
-    storePlaces_.observe(loads, input.now);
-    storeQueue_ = policy::StoreQueue(storePlaces_.places(), std::move(left));
+    storeConcurrency_.observe(loads, input.now);
+    storeQueue_ = policy::StoreQueue(storeConcurrency_.slots(), std::move(left));
 }
 
 bool WantedPlanner::needsStore(const EngineFacts& engine, const ModelProfile& model)
@@ -203,7 +203,7 @@
 {
     if (!input.policy.sharesWeightStore || !needsStore(*factsOf(engine), model))
         return true;
-    if (!storeQueue_.hasPlace())
+    if (!storeQueue_.hasFreeSlot())
         return false;
     storeQueue_.add(model.loadFromStore);
     return true;
@@ -301,7 +301,7 @@
     if (!input.policy.ordersLoadsByValue)
         return input.waiting;
     std::vector<WaitingFor> sequence;
-    for (const std::size_t index : policy::sequenceOf(*loadOrder_, loads, input.now))
+    for (const std::size_t index : policy::loadSequence(*loadOrder_, loads, input.now))
         sequence.push_back(input.waiting[index]);
     return sequence;
 }
@@ -365,7 +365,7 @@
         const ModelProfile* const model = input.profile.find(name);
         if (!model || !policy::isBusyModel(work))
             continue;
-        std::uint32_t missing = policy::wantedCopies(work);
+        std::uint32_t missing = policy::desiredCopies(work);
         missing -= std::min(missing, replicasOf(input, name) + loadersOf(input.engines, name));
         if (missing == 0 || !input.work.contains(name))
             continue;
@@ -418,7 +418,7 @@
         return;
     std::vector<Endpoint> taken;
     for (const ModelName& name : uncached(input)) {
-        if (storeQueue_.freePlaces() <= taken.size())
+        if (storeQueue_.freeSlots() <= taken.size())
             return;
         const ModelProfile* const model = input.profile.find(name);
         if (!model || isCachedEnough(input, *model))
@@ -457,7 +457,7 @@
             continue;
         const std::string& name = model.name.value();
         missing.emplace_back(input.replicas.availableAt(model.name).size(),
-            policy::mixed(policy::fnv1a(name.data(), name.size())), model.name);
+            policy::mixBits(policy::fnv1a(name.data(), name.size())), model.name);
     }
     std::sort(missing.begin(), missing.end());
     uncached_.clear();
--- a/src/forwarding/wantedplanner.h
+++ b/src/forwarding/wantedplanner.h
@@ -7,7 +7,7 @@
 #include "framework/types/time.h"
 #include "policy/iloadorder.h"
 #include "policy/policyswitches.h"
-#include "policy/storeplaces.h"
+#include "policy/storeconcurrencyestimator.h"
 #include "policy/storequeue.h"
 
 #include <map>
@@ -136,7 +136,7 @@
     /// Engines that were asked for further copies in the last plan.
     std::map<framework::ModelName, std::set<framework::Endpoint>> copyLoaders_;
     std::unique_ptr<policy::ILoadOrder> loadOrder_;
-    policy::StorePlaces storePlaces_;
+    policy::StoreConcurrencyEstimator storeConcurrency_;
     /// Loads from the store that are under way or asked for in this plan.
     policy::StoreQueue storeQueue_ { 1, {} };
     /// Models whose loads wait for the store, and when they will be there.
--- a/src/policy/benchmarks/baselines.cpp
+++ b/src/policy/benchmarks/baselines.cpp
@@ -57,21 +57,21 @@
     return freed >= needed.value() ? taken : std::vector<std::size_t> {};
 }
 
-std::optional<std::size_t> InTurnLoadPlacement::choose(const std::vector<LoadBid>& bids) const
+std::optional<std::size_t> RoundRobinLoadPlacement::choose(const std::vector<LoadBid>& bids) const
 {
     for (const bool mayEvict : { false, true }) {
         for (std::size_t step = 0; step < bids.size(); ++step) {
-            const std::size_t index = (turn_ + step) % bids.size();
+            const std::size_t index = (next_ + step) % bids.size();
             if (!bids[index].canLoad || (bids[index].evictedMemory.value() > 0 && !mayEvict))
                 continue;
-            turn_ = index + 1;
+            next_ = index + 1;
             return index;
         }
     }
     return std::nullopt;
 }
 
-std::optional<std::size_t> ArrivalLoadOrder::next(const std::vector<PendingLoad>& loads, framework::SteadyTime) const
+std::optional<std::size_t> FifoLoadOrder::next(const std::vector<PendingLoad>& loads, framework::SteadyTime) const
 {
     const auto first = std::min_element(loads.begin(), loads.end(),
         [](const PendingLoad& left, const PendingLoad& right) { return left.since < right.since; });
--- a/src/policy/benchmarks/baselines.h
+++ b/src/policy/benchmarks/baselines.h
@@ -20,16 +20,16 @@
 };
 
 /// Any upstream that has the memory free, in turn; else any that can make room, in turn.
-class InTurnLoadPlacement final : public ILoadPlacement {
+class RoundRobinLoadPlacement final : public ILoadPlacement {
 public:
     std::optional<std::size_t> choose(const std::vector<LoadBid>&) const override;
 
 private:
-    mutable std::size_t turn_ = 0;
+    mutable std::size_t next_ = 0;
 };
 
 /// First come, first served.
-class ArrivalLoadOrder final : public ILoadOrder {
+class FifoLoadOrder final : public ILoadOrder {
 public:
     std::optional<std::size_t> next(const std::vector<PendingLoad>&, framework::SteadyTime now) const override;
 };
--- a/src/policy/benchmarks/loadsimulation.cpp
+++ b/src/policy/benchmarks/loadsimulation.cpp
@@ -53,7 +53,7 @@
 
 } // namespace
 
-double Outcome::coldSecondsSum() const
+double Outcome::totalColdSeconds() const
 {
     double sum = 0;
     for (const double wait : coldWaits)
@@ -72,14 +72,14 @@
 
 double Outcome::refusalPercentile(double percent) const { return percentile(refusalWaits, percent); }
 
-LoadSimulation::LoadSimulation(const Deployment& deployment, const Contender& contender,
+LoadSimulation::LoadSimulation(const Deployment& deployment, const PolicySet& policySet,
     const std::vector<Target>& targets, std::uint64_t seed, StoreSlowdown slowdown)
     : deployment_(deployment)
     , targets_(targets)
-    , contender_(contender)
-    , placement_(contender.placement(deployment))
-    , keepWarm_(contender.keepWarm(deployment))
-    , order_(contender.order(deployment))
+    , policySet_(policySet)
+    , placement_(policySet.placement(deployment))
+    , keepWarm_(policySet.keepWarm(deployment))
+    , order_(policySet.order(deployment))
     , random_(seed)
     , slowdown_(slowdown)
     , store_(deployment.storeLoadsPerSecond, deployment.storeFullSpeedLoads)
@@ -88,7 +88,7 @@
 {
     const auto routers = static_cast<std::uint32_t>(homes_.size());
     for (std::uint32_t rank = 0; rank < routers; ++rank) {
-        homes_[rank].share = std::make_unique<WeightStoreShare>(storeNumbers(deployment), contender.mayBorrow);
+        homes_[rank].share = std::make_unique<WeightStoreShare>(storeNumbers(deployment), policySet.mayBorrow);
         homes_[rank].share->setLiveRouters(routers, rank);
     }
     for (std::size_t index = 0; index < servers_.size(); ++index) {
@@ -107,7 +107,7 @@
     if (slowdown_.from != SteadyTime()) {
         const auto setSpeed = [this](double speed) {
             store_.setSpeed(speed);
-            planStore();
+            updateStore();
         };
         events_.at(slowdown_.from, [this, setSpeed] { setSpeed(slowdown_.speed); });
         events_.at(slowdown_.to, [setSpeed] { setSpeed(1); });
@@ -154,55 +154,56 @@
     if (replica.view.running > 0)
         return;
     setIdle(target);
-    planUnload(target);
+    scheduleUnload(target);
     // Memory that this one held may now be taken.
     for (std::size_t home = 0; home < homes_.size(); ++home) {
-        if (!homes_[home].wanted.empty())
-            planPump(home, Milliseconds(0));
+        if (!homes_[home].demand.empty())
+            scheduleLoadStarts(home, Milliseconds(0));
     }
 }
 
 void LoadSimulation::wait(const TraceRequest& request)
 {
     Home& home = homes_[homeOf(request.target)];
-    Wanted& wanted = home.wanted[request.target];
-    if (wanted.pending.target.empty()) {
-        wanted.pending.target = targets_[request.target].name;
-        wanted.pending.since = now();
-        wanted.pending.earliestDeadline = request.deadline;
+    LoadDemand& demand = home.demand[request.target];
+    if (demand.pending.target.empty()) {
+        demand.pending.target = targets_[request.target].name;
+        demand.pending.since = now();
+        demand.pending.earliestDeadline = request.deadline;
     }
-    wanted.pending.waiters += 1;
-    wanted.pending.earliestDeadline = std::min(wanted.pending.earliestDeadline, request.deadline);
-    wanted.pending.priority = std::max(wanted.pending.priority, request.priority);
-    planPump(homeOf(request.target), wakeTime);
+    demand.pending.waiters += 1;
+    demand.pending.earliestDeadline = std::min(demand.pending.earliestDeadline, request.deadline);
+    demand.pending.priority = std::max(demand.pending.priority, request.priority);
+    scheduleLoadStarts(homeOf(request.target), wakeTime);
     // The load goes on for a hopeless one too: its caller, told when to come back, finds the model warm.
-    if (contender_.refusesHopeless && isHopeless(home, wanted, request.target, request)) {
+    if (policySet_.refusesHopeless && isHopeless(home, demand, request.target, request)) {
         refuse(request, outcome_.hopeless);
         return;
     }
-    wanted.waiting.push_back(&request);
+    demand.waiting.push_back(&request);
     waiting_.insert(&request);
     events_.at(request.deadline.at(), [this, &request] { expire(request); });
 }
 
-bool LoadSimulation::isHopeless(Home& home, const Wanted& wanted, std::size_t target, const TraceRequest& request) const
+bool LoadSimulation::isHopeless(
+    Home& home, const LoadDemand& demand, std::size_t target, const TraceRequest& request) const
 {
-    if (wanted.isStarted) {
-        const auto elapsed = std::chrono::duration_cast<Milliseconds>(now() - wanted.startedAt);
-        return policy::isHopeless(forecastRunning(wanted.estimate, elapsed), request.deadline, leastAnswer, now());
+    if (demand.isStarted) {
+        const auto elapsed = std::chrono::duration_cast<Milliseconds>(now() - demand.startedAt);
+        return policy::isHopeless(forecastRunning(demand.estimate, elapsed), request.deadline, leastAnswer, now());
     }
-    CheckpointPlace nearest = CheckpointPlace::Remote;
+    CheckpointLocation nearest = CheckpointLocation::Remote;
     for (std::size_t server = 0; server < servers_.size(); ++server)
-        nearest = std::min(nearest, checkpoint(server, target));
+        nearest = std::min(nearest, checkpointLocation(server, target));
     const LoadTimeEstimate own
         = home.estimator.estimate(targets_[target].name, nearest, targets_[target].memory, now());
     LoadQueue queue;
-    if (nearest == CheckpointPlace::Remote) {
+    if (nearest == CheckpointLocation::Remote) {
         queue.running = home.share->running();
         queue.ahead = loadsAhead(home, target);
-        queue.places = home.share->places();
+        queue.slots = home.share->slots();
         queue.loadsPerSecond = deployment_.storeLoadsPerSecond;
-        queue.each = own;
+        queue.perLoad = own;
     }
     return policy::isHopeless(forecastWaiting(own, queue), request.deadline, leastAnswer, now());
 }
@@ -231,27 +232,27 @@
     if (waiting_.erase(&request) == 0)
         return;
     Home& home = homes_[homeOf(request.target)];
-    if (const auto found = home.wanted.find(request.target); found != home.wanted.end())
+    if (const auto found = home.demand.find(request.target); found != home.demand.end())
         std::erase(found->second.waiting, &request);
     refuse(request, outcome_.expired);
 }
 
-void LoadSimulation::planPump(std::size_t home, Milliseconds delay)
+void LoadSimulation::scheduleLoadStarts(std::size_t home, Milliseconds delay)
 {
-    if (homes_[home].isPumpPlanned)
+    if (homes_[home].areLoadStartsScheduled)
         return;
-    homes_[home].isPumpPlanned = true;
+    homes_[home].areLoadStartsScheduled = true;
     events_.at(now() + delay, [this, home] {
-        homes_[home].isPumpPlanned = false;
-        pump(home);
+        homes_[home].areLoadStartsScheduled = false;
+        startPendingLoads(home);
     });
 }
 
-void LoadSimulation::pump(std::size_t index)
+void LoadSimulation::startPendingLoads(std::size_t index)
 {
     Home& home = homes_[index];
     // Nobody waits, and it hasn't started: the demand is over.
-    std::erase_if(home.wanted, [this](const auto& entry) {
+    std::erase_if(home.demand, [this](const auto& entry) {
         return !entry.second.isStarted && entry.second.waiting.empty()
             && now() > entry.second.pending.since + deployment_.timeout;
     });
@@ -262,31 +263,31 @@
             blocked.insert(*target);
     }
     if (!blocked.empty())
-        planPump(index, pumpAgain);
-    else if (!home.wanted.empty())
-        planPump(index, reviewAgain);
+        scheduleLoadStarts(index, pumpAgain);
+    else if (!home.demand.empty())
+        scheduleLoadStarts(index, reviewAgain);
 }
 
 /// What has become hopeless since it came is refused now, not at its deadline.
 void LoadSimulation::reviewWaiting(Home& home)
 {
-    if (!contender_.refusesHopeless)
+    if (!policySet_.refusesHopeless)
         return;
-    for (const auto& [target, wanted] : home.wanted) {
-        if (!wanted.isStarted)
+    for (const auto& [target, demand] : home.demand) {
+        if (!demand.isStarted)
             continue;
-        const auto elapsed = std::chrono::duration_cast<Milliseconds>(now() - wanted.startedAt);
-        home.estimator.recordUnfinished(wanted.pending.target, wanted.place, wanted.memory, elapsed, now());
+        const auto elapsed = std::chrono::duration_cast<Milliseconds>(now() - demand.startedAt);
+        home.estimator.recordUnfinished(demand.pending.target, demand.location, demand.memory, elapsed, now());
     }
-    for (auto& [target, wanted] : home.wanted) {
-        const auto hopeless = std::stable_partition(wanted.waiting.begin(), wanted.waiting.end(),
-            [&, target = target, &wanted = wanted](
-                const TraceRequest* request) { return !isHopeless(home, wanted, target, *request); });
-        for (auto request = hopeless; request != wanted.waiting.end(); ++request) {
+    for (auto& [target, demand] : home.demand) {
+        const auto hopeless = std::stable_partition(demand.waiting.begin(), demand.waiting.end(),
+            [&, target = target, &demand = demand](
+                const TraceRequest* request) { return !isHopeless(home, demand, target, *request); });
+        for (auto request = hopeless; request != demand.waiting.end(); ++request) {
             waiting_.erase(*request);
             refuse(**request, outcome_.hopeless);
         }
-        wanted.waiting.erase(hopeless, wanted.waiting.end());
+        demand.waiting.erase(hopeless, demand.waiting.end());
     }
 }
 
@@ -294,12 +295,12 @@
 {
     std::vector<PendingLoad> pending;
     std::vector<std::size_t> targets;
-    for (const auto& [target, wanted] : home.wanted) {
-        if (wanted.isStarted || blocked.contains(target))
+    for (const auto& [target, demand] : home.demand) {
+        if (demand.isStarted || blocked.contains(target))
             continue;
-        pending.push_back(wanted.pending);
+        pending.push_back(demand.pending);
         pending.back().expectedLoad
-            = home.estimator.estimate(wanted.pending.target, CheckpointPlace::Remote, targets_[target].memory, now())
+            = home.estimator.estimate(demand.pending.target, CheckpointLocation::Remote, targets_[target].memory, now())
                   .typical;
         targets.push_back(target);
     }
@@ -326,16 +327,16 @@
     if (!chosen)
         return false;
     const std::size_t server = order[*chosen];
-    const CheckpointPlace place = bids[*chosen].checkpoint;
-    if (place == CheckpointPlace::Remote) {
-        if (!home.share->mayStart(home.wanted.at(target).pending.since, now()))
+    const CheckpointLocation location = bids[*chosen].checkpoint;
+    if (location == CheckpointLocation::Remote) {
+        if (!home.share->mayStart(home.demand.at(target).pending.since, now()))
             return false;
         if (!store_.admit(now())) {
-            home.share->noteRefusal(now());
+            home.share->recordRefusal(now());
             return false;
         }
     }
-    startLoad(index, server, target, place);
+    startLoad(index, server, target, location);
     return true;
 }
 
@@ -344,7 +345,7 @@
     const std::size_t model = targets_[target].model;
     LoadBid made;
     made.vm = servers_[server].vm;
-    made.checkpoint = checkpoint(server, target);
+    made.checkpoint = checkpointLocation(server, target);
     std::uint64_t needed = targets_[target].memory.value();
     const auto modelReplica = replicas_.find(model);
     if (model != target && modelReplica != replicas_.end()) {
@@ -363,7 +364,7 @@
         return made;
     std::vector<std::size_t> here = replicasOf(server);
     std::erase(here, model);
-    const std::vector<LoadedReplica> candidates = views(here);
+    const std::vector<LoadedReplica> candidates = viewsOf(here);
     const std::vector<std::size_t> victims = keepWarm_->victims(candidates, MebiBytes(needed - free), now());
     made.canLoad = !victims.empty();
     std::uint64_t evicted = 0;
@@ -378,20 +379,20 @@
 }
 
 /// An adapter is small; what matters is where its model is, unless that is loaded.
-CheckpointPlace LoadSimulation::checkpoint(std::size_t server, std::size_t target) const
+CheckpointLocation LoadSimulation::checkpointLocation(std::size_t server, std::size_t target) const
 {
     const std::size_t model = targets_[target].model;
     if (model != target && replicas_.contains(model))
-        return CheckpointPlace::Disk;
+        return CheckpointLocation::Disk;
     const auto has = [model](const std::deque<std::size_t>& cache) {
         return std::find(cache.begin(), cache.end(), model) != cache.end();
     };
     if (has(servers_[server].memoryCache))
-        return CheckpointPlace::Memory;
-    return has(servers_[server].diskCache) ? CheckpointPlace::Disk : CheckpointPlace::Remote;
+        return CheckpointLocation::Memory;
+    return has(servers_[server].diskCache) ? CheckpointLocation::Disk : CheckpointLocation::Remote;
 }
 
-void LoadSimulation::startLoad(std::size_t index, std::size_t server, std::size_t target, CheckpointPlace place)
+void LoadSimulation::startLoad(std::size_t index, std::size_t server, std::size_t target, CheckpointLocation location)
 {
     const std::size_t model = targets_[target].model;
     const bool needsModel = model != target && !replicas_.contains(model);
@@ -399,18 +400,18 @@
     if (const std::uint64_t free = freeMemory(server); free < needed) {
         std::vector<std::size_t> here = replicasOf(server);
         std::erase(here, model);
-        for (const std::size_t victim : keepWarm_->victims(views(here), MebiBytes(needed - free), now())) {
+        for (const std::size_t victim : keepWarm_->victims(viewsOf(here), MebiBytes(needed - free), now())) {
             unload(here[victim]);
             ++outcome_.evictions;
         }
     }
     Home& home = homes_[index];
-    Wanted& wanted = home.wanted.at(target);
-    wanted.isStarted = true;
-    wanted.startedAt = now();
-    wanted.place = place;
-    wanted.memory = MebiBytes(needed);
-    wanted.estimate = home.estimator.estimate(targets_[target].name, place, wanted.memory, now());
+    LoadDemand& demand = home.demand.at(target);
+    demand.isStarted = true;
+    demand.startedAt = now();
+    demand.location = location;
+    demand.memory = MebiBytes(needed);
+    demand.estimate = home.estimator.estimate(targets_[target].name, location, demand.memory, now());
     for (const std::size_t part : { model, target }) {
         if (replicas_.contains(part))
             continue;
@@ -427,30 +428,30 @@
     ++outcome_.loads;
     const double slowness = targets_[target].slowness * std::exp(noise * std::normal_distribution<double>()(random_));
     const auto size = static_cast<double>(needed);
-    if (place == CheckpointPlace::Remote) {
+    if (location == CheckpointLocation::Remote) {
         ++outcome_.remoteLoads;
         home.share->start(now());
         afterTransfer_[target] = milliseconds(remoteFixedSeconds * slowness);
         store_.begin(target, size * slowness, now());
-        return planStore();
+        return updateStore();
     }
-    const double fixed = place == CheckpointPlace::Disk ? diskFixedSeconds : memoryFixedSeconds;
-    const double speed = place == CheckpointPlace::Disk ? diskMebiBytesPerSecond : memoryMebiBytesPerSecond;
+    const double fixed = location == CheckpointLocation::Disk ? diskFixedSeconds : memoryFixedSeconds;
+    const double speed = location == CheckpointLocation::Disk ? diskMebiBytesPerSecond : memoryMebiBytesPerSecond;
     events_.at(now() + milliseconds((fixed + size / speed) * slowness), [this, target] { endLoad(target); });
 }
 
-void LoadSimulation::planStore()
+void LoadSimulation::updateStore()
 {
     while (const auto ended = store_.advance(now())) {
         const std::size_t target = *ended;
         homes_[homeOf(target)].share->end();
         events_.at(now() + afterTransfer_.at(target), [this, target] { endLoad(target); });
     }
-    const std::uint64_t plan = ++storePlan_;
+    const std::uint64_t plan = ++storeUpdateNumber_;
     if (const auto next = store_.nextEnd()) {
         events_.at(*next, [this, plan] {
-            if (plan == storePlan_)
-                planStore();
+            if (plan == storeUpdateNumber_)
+                updateStore();
         });
     }
 }
@@ -458,13 +459,13 @@
 void LoadSimulation::endLoad(std::size_t target)
 {
     Home& home = homes_[homeOf(target)];
-    Wanted wanted = std::move(home.wanted.at(target));
-    home.wanted.erase(target);
-    const auto took = std::chrono::duration_cast<Milliseconds>(now() - wanted.startedAt);
+    LoadDemand demand = std::move(home.demand.at(target));
+    home.demand.erase(target);
+    const auto took = std::chrono::duration_cast<Milliseconds>(now() - demand.startedAt);
     const std::size_t model = targets_[target].model;
     Replica& replica = replicas_.at(target);
     const bool broughtModel = model != target && replicas_.at(model).state == State::Loading;
-    home.estimator.record(targets_[target].name, wanted.place, wanted.memory, took, now());
+    home.estimator.record(targets_[target].name, demand.location, demand.memory, took, now());
     touchCaches(servers_[replica.server], model);
     for (const std::size_t part : { model, target }) {
         Replica& loadedPart = replicas_.at(part);
@@ -478,20 +479,20 @@
         // While it was being loaded it served nobody either.
         accountIdle(loadedPart);
     }
-    serveWaiting(wanted);
-    if (auto& ofModel = homes_[homeOf(model)].wanted; model != target && ofModel.contains(model))
+    serveWaiting(demand);
+    if (auto& ofModel = homes_[homeOf(model)].demand; model != target && ofModel.contains(model))
         serveWaiting(ofModel.extract(model).mapped());
-    planUnload(target);
-    planUnload(model);
+    scheduleUnload(target);
+    scheduleUnload(model);
     for (std::size_t other = 0; other < homes_.size(); ++other) {
-        if (!homes_[other].wanted.empty())
-            planPump(other, Milliseconds(0));
+        if (!homes_[other].demand.empty())
+            scheduleLoadStarts(other, Milliseconds(0));
     }
 }
 
-void LoadSimulation::serveWaiting(const Wanted& wanted)
+void LoadSimulation::serveWaiting(const LoadDemand& demand)
 {
-    for (const TraceRequest* request : wanted.waiting) {
+    for (const TraceRequest* request : demand.waiting) {
         waiting_.erase(request);
         const double waited = Seconds(now() - request->at).count();
         outcome_.coldWaits.push_back(waited);
@@ -507,7 +508,7 @@
     replicas_.erase(target);
 }
 
-void LoadSimulation::planUnload(std::size_t target)
+void LoadSimulation::scheduleUnload(std::size_t target)
 {
     const auto found = replicas_.find(target);
     if (found == replicas_.end() || found->second.view.running > 0)
@@ -523,17 +524,17 @@
 Milliseconds LoadSimulation::nextLoadTime(std::size_t target, const Replica& replica) const
 {
     const LoadTimeEstimator& estimator = homes_[homeOf(target)].estimator;
-    const auto from = [&](CheckpointPlace place) {
-        return estimator.estimate(targets_[target].name, place, targets_[target].memory, now()).typical;
+    const auto from = [&](CheckpointLocation location) {
+        return estimator.estimate(targets_[target].name, location, targets_[target].memory, now()).typical;
     };
-    const CheckpointPlace present = checkpoint(replica.server, targets_[target].model);
-    return (from(present) + from(std::max(present, CheckpointPlace::Disk))) / 2;
+    const CheckpointLocation present = checkpointLocation(replica.server, targets_[target].model);
+    return (from(present) + from(std::max(present, CheckpointLocation::Disk))) / 2;
 }
 
 void LoadSimulation::unloadExpired(std::size_t server)
 {
     const std::vector<std::size_t> here = replicasOf(server);
-    for (const std::size_t index : expiredReplicas(*keepWarm_, views(here), deployment_.serverMemory, now()))
+    for (const std::size_t index : expiredReplicas(*keepWarm_, viewsOf(here), deployment_.serverMemory, now()))
         unload(here[index]);
 }
 
@@ -589,7 +590,7 @@
     return { servers_[server].targets.begin(), servers_[server].targets.end() };
 }
 
-std::vector<LoadedReplica> LoadSimulation::views(const std::vector<std::size_t>& targets) const
+std::vector<LoadedReplica> LoadSimulation::viewsOf(const std::vector<std::size_t>& targets) const
 {
     std::vector<LoadedReplica> made;
     for (const std::size_t target : targets)
--- a/src/policy/benchmarks/loadsimulation.h
+++ b/src/policy/benchmarks/loadsimulation.h
@@ -20,7 +20,7 @@
 namespace lagoon::policy::benchmarks {
 
 /// A set of policies to be measured.
-struct Contender {
+struct PolicySet {
     std::string name;
     std::function<std::unique_ptr<ILoadPlacement>(const Deployment&)> placement;
     std::function<std::unique_ptr<IKeepWarm>(const Deployment&)> keepWarm;
@@ -54,7 +54,7 @@
     /// How long they had waited by then, in seconds.
     std::vector<double> refusalWaits;
 
-    double coldSecondsSum() const;
+    double totalColdSeconds() const;
     /// Over all requests, a warm one waits 0.
     double waitPercentile(double percent) const;
     double coldPercentile(double percent) const;
@@ -65,7 +65,7 @@
 class LoadSimulation {
 public:
     LoadSimulation(
-        const Deployment&, const Contender&, const std::vector<Target>&, std::uint64_t seed, StoreSlowdown = {});
+        const Deployment&, const PolicySet&, const std::vector<Target>&, std::uint64_t seed, StoreSlowdown = {});
     Outcome run(const std::vector<TraceRequest>&);
 
 private:
@@ -96,12 +96,12 @@
     };
 
     /// A load that its home wants done.
-    struct Wanted {
+    struct LoadDemand {
         PendingLoad pending;
         std::vector<const TraceRequest*> waiting;
         bool isStarted = false;
         framework::SteadyTime startedAt {};
-        CheckpointPlace place = CheckpointPlace::Remote;
+        CheckpointLocation location = CheckpointLocation::Remote;
         framework::MebiBytes memory;
         /// As of the start.
         LoadTimeEstimate estimate;
@@ -110,32 +110,32 @@
     struct Home {
         std::unique_ptr<WeightStoreShare> share;
         LoadTimeEstimator estimator;
-        std::map<std::size_t, Wanted> wanted;
-        bool isPumpPlanned = false;
+        std::map<std::size_t, LoadDemand> demand;
+        bool areLoadStartsScheduled = false;
     };
 
     void arrive(const TraceRequest&);
     void serve(const TraceRequest&);
     void finishRequest(std::size_t target);
     void wait(const TraceRequest&);
-    bool isHopeless(Home&, const Wanted&, std::size_t target, const TraceRequest&) const;
+    bool isHopeless(Home&, const LoadDemand&, std::size_t target, const TraceRequest&) const;
     std::uint32_t loadsAhead(const Home&, std::size_t target) const;
     void refuse(const TraceRequest&, std::size_t& reason);
     void expire(const TraceRequest&);
 
-    void pump(std::size_t home);
+    void startPendingLoads(std::size_t home);
     void reviewWaiting(Home&);
-    void planPump(std::size_t home, framework::Milliseconds delay);
+    void scheduleLoadStarts(std::size_t home, framework::Milliseconds delay);
     std::optional<std::size_t> nextLoad(const Home&, const std::set<std::size_t>& blocked) const;
     bool tryStart(std::size_t home, std::size_t target);
     LoadBid bid(const Home&, std::size_t server, std::size_t target) const;
-    CheckpointPlace checkpoint(std::size_t server, std::size_t target) const;
-    void startLoad(std::size_t home, std::size_t server, std::size_t target, CheckpointPlace);
-    void planStore();
+    CheckpointLocation checkpointLocation(std::size_t server, std::size_t target) const;
+    void startLoad(std::size_t home, std::size_t server, std::size_t target, CheckpointLocation);
+    void updateStore();
     void endLoad(std::size_t target);
-    void serveWaiting(const Wanted&);
+    void serveWaiting(const LoadDemand&);
     void unload(std::size_t target);
-    void planUnload(std::size_t target);
+    void scheduleUnload(std::size_t target);
     framework::Milliseconds nextLoadTime(std::size_t target, const Replica&) const;
     void unloadExpired(std::size_t server);
 
@@ -145,14 +145,14 @@
     void accountIdle(Replica&);
     std::uint64_t freeMemory(std::size_t server) const;
     std::vector<std::size_t> replicasOf(std::size_t server) const;
-    std::vector<LoadedReplica> views(const std::vector<std::size_t>& targets) const;
+    std::vector<LoadedReplica> viewsOf(const std::vector<std::size_t>& targets) const;
     std::size_t homeOf(std::size_t target) const { return target % homes_.size(); }
     void touchCaches(Server&, std::size_t model);
     framework::SteadyTime now() const { return events_.now(); }
 
     const Deployment& deployment_;
     const std::vector<Target>& targets_;
-    Contender contender_;
+    PolicySet policySet_;
     std::unique_ptr<ILoadPlacement> placement_;
     std::unique_ptr<IKeepWarm> keepWarm_;
     std::unique_ptr<ILoadOrder> order_;
@@ -166,7 +166,7 @@
     /// Each load's time after its transfer has ended.
     std::map<std::size_t, framework::Milliseconds> afterTransfer_;
     std::set<const TraceRequest*> waiting_;
-    std::uint64_t storePlan_ = 0;
+    std::uint64_t storeUpdateNumber_ = 0;
     Outcome outcome_;
 };
 
--- a/src/policy/benchmarks/overloadbenchmark.cpp
+++ b/src/policy/benchmarks/overloadbenchmark.cpp
@@ -11,16 +11,16 @@
 namespace {
 
 /// Any replica, in turn.
-class InTurnReplicaChoice final : public IReplicaChoice {
+class RoundRobinReplicaChoice final : public IReplicaChoice {
 public:
     std::optional<std::size_t> choose(
         const std::vector<ReplicaView>& replicas, std::uint64_t, framework::SteadyTime) override
     {
-        return turn_++ % replicas.size();
+        return next_++ % replicas.size();
     }
 
 private:
-    std::size_t turn_ = 0;
+    std::size_t next_ = 0;
 };
 
 /// The one with the least reported load, as of the last answer.
@@ -37,10 +37,10 @@
     }
 };
 
-std::vector<OverloadContender> contenders()
+std::vector<OverloadPolicySet> policySets()
 {
     const auto ours = [](std::uint64_t seed) { return makeReplicaChoice({}, seed); };
-    const auto inTurn = [](std::uint64_t) { return std::make_unique<InTurnReplicaChoice>(); };
+    const auto inTurn = [](std::uint64_t) { return std::make_unique<RoundRobinReplicaChoice>(); };
     const auto least = [](std::uint64_t) { return std::make_unique<LeastReportedReplicaChoice>(); };
     return { { "lagoon", ours, true, 0.1 }, { "in-turn, no admission", inTurn, false, 2 },
         { "in-turn, admission", inTurn, true, 0.1 }, { "least reported, adm.", least, true, 0.1 } };
@@ -54,11 +54,11 @@
     return values[static_cast<std::size_t>(percent / 100 * static_cast<double>(values.size() - 1))];
 }
 
-void printRow(const OverloadContender& contender, const OverloadCase& overload, std::uint64_t seed)
+void printRow(const OverloadPolicySet& policySet, const OverloadCase& overload, std::uint64_t seed)
 {
-    const OverloadOutcome outcome = OverloadSimulation(overload, contender, seed).run();
+    const OverloadOutcome outcome = OverloadSimulation(overload, policySet, seed).run();
     const double high = static_cast<double>(std::max<std::size_t>(1, outcome.high));
-    std::printf("%-21s %5.1f %4zu %7zu %9.1f %6.1f %8zu %8zu %8zu %7.2f %7.2f %8.2f\n", contender.name.c_str(),
+    std::printf("%-21s %5.1f %4zu %7zu %9.1f %6.1f %8zu %8zu %8zu %7.2f %7.2f %8.2f\n", policySet.name.c_str(),
         overload.load, overload.slowUpstreams, outcome.requests,
         static_cast<double>(outcome.answered) / overload.seconds,
         100 * static_cast<double>(outcome.highAnswered) / high, outcome.refusedAtOnce, outcome.refusedLate,
@@ -74,16 +74,16 @@
         "\noverload: 9 upstreams, 8 slots, 0.5 s a request (capacity 144/s), deadline 5 s, a tenth of high priority\n");
     std::printf("%-21s %5s %4s %7s %9s %6s %8s %8s %8s %7s %7s %8s\n", "policy", "load", "slow", "reqs", "goodput/s",
         "high%", "at once", "late", "retries", "p50", "p99", "ref. p99");
-    for (const OverloadContender& contender : contenders()) {
+    for (const OverloadPolicySet& policySet : policySets()) {
         for (const double load : { 0.5, 1.0, 2.0, 4.0 }) {
             OverloadCase overload;
             overload.load = load;
-            printRow(contender, overload, seed);
+            printRow(policySet, overload, seed);
         }
         OverloadCase slow;
         slow.load = 0.5;
         slow.slowUpstreams = 1;
-        printRow(contender, slow, seed);
+        printRow(policySet, slow, seed);
     }
 }
 
--- a/src/policy/benchmarks/overloadsimulation.cpp
+++ b/src/policy/benchmarks/overloadsimulation.cpp
@@ -35,9 +35,9 @@
 } // namespace
 
 OverloadSimulation::OverloadSimulation(
-    const OverloadCase& overload, const OverloadContender& contender, std::uint64_t seed)
+    const OverloadCase& overload, const OverloadPolicySet& policySet, std::uint64_t seed)
     : case_(overload)
-    , contender_(contender)
+    , policySet_(policySet)
     , random_(seed)
     , upstreams_(overload.upstreams)
 {
@@ -50,7 +50,7 @@
         for (std::size_t index = 0; index < views.size(); ++index)
             views[index].vm = framework::VmName("server-" + std::to_string(index));
         routers_.push_back(
-            { contender.choice(seed + router), std::move(views), RetryBudget(contender.retryShare, 10) });
+            { policySet.choice(seed + router), std::move(views), RetryBudget(policySet.retryShare, 10) });
     }
 }
 
@@ -77,8 +77,8 @@
     routers_[request->router].budget.earn();
     send(request);
     events_.at(request->deadline.at(), [this, request] {
-        if (!request->isOver)
-            end(request);
+        if (!request->isFinished)
+            finishRefused(request);
     });
     const double capacity = static_cast<double>(upstreams_.size() * case_.slots) / case_.serviceSeconds;
     const double gap = std::exponential_distribution<double>(capacity * case_.load)(random_);
@@ -87,7 +87,7 @@
 
 void OverloadSimulation::send(const RequestPointer& request)
 {
-    if (request->isOver)
+    if (request->isFinished)
         return;
     Router& router = routers_[request->router];
     const std::size_t upstream = *router.choice->choose(router.views, request->prefix, now());
@@ -101,10 +101,10 @@
     Upstream& upstream = upstreams_[index];
     if (upstream.running < case_.slots)
         return start(request, index);
-    if (contender_.hasAdmission && isTooLate(*request, upstream))
+    if (policySet_.hasAdmission && isTooLate(*request, upstream))
         return refuse(request, index);
     auto position = upstream.queue.end();
-    if (contender_.hasAdmission) {
+    if (policySet_.hasAdmission) {
         position = std::find_if(upstream.queue.begin(), upstream.queue.end(),
             [&request](const RequestPointer& other) { return other->priority < request->priority; });
     }
@@ -114,7 +114,7 @@
 bool OverloadSimulation::isTooLate(const Request& request, const Upstream& upstream) const
 {
     const auto ahead = std::count_if(upstream.queue.begin(), upstream.queue.end(),
-        [&request](const RequestPointer& other) { return !other->isOver && other->priority >= request.priority; });
+        [&request](const RequestPointer& other) { return !other->isFinished && other->priority >= request.priority; });
     const LoadTimeEstimate each { milliseconds(upstream.meanService / 2), milliseconds(upstream.meanService),
         milliseconds(upstream.meanService * mostOverMean) };
     const LoadQueue queue { static_cast<std::uint32_t>(ahead), upstream.running, case_.slots, 0, each };
@@ -142,8 +142,8 @@
         const RequestPointer next = upstream.queue.front();
         upstream.queue.pop_front();
         // Without admission nobody looks whether the caller still waits.
-        const bool isInVain = next->isOver || (isTooLate(*next, Upstream { 0, {}, 1, upstream.meanService }));
-        if (contender_.hasAdmission && isInVain)
+        const bool isInVain = next->isFinished || (isTooLate(*next, Upstream { 0, {}, 1, upstream.meanService }));
+        if (policySet_.hasAdmission && isInVain)
             refuse(next, index);
         else
             start(next, index);
@@ -166,9 +166,9 @@
     view.firstByteSeconds
         = view.firstByteSeconds > 0 ? view.firstByteSeconds + newShare * (seconds - view.firstByteSeconds) : seconds;
     view.lastAnswer = now();
-    if (request->isOver)
+    if (request->isFinished)
         return;
-    request->isOver = true;
+    request->isFinished = true;
     ++outcome_.answered;
     outcome_.highAnswered += request->priority == highPriority ? 1 : 0;
     outcome_.latencies.push_back(seconds);
@@ -177,19 +177,19 @@
 void OverloadSimulation::refuse(const RequestPointer& request, std::size_t index)
 {
     report(*request, index);
-    if (request->isOver)
+    if (request->isFinished)
         return;
     const Milliseconds wait = backoff_.wait(request->attempt, draw());
     const bool hasTime = now() + wait + milliseconds(case_.serviceSeconds) < request->deadline.at();
     if (!hasTime || request->attempt >= mostAttempts || !routers_[request->router].budget.spend())
-        return end(request);
+        return finishRefused(request);
     ++outcome_.retries;
     events_.at(now() + wait, [this, request] { send(request); });
 }
 
-void OverloadSimulation::end(const RequestPointer& request)
+void OverloadSimulation::finishRefused(const RequestPointer& request)
 {
-    request->isOver = true;
+    request->isFinished = true;
     const double seconds = Seconds(now() - request->at).count();
     outcome_.refusalSeconds.push_back(seconds);
     ++(seconds < atOnceShare * case_.deadlineSeconds ? outcome_.refusedAtOnce : outcome_.refusedLate);
--- a/src/policy/benchmarks/overloadsimulation.h
+++ b/src/policy/benchmarks/overloadsimulation.h
@@ -30,7 +30,7 @@
 };
 
 /// How routers and agents behave in it.
-struct OverloadContender {
+struct OverloadPolicySet {
     std::string name;
     std::function<std::unique_ptr<IReplicaChoice>(std::uint64_t seed)> choice;
     /// Agents refuse what can't be answered in time, and run the highest priority first.
@@ -54,7 +54,7 @@
 
 class OverloadSimulation {
 public:
-    OverloadSimulation(const OverloadCase&, const OverloadContender&, std::uint64_t seed);
+    OverloadSimulation(const OverloadCase&, const OverloadPolicySet&, std::uint64_t seed);
     OverloadOutcome run();
 
 private:
@@ -65,7 +65,7 @@
         std::size_t router = 0;
         std::uint32_t attempt = 0;
         std::uint64_t prefix = 0;
-        bool isOver = false;
+        bool isFinished = false;
     };
     using RequestPointer = std::shared_ptr<Request>;
 
@@ -91,12 +91,12 @@
     void report(const Request&, std::size_t upstream);
     void answer(const RequestPointer&, std::size_t upstream);
     void refuse(const RequestPointer&, std::size_t upstream);
-    void end(const RequestPointer&);
+    void finishRefused(const RequestPointer&);
     double draw() { return std::uniform_real_distribution<double>(0, 1)(random_); }
     framework::SteadyTime now() const { return events_.now(); }
 
     OverloadCase case_;
-    OverloadContender contender_;
+    OverloadPolicySet policySet_;
     Random random_;
     EventQueue events_;
     std::vector<Upstream> upstreams_;
--- a/src/policy/benchmarks/policybenchmark.cpp
+++ b/src/policy/benchmarks/policybenchmark.cpp
@@ -12,9 +12,9 @@
 
 namespace benchmarks = lagoon::policy::benchmarks;
 namespace policy = lagoon::policy;
-using benchmarks::Contender;
 using benchmarks::Deployment;
 using benchmarks::Outcome;
+using benchmarks::PolicySet;
 
 using Hours = std::chrono::hours;
 using Minutes = std::chrono::minutes;
@@ -26,45 +26,45 @@
     return made;
 }
 
-Contender ours()
+PolicySet ours()
 {
     return { "lagoon", [](const Deployment& deployment) { return policy::makeLoadPlacement(numbers(deployment)); },
         [](const Deployment& deployment) { return policy::makeKeepWarm(numbers(deployment)); },
         [](const Deployment& deployment) { return policy::makeLoadOrder(numbers(deployment)); }, true, false };
 }
 
-Contender fixedTimeout(const std::string& name, lagoon::framework::Milliseconds timeout)
+PolicySet fixedTimeout(const std::string& name, lagoon::framework::Milliseconds timeout)
 {
-    return { name, [](const Deployment&) { return std::make_unique<benchmarks::InTurnLoadPlacement>(); },
+    return { name, [](const Deployment&) { return std::make_unique<benchmarks::RoundRobinLoadPlacement>(); },
         [timeout](const Deployment&) { return std::make_unique<benchmarks::FixedTimeoutKeepWarm>(timeout); },
-        [](const Deployment&) { return std::make_unique<benchmarks::ArrivalLoadOrder>(); }, false, false };
+        [](const Deployment&) { return std::make_unique<benchmarks::FifoLoadOrder>(); }, false, false };
 }
 
 /// Ours with one part taken from the baselines, to see what the part is worth.
-Contender without(const std::string& name, const std::function<void(Contender&, const Contender&)>& change)
+PolicySet without(const std::string& name, const std::function<void(PolicySet&, const PolicySet&)>& change)
 {
-    Contender made = ours();
+    PolicySet made = ours();
     change(made, fixedTimeout("", Minutes(30)));
     made.name = name;
     return made;
 }
 
-std::vector<Contender> contenders(bool hasParts)
+std::vector<PolicySet> policySets(bool hasParts)
 {
-    std::vector<Contender> all { ours(), fixedTimeout("fixed-1min", Minutes(1)), fixedTimeout("fixed-5min", Minutes(5)),
+    std::vector<PolicySet> all { ours(), fixedTimeout("fixed-1min", Minutes(1)), fixedTimeout("fixed-5min", Minutes(5)),
         fixedTimeout("fixed-30min", Minutes(30)), fixedTimeout("never-unload", Hours(1000)) };
     if (!hasParts)
         return all;
-    using Change = Contender;
+    using Change = PolicySet;
     all.push_back(
-        without("in-turn placement", [](Change& made, const Contender& other) { made.placement = other.placement; }));
+        without("in-turn placement", [](Change& made, const PolicySet& other) { made.placement = other.placement; }));
     all.push_back(
-        without("fixed-30min keep", [](Change& made, const Contender& other) { made.keepWarm = other.keepWarm; }));
+        without("fixed-30min keep", [](Change& made, const PolicySet& other) { made.keepWarm = other.keepWarm; }));
     all.push_back(without("fixed-5min keep",
-        [](Change& made, const Contender&) { made.keepWarm = fixedTimeout("", Minutes(5)).keepWarm; }));
-    all.push_back(without("arrival order", [](Change& made, const Contender& other) { made.order = other.order; }));
-    all.push_back(without("no hopelessness", [](Change& made, const Contender&) { made.refusesHopeless = false; }));
-    all.push_back(without("with borrowing", [](Change& made, const Contender&) { made.mayBorrow = true; }));
+        [](Change& made, const PolicySet&) { made.keepWarm = fixedTimeout("", Minutes(5)).keepWarm; }));
+    all.push_back(without("arrival order", [](Change& made, const PolicySet& other) { made.order = other.order; }));
+    all.push_back(without("no hopelessness", [](Change& made, const PolicySet&) { made.refusesHopeless = false; }));
+    all.push_back(without("with borrowing", [](Change& made, const PolicySet&) { made.mayBorrow = true; }));
     return all;
 }
 
@@ -84,7 +84,7 @@
         name.c_str(), seed.c_str(), outcome.requests, outcome.coldWaits.size(), outcome.coldPercentile(50),
         outcome.coldPercentile(99), outcome.coldPercentile(99.9), outcome.waitPercentile(99),
         outcome.waitPercentile(99.9), outcome.hopeless, outcome.expired, outcome.idleAcceleratorHours,
-        outcome.idleAcceleratorHours + weight * outcome.coldSecondsSum() / 3600, outcome.loads, outcome.remoteLoads,
+        outcome.idleAcceleratorHours + weight * outcome.totalColdSeconds() / 3600, outcome.loads, outcome.remoteLoads,
         outcome.evictions, outcome.storeRefusals);
 }
 
@@ -118,18 +118,18 @@
     if (options.weight > 0)
         deployment.coldStartWeight = options.weight;
     printHead(deployment.name + ", cold start weight " + std::to_string(deployment.coldStartWeight));
-    for (const Contender& contender : contenders(options.hasParts)) {
+    for (const PolicySet& policySet : policySets(options.hasParts)) {
         Outcome sum;
         for (std::uint64_t seed = options.seed; seed < options.seed + options.seeds; ++seed) {
             benchmarks::Random random(seed);
             const auto targets = benchmarks::makeTargets(deployment, random);
             const auto trace = benchmarks::makeTrace(deployment, targets, random);
-            const Outcome outcome = benchmarks::LoadSimulation(deployment, contender, targets, seed).run(trace);
+            const Outcome outcome = benchmarks::LoadSimulation(deployment, policySet, targets, seed).run(trace);
             if (options.showsSeeds)
-                printRow(contender.name, std::to_string(seed), outcome, deployment.coldStartWeight);
+                printRow(policySet.name, std::to_string(seed), outcome, deployment.coldStartWeight);
             add(sum, outcome);
         }
-        printRow(contender.name, "all", sum, deployment.coldStartWeight);
+        printRow(policySet.name, "all", sum, deployment.coldStartWeight);
     }
 }
 
@@ -161,17 +161,17 @@
     std::printf("\nwaitaha without caches, store at 1/20 speed from 10:00 to 11:00 of the second day\n");
     std::printf("%-18s %6s %6s %8s %7s %6s %6s | %s\n", "policy", "reqs", "loads", "hopeless", "expired", "ref25",
         "ref50", "refused of those that came in the hour before, of the slowdown, in 15-minute steps after it");
-    for (const Contender& contender : contenders(true)) {
+    for (const PolicySet& policySet : policySets(true)) {
         Outcome sum;
         for (std::uint64_t seed = options.seed; seed < options.seed + options.seeds; ++seed) {
             benchmarks::Random random(seed);
             const auto targets = benchmarks::makeTargets(deployment, random);
             const auto trace = benchmarks::makeTrace(deployment, targets, random);
-            Outcome one = benchmarks::LoadSimulation(deployment, contender, targets, seed, slowdown).run(trace);
+            Outcome one = benchmarks::LoadSimulation(deployment, policySet, targets, seed, slowdown).run(trace);
             keepRefusalWaitsBetween(one, slowdown.from, slowdown.to);
             add(sum, one);
         }
-        std::printf("%-18s %6zu %6zu %8zu %7zu %6.1f %6.1f | %5zu %5zu |", contender.name.c_str(), sum.requests,
+        std::printf("%-18s %6zu %6zu %8zu %7zu %6.1f %6.1f | %5zu %5zu |", policySet.name.c_str(), sum.requests,
             sum.loads, sum.hopeless, sum.expired, sum.refusalPercentile(50), sum.refusalPercentile(90),
             refusedBetween(sum, slowdown.from - Hours(1), Hours(1)), refusedBetween(sum, slowdown.from, Hours(1)));
         for (int step = 0; step < 8; ++step)
@@ -187,15 +187,15 @@
     std::printf("\n%s without caches, all models at once\n", deployment.name.c_str());
     std::printf("%-18s %6s %6s %6s %8s %7s %6s %6s | %6s %6s %5s\n", "policy", "reqs", "served", "high", "hopeless",
         "expired", "ref50", "ref90", "p50", "loads", "429");
-    for (const Contender& contender : contenders(true)) {
+    for (const PolicySet& policySet : policySets(true)) {
         Outcome sum;
         for (std::uint64_t seed = options.seed; seed < options.seed + options.seeds; ++seed) {
             benchmarks::Random random(seed);
             const auto targets = benchmarks::makeTargets(deployment, random);
             const auto trace = benchmarks::makeStorm(deployment, random);
-            add(sum, benchmarks::LoadSimulation(deployment, contender, targets, seed).run(trace));
+            add(sum, benchmarks::LoadSimulation(deployment, policySet, targets, seed).run(trace));
         }
-        std::printf("%-18s %6zu %6zu %6zu %8zu %7zu %6.1f %6.1f | %6.1f %6zu %5zu\n", contender.name.c_str(),
+        std::printf("%-18s %6zu %6zu %6zu %8zu %7zu %6.1f %6.1f | %6.1f %6zu %5zu\n", policySet.name.c_str(),
             sum.requests, sum.served, sum.servedHighPriority, sum.hopeless, sum.expired, sum.refusalPercentile(50),
             sum.refusalPercentile(90), sum.coldPercentile(50), sum.loads, sum.storeRefusals);
     }
--- a/src/policy/benchmarks/storemodel.cpp
+++ b/src/policy/benchmarks/storemodel.cpp
@@ -23,8 +23,8 @@
 
 bool StoreModel::admit(framework::SteadyTime now)
 {
-    tokens_ = std::min<double>(fullSpeedLoads_, tokens_ + Seconds(now - tokensAt_).count() * loadsPerSecond_);
-    tokensAt_ = now;
+    tokens_ = std::min<double>(fullSpeedLoads_, tokens_ + Seconds(now - tokensUpdatedAt_).count() * loadsPerSecond_);
+    tokensUpdatedAt_ = now;
     if (tokens_ < 1) {
         ++refusals_;
         return false;
@@ -36,20 +36,20 @@
 void StoreModel::begin(std::uint64_t load, double mebiBytes, framework::SteadyTime now)
 {
     now_ = now;
-    left_[load] = mebiBytes;
+    remaining_[load] = mebiBytes;
 }
 
 std::optional<std::uint64_t> StoreModel::advance(framework::SteadyTime now)
 {
-    const double moved = Seconds(now - now_).count() * bandwidthOfEach();
+    const double moved = Seconds(now - now_).count() * bandwidthPerTransfer();
     now_ = now;
-    for (auto& [load, left] : left_)
+    for (auto& [load, left] : remaining_)
         left -= moved;
-    for (const auto& [load, left] : left_) {
+    for (const auto& [load, left] : remaining_) {
         if (left > nothingLeft)
             continue;
         const std::uint64_t ended = load;
-        left_.erase(ended);
+        remaining_.erase(ended);
         return ended;
     }
     return std::nullopt;
@@ -57,17 +57,17 @@
 
 std::optional<framework::SteadyTime> StoreModel::nextEnd() const
 {
-    if (left_.empty())
+    if (remaining_.empty())
         return std::nullopt;
-    const auto least = std::min_element(
-        left_.begin(), left_.end(), [](const auto& left, const auto& right) { return left.second < right.second; });
-    const Seconds wait(std::max(0.0, least->second) / bandwidthOfEach());
+    const auto least = std::min_element(remaining_.begin(), remaining_.end(),
+        [](const auto& left, const auto& right) { return left.second < right.second; });
+    const Seconds wait(std::max(0.0, least->second) / bandwidthPerTransfer());
     return now_ + std::chrono::duration_cast<framework::SteadyTime::duration>(wait) + std::chrono::microseconds(1);
 }
 
-double StoreModel::bandwidthOfEach() const
+double StoreModel::bandwidthPerTransfer() const
 {
-    const double sharers = std::max<double>(fullSpeedLoads_, static_cast<double>(left_.size()));
+    const double sharers = std::max<double>(fullSpeedLoads_, static_cast<double>(remaining_.size()));
     return speed_ * fullSpeedMebiBytesPerSecond * fullSpeedLoads_ / sharers;
 }
 
--- a/src/policy/benchmarks/storemodel.h
+++ b/src/policy/benchmarks/storemodel.h
@@ -26,14 +26,14 @@
     std::uint64_t refusals() const { return refusals_; }
 
 private:
-    double bandwidthOfEach() const;
+    double bandwidthPerTransfer() const;
 
     double loadsPerSecond_;
     std::uint32_t fullSpeedLoads_;
     double speed_ = 1;
     double tokens_;
-    framework::SteadyTime tokensAt_ = traceStart;
-    std::map<std::uint64_t, double> left_;
+    framework::SteadyTime tokensUpdatedAt_ = traceStart;
+    std::map<std::uint64_t, double> remaining_;
     framework::SteadyTime now_ = traceStart;
     std::uint64_t refusals_ = 0;
 };
--- a/src/policy/idlegaps.h
+++ b/src/policy/idlegaps.h
@@ -21,7 +21,7 @@
     /// Gaps counted in a bucket, faded.
     double weight(std::size_t bucket) const { return weights_[bucket]; }
     /// The longest gap of a bucket.
-    static double endSeconds(std::size_t bucket);
+    static double upperBoundSeconds(std::size_t bucket);
 
 private:
     std::array<float, buckets> weights_ {};
--- a/src/policy/iloadorder.h
+++ b/src/policy/iloadorder.h
@@ -30,6 +30,6 @@
 };
 
 /// The loads' indices, the one to start first first.
-std::vector<std::size_t> sequenceOf(const ILoadOrder&, const std::vector<PendingLoad>&, framework::SteadyTime now);
+std::vector<std::size_t> loadSequence(const ILoadOrder&, const std::vector<PendingLoad>&, framework::SteadyTime now);
 
 } // namespace lagoon::policy
--- a/src/policy/iloadplacement.h
+++ b/src/policy/iloadplacement.h
@@ -12,7 +12,7 @@
 namespace lagoon::policy {
 
 /// Where an upstream has a checkpoint.
-enum class CheckpointPlace : std::uint8_t { Memory, Disk, Remote };
+enum class CheckpointLocation : std::uint8_t { Memory, Disk, Remote };
 
 /// An agent's answer to "could you load this?".
 struct LoadBid {
@@ -24,7 +24,7 @@
     framework::MebiBytes evictedMemory;
     /// How long the most recently used of them has been idle.
     framework::Milliseconds victimIdle { 0 };
-    CheckpointPlace checkpoint = CheckpointPlace::Remote;
+    CheckpointLocation checkpoint = CheckpointLocation::Remote;
     framework::Milliseconds expectedLoad { 0 };
     std::uint32_t running = 0;
 };
--- a/src/policy/internal/idlegaps.cpp
+++ b/src/policy/internal/idlegaps.cpp
@@ -34,6 +34,6 @@
     return both;
 }
 
-double IdleGaps::endSeconds(std::size_t bucket) { return std::exp2(static_cast<double>(bucket) + 1); }
+double IdleGaps::upperBoundSeconds(std::size_t bucket) { return std::exp2(static_cast<double>(bucket) + 1); }
 
 } // namespace lagoon::policy
--- a/src/policy/internal/keepwarm.cpp
+++ b/src/policy/internal/keepwarm.cpp
@@ -40,7 +40,7 @@
     for (std::size_t bucket = 0; bucket < IdleGaps::buckets; ++bucket) {
         const double weight = gapWeight(gaps, bucket);
         all += weight;
-        if (IdleGaps::endSeconds(bucket) <= load)
+        if (IdleGaps::upperBoundSeconds(bucket) <= load)
             together += weight;
     }
     return std::min(most, 1 + meanShareOfWait * together / std::max(all - together, 1 / most));
@@ -59,7 +59,7 @@
     double least = std::numeric_limits<double>::infinity();
     double shorterSeconds = 0;
     for (std::size_t bucket = 0; bucket < IdleGaps::buckets; ++bucket) {
-        const double end = IdleGaps::endSeconds(bucket);
+        const double end = IdleGaps::upperBoundSeconds(bucket);
         const double weight = gapWeight(gaps, bucket);
         longer -= weight;
         shorterSeconds += weight * end * meanShareOfBucket;
--- a/src/policy/internal/loadforecast.cpp
+++ b/src/policy/internal/loadforecast.cpp
@@ -11,12 +11,12 @@
 
 /// Until a place is free. The loads ahead pass through the places in rounds; on the whole, those running are half
 /// done. `runningLeft` is the share of a load that those running need at this estimate.
-framework::Milliseconds untilStart(const LoadQueue& queue, framework::Milliseconds each, double runningLeft)
+framework::Milliseconds untilStart(const LoadQueue& queue, framework::Milliseconds perLoad, double runningLeft)
 {
-    const double places = std::max<std::uint32_t>(1, queue.places);
+    const double slots = std::max<std::uint32_t>(1, queue.slots);
     const double before = queue.ahead + runningLeft * queue.running;
-    const double rounds = std::max(0.0, (before - (places - 1) * runningLeft) / places);
-    const double byPlaces = queue.ahead + queue.running < places ? 0 : rounds * static_cast<double>(each.count());
+    const double rounds = std::max(0.0, (before - (slots - 1) * runningLeft) / slots);
+    const double byPlaces = queue.ahead + queue.running < slots ? 0 : rounds * static_cast<double>(perLoad.count());
     const double byRate = queue.loadsPerSecond > 0 ? 1000.0 * queue.ahead / queue.loadsPerSecond : 0;
     return framework::Milliseconds(static_cast<std::int64_t>(std::max(byPlaces, byRate)));
 }
@@ -30,8 +30,9 @@
 
 LoadForecast forecastWaiting(const LoadTimeEstimate& own, const LoadQueue& queue)
 {
-    return { untilStart(queue, queue.each.low, 0) + own.low, untilStart(queue, queue.each.typical, 0.5) + own.typical,
-        untilStart(queue, queue.each.high, 1) + own.high };
+    return { untilStart(queue, queue.perLoad.low, 0) + own.low,
+        untilStart(queue, queue.perLoad.typical, 0.5) + own.typical,
+        untilStart(queue, queue.perLoad.high, 1) + own.high };
 }
 
 LoadForecast forecastRunning(const LoadTimeEstimate& own, framework::Milliseconds elapsed)
@@ -42,10 +43,10 @@
     return { soonest, expected, std::max(expected, left(own.high, elapsed)) };
 }
 
-bool isHopeless(const LoadForecast& forecast, framework::Deadline deadline, framework::Milliseconds answer,
+bool isHopeless(const LoadForecast& forecast, framework::Deadline deadline, framework::Milliseconds minAnswerTime,
     framework::SteadyTime now)
 {
-    return now + forecast.soonest + answer > deadline.at();
+    return now + forecast.soonest + minAnswerTime > deadline.at();
 }
 
 bool isLikelyTooLate(const LoadForecast& forecast, framework::Deadline deadline, framework::SteadyTime now)
@@ -53,7 +54,7 @@
     return now + forecast.latest > deadline.at();
 }
 
-framework::Milliseconds timeToComeBack(const LoadForecast& forecast, double random)
+framework::Milliseconds retryAfterFor(const LoadForecast& forecast, double random)
 {
     const double spread = 1 + comeBackSpread * random;
     const auto wait = static_cast<std::int64_t>(static_cast<double>(forecast.expected.count()) * spread);
--- a/src/policy/internal/loadorder.cpp
+++ b/src/policy/internal/loadorder.cpp
@@ -45,18 +45,18 @@
     return best;
 }
 
-std::vector<std::size_t> sequenceOf(
+std::vector<std::size_t> loadSequence(
     const ILoadOrder& order, const std::vector<PendingLoad>& loads, framework::SteadyTime now)
 {
     std::vector<PendingLoad> left = loads;
-    std::vector<std::size_t> places(loads.size());
-    std::iota(places.begin(), places.end(), std::size_t { 0 });
+    std::vector<std::size_t> indices(loads.size());
+    std::iota(indices.begin(), indices.end(), std::size_t { 0 });
     std::vector<std::size_t> sequence;
     while (const auto next = order.next(left, now)) {
         const auto offset = static_cast<std::ptrdiff_t>(*next);
-        sequence.push_back(places[*next]);
+        sequence.push_back(indices[*next]);
         left.erase(left.begin() + offset);
-        places.erase(places.begin() + offset);
+        indices.erase(indices.begin() + offset);
     }
     return sequence;
 }
--- a/src/policy/internal/modelcopies.cpp
+++ b/src/policy/internal/modelcopies.cpp
@@ -18,11 +18,11 @@
 
 } // namespace
 
-bool isStrained(double work, std::uint32_t holders) { return holders > 0 && work > workOfStrainedCopy * holders; }
+bool isOverloaded(double work, std::uint32_t holders) { return holders > 0 && work > workOfStrainedCopy * holders; }
 
 bool isBusyModel(double work) { return work >= workOfBusyModel; }
 
-std::uint32_t wantedCopies(double work)
+std::uint32_t desiredCopies(double work)
 {
     const auto copies = static_cast<std::uint32_t>(std::ceil(work / workPerCopy));
     return std::max<std::uint32_t>(copies, isBusyModel(work) ? 2 : 1);
--- a/src/policy/internal/rendezvous.cpp
+++ b/src/policy/internal/rendezvous.cpp
@@ -20,7 +20,7 @@
     return hash;
 }
 
-std::uint64_t mixed(std::uint64_t hash)
+std::uint64_t mixBits(std::uint64_t hash)
 {
     hash = (hash ^ (hash >> 30)) * 0xbf58476d1ce4e5b9ULL;
     hash = (hash ^ (hash >> 27)) * 0x94d049bb133111ebULL;
@@ -34,7 +34,7 @@
     for (framework::VmName& vm : vms) {
         const std::string text = key + '\n' + vm.value();
         // FNV's high bits mix badly over short keys that differ in the end.
-        weighed.emplace_back(mixed(fnv1a(text.data(), text.size())), std::move(vm));
+        weighed.emplace_back(mixBits(fnv1a(text.data(), text.size())), std::move(vm));
     }
     std::sort(weighed.begin(), weighed.end(), std::greater<>());
     std::vector<framework::VmName> order;
--- a/src/policy/internal/replicachoice.cpp
+++ b/src/policy/internal/replicachoice.cpp
@@ -57,7 +57,7 @@
 
 std::uint64_t prefixWeight(std::uint64_t prefixHash, const ReplicaView& replica)
 {
-    return mixed(fnv1a(replica.vm.value().data(), replica.vm.value().size(), mixed(prefixHash)));
+    return mixBits(fnv1a(replica.vm.value().data(), replica.vm.value().size(), mixBits(prefixHash)));
 }
 
 std::vector<Candidate> candidates(
@@ -117,7 +117,7 @@
 {
     constexpr std::uint64_t goldenRatio = 0x9e3779b97f4a7c15ULL;
     state_ += goldenRatio;
-    return mixed(state_);
+    return mixBits(state_);
 }
 
 } // namespace lagoon::policy
--- a/src/policy/internal/retrybackoff.cpp
+++ b/src/policy/internal/retrybackoff.cpp
@@ -8,7 +8,7 @@
 {
     constexpr std::uint32_t mostDoublings = 20;
     const std::uint32_t doublings = std::min(mostDoublings, failures > 0 ? failures - 1 : 0);
-    const framework::Milliseconds ceiling = std::min(most, first * (std::int64_t { 1 } << doublings));
+    const framework::Milliseconds ceiling = std::min(max, initial * (std::int64_t { 1 } << doublings));
     return framework::Milliseconds(static_cast<std::int64_t>(static_cast<double>(ceiling.count()) * random));
 }
 
--- a/src/policy/internal/retrybudget.cpp
+++ b/src/policy/internal/retrybudget.cpp
@@ -4,27 +4,27 @@
 
 namespace lagoon::policy {
 
-RetryBudget::RetryBudget(double share, double most)
+RetryBudget::RetryBudget(double share, double max)
     : share_(share)
-    , most_(most)
-    , left_(most)
+    , max_(max)
+    , balance_(max)
 {
 }
 
-void RetryBudget::earn() { left_ = std::min(most_, left_ + share_); }
+void RetryBudget::earn() { balance_ = std::min(max_, balance_ + share_); }
 
 bool RetryBudget::spend()
 {
-    if (left_ < 1)
+    if (balance_ < 1)
         return false;
-    left_ -= 1;
+    balance_ -= 1;
     return true;
 }
 
-void RetryBudget::setMost(double most)
+void RetryBudget::setMax(double max)
 {
-    most_ = most;
-    left_ = std::min(left_, most_);
+    max_ = max;
+    balance_ = std::min(balance_, max_);
 }
 
 } // namespace lagoon::policy
--- a/src/policy/internal/standingqueue.cpp
+++ b/src/policy/internal/standingqueue.cpp
@@ -19,14 +19,15 @@
 {
     if (expected <= target)
         return;
-    if (!longerSince_ || now - lastLonger_ > target)
-        longerSince_ = now;
-    lastLonger_ = now;
+    if (!aboveTargetSince_ || now - lastAboveTarget_ > target)
+        aboveTargetSince_ = now;
+    lastAboveTarget_ = now;
 }
 
 bool StandingQueue::isStanding(Milliseconds target, SteadyTime now) const
 {
-    return longerSince_ && now - lastLonger_ <= target && now - *longerSince_ >= std::max(target, leastStanding);
+    return aboveTargetSince_ && now - lastAboveTarget_ <= target
+        && now - *aboveTargetSince_ >= std::max(target, leastStanding);
 }
 
 } // namespace lagoon::policy
--- a/src/policy/internal/storequeue.cpp
+++ b/src/policy/internal/storequeue.cpp
@@ -7,10 +7,10 @@
 
 using framework::Milliseconds;
 
-StoreQueue::StoreQueue(std::size_t places, std::vector<Milliseconds> running)
+StoreQueue::StoreQueue(std::size_t slots, std::vector<Milliseconds> running)
     : freeIn_(std::move(running))
 {
-    const std::size_t atLeastOne = std::max<std::size_t>(1, places);
+    const std::size_t atLeastOne = std::max<std::size_t>(1, slots);
     std::sort(freeIn_.begin(), freeIn_.end());
     // With more loads than places the first to end free none.
     if (freeIn_.size() > atLeastOne)
@@ -18,9 +18,9 @@
     freeIn_.insert(freeIn_.begin(), atLeastOne - freeIn_.size(), Milliseconds(-1));
 }
 
-bool StoreQueue::hasPlace() const { return freeIn_.front() < Milliseconds(0); }
+bool StoreQueue::hasFreeSlot() const { return freeIn_.front() < Milliseconds(0); }
 
-std::size_t StoreQueue::freePlaces() const
+std::size_t StoreQueue::freeSlots() const
 {
     return static_cast<std::size_t>(
         std::count_if(freeIn_.begin(), freeIn_.end(), [](Milliseconds freeIn) { return freeIn < Milliseconds(0); }));
--- a/src/policy/internal/weightstoreshare.cpp
+++ b/src/policy/internal/weightstoreshare.cpp
@@ -29,9 +29,9 @@
 
 bool WeightStoreShare::mayStart(framework::SteadyTime waitingSince, framework::SteadyTime now) const
 {
-    if (running_ < places() && tokens(now) >= 1)
+    if (running_ < slots() && tokens(now) >= 1)
         return true;
-    if (!mayBorrow_ || now < waitingSince + borrowAfter || !noBorrowingUntil_.hasPassed(now))
+    if (!mayBorrow_ || now < waitingSince + borrowAfter || !borrowingPausedUntil_.hasPassed(now))
         return false;
     // What was borrowed is at most a whole second of the store's rate.
     return running_ < numbers_.weightLoadsAtFullSpeed && tokens(now) > -numbers_.weightLoadsPerSecond;
@@ -40,7 +40,7 @@
 void WeightStoreShare::start(framework::SteadyTime now)
 {
     tokens_ = tokens(now) - 1;
-    countedAt_ = now;
+    tokensUpdatedAt_ = now;
     ++running_;
 }
 
@@ -50,12 +50,12 @@
         --running_;
 }
 
-void WeightStoreShare::noteRefusal(framework::SteadyTime now)
+void WeightStoreShare::recordRefusal(framework::SteadyTime now)
 {
-    noBorrowingUntil_ = framework::Deadline::after(now, noBorrowingFor);
+    borrowingPausedUntil_ = framework::Deadline::after(now, noBorrowingFor);
 }
 
-std::uint32_t WeightStoreShare::places() const
+std::uint32_t WeightStoreShare::slots() const
 {
     const std::uint32_t all = numbers_.weightLoadsAtFullSpeed;
     const std::uint32_t leftOver = rank_ < all % routers_ ? 1 : 0;
@@ -66,7 +66,7 @@
 
 double WeightStoreShare::tokens(framework::SteadyTime now) const
 {
-    const double passed = std::max(0.0, std::chrono::duration<double>(now - countedAt_).count());
+    const double passed = std::max(0.0, std::chrono::duration<double>(now - tokensUpdatedAt_).count());
     const double most = std::max(1.0, loadsPerSecond());
     return std::min(most, tokens_ + passed * loadsPerSecond());
 }
--- a/src/policy/loadforecast.h
+++ b/src/policy/loadforecast.h
@@ -13,10 +13,10 @@
     std::uint32_t ahead = 0;
     std::uint32_t running = 0;
     /// The home's share of the weight store.
-    std::uint32_t places = 1;
+    std::uint32_t slots = 1;
     double loadsPerSecond = 1;
     /// Of the loads ahead.
-    LoadTimeEstimate each;
+    LoadTimeEstimate perLoad;
 };
 
 /// When a load will have ended, from now.
@@ -34,8 +34,9 @@
 
 /// Whether a request that needs the load can't be answered in time. Errs towards waiting: only if even the soonest end
 /// is too late. A request refused wrongly is lost, one kept wrongly is refused at its deadline, as without this rule.
-/// `answer` is the least time the answer itself takes.
-bool isHopeless(const LoadForecast&, framework::Deadline, framework::Milliseconds answer, framework::SteadyTime now);
+/// `minAnswerTime` is the least time the answer itself takes.
+bool isHopeless(
+    const LoadForecast&, framework::Deadline, framework::Milliseconds minAnswerTime, framework::SteadyTime now);
 
 /// The same for a place in the queue of a running replica, where it errs the other way: a request that is started and
 /// then ends too late has taken the time of another one, so that past saturation hardly any would be in time.
@@ -43,6 +44,6 @@
 
 /// When to come back after a refusal: the load is likely to have ended. `random`, in [0, 1), spreads the callers over
 /// a fifth more, or all who were refused together would come back together.
-framework::Milliseconds timeToComeBack(const LoadForecast&, double random);
+framework::Milliseconds retryAfterFor(const LoadForecast&, double random);
 
 } // namespace lagoon::policy
--- a/src/policy/loadtimeestimator.h
+++ b/src/policy/loadtimeestimator.h
@@ -27,16 +27,16 @@
 /// no load no measurement that says otherwise. The target's factor is kept.
 class LoadTimeEstimator {
 public:
-    void record(const std::string& target, CheckpointPlace, framework::MebiBytes memory, framework::Milliseconds took,
-        framework::SteadyTime now);
+    void record(const std::string& target, CheckpointLocation, framework::MebiBytes memory,
+        framework::Milliseconds took, framework::SteadyTime now);
     /// A load that has run this long and hasn't ended is a measurement too, once it exceeds the estimate. Otherwise a
     /// store that has just become slow would be noticed only when the first slow load ends, long after the deadlines.
-    void recordUnfinished(const std::string& target, CheckpointPlace, framework::MebiBytes memory,
+    void recordUnfinished(const std::string& target, CheckpointLocation, framework::MebiBytes memory,
         framework::Milliseconds elapsed, framework::SteadyTime now);
     LoadTimeEstimate estimate(
-        const std::string& target, CheckpointPlace, framework::MebiBytes memory, framework::SteadyTime now) const;
+        const std::string& target, CheckpointLocation, framework::MebiBytes memory, framework::SteadyTime now) const;
     /// Targets for which anything was recorded.
-    std::size_t targets() const { return targets_.size(); }
+    std::size_t targetCount() const { return targets_.size(); }
 
 private:
     /// A factor's logarithm and its mean deviation.
@@ -46,12 +46,12 @@
         std::uint32_t samples = 0;
         framework::SteadyTime last {};
     };
-    static constexpr std::size_t places = 3;
+    static constexpr std::size_t locationCount = 3;
 
-    static double faded(const Factor&, framework::SteadyTime now);
+    static double decayed(const Factor&, framework::SteadyTime now);
 
-    std::array<Factor, places> placeFactors_ {};
-    std::unordered_map<std::string, std::array<Factor, places>> targets_;
+    std::array<Factor, locationCount> locationFactors_ {};
+    std::unordered_map<std::string, std::array<Factor, locationCount>> targets_;
 };
 
 } // namespace lagoon::policy
--- a/src/policy/rendezvous.h
+++ b/src/policy/rendezvous.h
@@ -19,6 +19,6 @@
 std::uint64_t fnv1a(const char* bytes, std::size_t size, std::uint64_t hash = 14695981039346656037ULL);
 
 /// Spreads a hash over all its bits (splitmix64's finaliser).
-std::uint64_t mixed(std::uint64_t hash);
+std::uint64_t mixBits(std::uint64_t hash);
 
 } // namespace lagoon::policy
--- a/src/policy/standingqueue.h
+++ b/src/policy/standingqueue.h
@@ -21,8 +21,8 @@
     bool isStanding(framework::Milliseconds target, framework::SteadyTime now) const;
 
 private:
-    std::optional<framework::SteadyTime> longerSince_;
-    framework::SteadyTime lastLonger_ {};
+    std::optional<framework::SteadyTime> aboveTargetSince_;
+    framework::SteadyTime lastAboveTarget_ {};
 };
 
 } // namespace lagoon::policy
--- a/src/policy/storequeue.h
+++ b/src/policy/storequeue.h
@@ -12,11 +12,11 @@
 class StoreQueue {
 public:
     /// `running`: how much longer each of the loads under way takes. There may be more of them than places.
-    StoreQueue(std::size_t places, std::vector<framework::Milliseconds> running);
+    StoreQueue(std::size_t slots, std::vector<framework::Milliseconds> running);
 
     /// Whether a load could begin now.
-    bool hasPlace() const;
-    std::size_t freePlaces() const;
+    bool hasFreeSlot() const;
+    std::size_t freeSlots() const;
     /// Gives the load the place that is free first. Returns when it will have ended.
     framework::Milliseconds add(framework::Milliseconds load);
 
--- a/src/policy/tests/loadforecast_test.cpp
+++ b/src/policy/tests/loadforecast_test.cpp
@@ -15,9 +15,9 @@
 const framework::SteadyTime start = framework::SteadyTime() + 1h;
 const LoadTimeEstimate usual { 20s, 30s, 45s };
 
-LoadQueue queue(std::uint32_t ahead, std::uint32_t running, std::uint32_t places, double rate)
+LoadQueue queue(std::uint32_t ahead, std::uint32_t running, std::uint32_t slots, double rate)
 {
-    return { ahead, running, places, rate, usual };
+    return { ahead, running, slots, rate, usual };
 }
 
 bool isHopeless(const LoadForecast& forecast, framework::Milliseconds untilDeadline)
@@ -86,9 +86,9 @@
 BOOST_AUTO_TEST_CASE(callersComeBackSpreadAfterTheExpectedEnd)
 {
     const LoadForecast forecast = forecastWaiting(usual, {});
-    BOOST_CHECK(policy::timeToComeBack(forecast, 0) == 30s);
-    BOOST_CHECK(policy::timeToComeBack(forecast, 0.5) == 33s);
-    BOOST_CHECK(policy::timeToComeBack({}, 0) == 1s);
+    BOOST_CHECK(policy::retryAfterFor(forecast, 0) == 30s);
+    BOOST_CHECK(policy::retryAfterFor(forecast, 0.5) == 33s);
+    BOOST_CHECK(policy::retryAfterFor({}, 0) == 1s);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/policy/tests/loadplacement_test.cpp
+++ b/src/policy/tests/loadplacement_test.cpp
@@ -4,16 +4,16 @@
 
 using namespace lagoon;
 using namespace std::chrono_literals;
-using policy::CheckpointPlace;
+using policy::CheckpointLocation;
 using policy::LoadBid;
 
 namespace {
 
-LoadBid bid(CheckpointPlace place, framework::Milliseconds expected)
+LoadBid bid(CheckpointLocation location, framework::Milliseconds expected)
 {
     LoadBid made;
     made.canLoad = true;
-    made.checkpoint = place;
+    made.checkpoint = location;
     made.expectedLoad = expected;
     return made;
 }
@@ -29,7 +29,7 @@
 
 BOOST_AUTO_TEST_CASE(nothingIfNoneCanLoad)
 {
-    LoadBid refused = bid(CheckpointPlace::Memory, 1s);
+    LoadBid refused = bid(CheckpointLocation::Memory, 1s);
     refused.canLoad = false;
     BOOST_CHECK(!choose({}));
     BOOST_CHECK(!choose({ refused }));
@@ -37,28 +37,28 @@
 
 BOOST_AUTO_TEST_CASE(aCachedCheckpointGoesBeforeTheOrder)
 {
-    BOOST_CHECK(choose({ bid(CheckpointPlace::Remote, 40s), bid(CheckpointPlace::Disk, 10s) }) == 1U);
+    BOOST_CHECK(choose({ bid(CheckpointLocation::Remote, 40s), bid(CheckpointLocation::Disk, 10s) }) == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(equalBidsGoByTheOrder)
 {
-    BOOST_CHECK(choose({ bid(CheckpointPlace::Disk, 10300ms), bid(CheckpointPlace::Disk, 10s) }) == 0U);
+    BOOST_CHECK(choose({ bid(CheckpointLocation::Disk, 10300ms), bid(CheckpointLocation::Disk, 10s) }) == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(freeMemoryGoesBeforeTheEvictionOfAFreshReplica)
 {
-    LoadBid evicting = bid(CheckpointPlace::Disk, 10s);
+    LoadBid evicting = bid(CheckpointLocation::Disk, 10s);
     evicting.evictedMemory = framework::MebiBytes(1000);
     evicting.victimIdle = 5s;
-    BOOST_CHECK(choose({ evicting, bid(CheckpointPlace::Disk, 10s) }) == 1U);
+    BOOST_CHECK(choose({ evicting, bid(CheckpointLocation::Disk, 10s) }) == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(evictingAReplicaIdleForHoursBeatsARemoteLoad)
 {
-    LoadBid evicting = bid(CheckpointPlace::Disk, 10s);
+    LoadBid evicting = bid(CheckpointLocation::Disk, 10s);
     evicting.evictedMemory = framework::MebiBytes(1000);
     evicting.victimIdle = 3h;
-    BOOST_CHECK(choose({ bid(CheckpointPlace::Remote, 40s), evicting }) == 1U);
+    BOOST_CHECK(choose({ bid(CheckpointLocation::Remote, 40s), evicting }) == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/policy/tests/loadtimeestimator_test.cpp
+++ b/src/policy/tests/loadtimeestimator_test.cpp
@@ -5,7 +5,7 @@
 using namespace lagoon;
 using namespace std::chrono_literals;
 using framework::MebiBytes;
-using policy::CheckpointPlace;
+using policy::CheckpointLocation;
 using policy::LoadTimeEstimator;
 
 namespace {
@@ -26,9 +26,9 @@
 BOOST_AUTO_TEST_CASE(beforeAnyMeasurementFartherIsLongerAndTheBoundsAreWide)
 {
     const LoadTimeEstimator estimator;
-    const auto inMemory = estimator.estimate("m", CheckpointPlace::Memory, memory, start);
-    const auto onDisk = estimator.estimate("m", CheckpointPlace::Disk, memory, start);
-    const auto remote = estimator.estimate("m", CheckpointPlace::Remote, memory, start);
+    const auto inMemory = estimator.estimate("m", CheckpointLocation::Memory, memory, start);
+    const auto onDisk = estimator.estimate("m", CheckpointLocation::Disk, memory, start);
+    const auto remote = estimator.estimate("m", CheckpointLocation::Remote, memory, start);
     BOOST_CHECK(inMemory.typical < onDisk.typical && onDisk.typical < remote.typical);
     BOOST_CHECK(remote.low < remote.typical / 2 && remote.high > remote.typical * 2);
 }
@@ -37,8 +37,8 @@
 {
     LoadTimeEstimator estimator;
     for (int load = 0; load < 8; ++load)
-        estimator.record("m", CheckpointPlace::Disk, memory, 60s, start + load * 20min);
-    const auto nextDay = estimator.estimate("m", CheckpointPlace::Disk, memory, start + 24h);
+        estimator.record("m", CheckpointLocation::Disk, memory, 60s, start + load * 20min);
+    const auto nextDay = estimator.estimate("m", CheckpointLocation::Disk, memory, start + 24h);
     BOOST_TEST(isNear(nextDay.typical, 60s, 0.15), nextDay.typical.count());
     BOOST_CHECK(nextDay.high < nextDay.typical * 2);
 }
@@ -46,10 +46,10 @@
 BOOST_AUTO_TEST_CASE(oneTargetsSlownessIsNotAnothersForLong)
 {
     LoadTimeEstimator estimator;
-    const auto before = estimator.estimate("other", CheckpointPlace::Disk, memory, start);
+    const auto before = estimator.estimate("other", CheckpointLocation::Disk, memory, start);
     for (int load = 0; load < 8; ++load)
-        estimator.record("m", CheckpointPlace::Disk, memory, 60s, start + load * 20min);
-    const auto after = estimator.estimate("other", CheckpointPlace::Disk, memory, start + 3h);
+        estimator.record("m", CheckpointLocation::Disk, memory, 60s, start + load * 20min);
+    const auto after = estimator.estimate("other", CheckpointLocation::Disk, memory, start + 3h);
     BOOST_TEST(isNear(after.typical, before.typical, 0.1));
 }
 
@@ -57,8 +57,8 @@
 {
     LoadTimeEstimator estimator;
     for (int load = 0; load < 6; ++load)
-        estimator.record("m" + std::to_string(load), CheckpointPlace::Remote, memory, 330s, start + load * 10s);
-    const auto other = estimator.estimate("other", CheckpointPlace::Remote, memory, start + 70s);
+        estimator.record("m" + std::to_string(load), CheckpointLocation::Remote, memory, 330s, start + load * 10s);
+    const auto other = estimator.estimate("other", CheckpointLocation::Remote, memory, start + 70s);
     BOOST_CHECK(other.typical > 100s);
 }
 
@@ -67,11 +67,11 @@
 BOOST_AUTO_TEST_CASE(aLoadThatDoesNotEndShowsInTheOthers)
 {
     LoadTimeEstimator estimator;
-    const auto before = estimator.estimate("other", CheckpointPlace::Remote, memory, start);
-    estimator.recordUnfinished("m", CheckpointPlace::Remote, memory, before.typical / 2, start);
-    BOOST_CHECK(estimator.estimate("other", CheckpointPlace::Remote, memory, start).typical == before.typical);
-    estimator.recordUnfinished("m", CheckpointPlace::Remote, memory, before.typical * 5, start);
-    const auto after = estimator.estimate("other", CheckpointPlace::Remote, memory, start);
+    const auto before = estimator.estimate("other", CheckpointLocation::Remote, memory, start);
+    estimator.recordUnfinished("m", CheckpointLocation::Remote, memory, before.typical / 2, start);
+    BOOST_CHECK(estimator.estimate("other", CheckpointLocation::Remote, memory, start).typical == before.typical);
+    estimator.recordUnfinished("m", CheckpointLocation::Remote, memory, before.typical * 5, start);
+    const auto after = estimator.estimate("other", CheckpointLocation::Remote, memory, start);
     BOOST_TEST(isNear(after.typical, before.typical * 5, 0.05));
 }
 
@@ -81,10 +81,10 @@
 BOOST_AUTO_TEST_CASE(aSlowStoreIsForgottenWithoutNewMeasurements)
 {
     LoadTimeEstimator estimator;
-    const auto before = estimator.estimate("other", CheckpointPlace::Remote, memory, start);
+    const auto before = estimator.estimate("other", CheckpointLocation::Remote, memory, start);
     for (int load = 0; load < 10; ++load)
-        estimator.record("m" + std::to_string(load), CheckpointPlace::Remote, memory, 330s, start);
-    const auto later = estimator.estimate("other", CheckpointPlace::Remote, memory, start + 30min);
+        estimator.record("m" + std::to_string(load), CheckpointLocation::Remote, memory, 330s, start);
+    const auto later = estimator.estimate("other", CheckpointLocation::Remote, memory, start + 30min);
     BOOST_TEST(isNear(later.typical, before.typical, 0.1));
 }
 
--- a/src/policy/tests/retries_test.cpp
+++ b/src/policy/tests/retries_test.cpp
@@ -48,13 +48,13 @@
 BOOST_AUTO_TEST_CASE(aSmallerPartHoldsAtOnce)
 {
     RetryBudget budget(0.2, 10);
-    budget.setMost(2);
+    budget.setMax(2);
     BOOST_TEST(budget.spend());
     BOOST_TEST(budget.spend());
     BOOST_TEST(!budget.spend());
     for (int request = 0; request < 100; ++request)
         budget.earn();
-    BOOST_TEST(budget.left() == 2);
+    BOOST_TEST(budget.balance() == 2);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/policy/tests/storeplaces_test.cpp
+++ b/src/policy/tests/storeconcurrencyestimator_test.cpp
@@ -1,5 +1,5 @@
 #include "policy/modelcopies.h"
-#include "policy/storeplaces.h"
+#include "policy/storeconcurrencyestimator.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -13,7 +13,7 @@
 /// A store that serves `capacity` loads at full speed, with always `together` under way, seen each 100 ms.
 std::size_t learned(double capacity, std::size_t together, int loadsEach)
 {
-    StorePlaces places;
+    StoreConcurrencyEstimator slots;
     SteadyTime now { std::chrono::hours(1) };
     const Milliseconds undisturbed(6000);
     const double slowness = std::max(1.0, static_cast<double>(together) / capacity);
@@ -23,13 +23,13 @@
         for (std::size_t engine = 0; engine < together; ++engine)
             loads.emplace(std::to_string(engine) + " " + std::to_string(load), undisturbed);
         for (Milliseconds elapsed(0); elapsed < takes; elapsed += Milliseconds(100)) {
-            places.observe(loads, now);
+            slots.observe(loads, now);
             now += Milliseconds(100);
         }
         loads.clear();
-        places.observe(loads, now);
+        slots.observe(loads, now);
     }
-    return places.places();
+    return slots.slots();
 }
 
 } // namespace
@@ -48,10 +48,10 @@
 
 BOOST_AUTO_TEST_CASE(copiesFollowTheWork)
 {
-    BOOST_TEST(wantedCopies(0) == 1U);
-    BOOST_TEST(wantedCopies(0.1) == 1U);
-    BOOST_TEST(wantedCopies(0.25) == 2U);
-    BOOST_TEST(wantedCopies(1.7) == 4U);
+    BOOST_TEST(desiredCopies(0) == 1U);
+    BOOST_TEST(desiredCopies(0.1) == 1U);
+    BOOST_TEST(desiredCopies(0.25) == 2U);
+    BOOST_TEST(desiredCopies(1.7) == 4U);
     BOOST_TEST(!isBusyModel(0.1));
 }
 
--- a/src/policy/tests/storequeue_test.cpp
+++ b/src/policy/tests/storequeue_test.cpp
@@ -11,16 +11,16 @@
 BOOST_AUTO_TEST_CASE(freePlacesAreTakenAtOnce)
 {
     StoreQueue queue(4, { Milliseconds(5000), Milliseconds(1000) });
-    BOOST_TEST(queue.freePlaces() == 2U);
+    BOOST_TEST(queue.freeSlots() == 2U);
     BOOST_TEST(queue.add(Milliseconds(6000)).count() == 6000);
     BOOST_TEST(queue.add(Milliseconds(6000)).count() == 6000);
-    BOOST_TEST(!queue.hasPlace());
+    BOOST_TEST(!queue.hasFreeSlot());
 }
 
 BOOST_AUTO_TEST_CASE(laterLoadsWaitForThoseThatEndFirst)
 {
     StoreQueue queue(2, { Milliseconds(5000), Milliseconds(1000) });
-    BOOST_TEST(!queue.hasPlace());
+    BOOST_TEST(!queue.hasFreeSlot());
     BOOST_TEST(queue.add(Milliseconds(6000)).count() == 7000);
     BOOST_TEST(queue.add(Milliseconds(6000)).count() == 11000);
     BOOST_TEST(queue.add(Milliseconds(6000)).count() == 13000);
@@ -29,7 +29,7 @@
 BOOST_AUTO_TEST_CASE(withMoreLoadsThanPlacesTheFirstToEndFreeNone)
 {
     StoreQueue queue(2, { Milliseconds(1000), Milliseconds(2000), Milliseconds(3000), Milliseconds(4000) });
-    BOOST_TEST(queue.freePlaces() == 0U);
+    BOOST_TEST(queue.freeSlots() == 0U);
     BOOST_TEST(queue.add(Milliseconds(6000)).count() == 9000);
 }
 
--- a/src/policy/tests/weightstoreshare_test.cpp
+++ b/src/policy/tests/weightstoreshare_test.cpp
@@ -10,11 +10,11 @@
 
 const framework::SteadyTime start = framework::SteadyTime() + 1h;
 
-bundle::PolicyNumbers numbers(double rate, std::uint32_t places)
+bundle::PolicyNumbers numbers(double rate, std::uint32_t slots)
 {
     bundle::PolicyNumbers made;
     made.weightLoadsPerSecond = rate;
-    made.weightLoadsAtFullSpeed = places;
+    made.weightLoadsAtFullSpeed = slots;
     return made;
 }
 
@@ -74,7 +74,7 @@
 {
     WeightStoreShare share(numbers(4, 4), true);
     share.setLiveRouters(4, 0);
-    share.noteRefusal(start);
+    share.recordRefusal(start);
     BOOST_TEST(startedWithin(share, 9s, false) == 1);
 }
 
@@ -83,7 +83,7 @@
     WeightStoreShare share(numbers(4, 4));
     share.setLiveRouters(370, 0);
     BOOST_CHECK(share.mayStart(start, start));
-    BOOST_TEST(share.places() == 1U);
+    BOOST_TEST(share.slots() == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/policy/weightstoreshare.h
+++ b/src/policy/weightstoreshare.h
@@ -31,11 +31,11 @@
     /// Each started load ends once, whether loaded or not.
     void end();
     /// The store refused a load for its rate: nothing is borrowed for a while.
-    void noteRefusal(framework::SteadyTime now);
+    void recordRefusal(framework::SteadyTime now);
 
     std::uint32_t running() const { return running_; }
     /// At least 1, or a router among many would never load.
-    std::uint32_t places() const;
+    std::uint32_t slots() const;
     double loadsPerSecond() const;
 
 private:
@@ -46,10 +46,10 @@
     std::uint32_t routers_ = 1;
     std::uint32_t rank_ = 0;
     std::uint32_t running_ = 0;
-    /// Loads that may start at once, as of `countedAt_`; below 0 after borrowing.
+    /// Loads that may start at once, as of `tokensUpdatedAt_`; below 0 after borrowing.
     double tokens_ = 1;
-    framework::SteadyTime countedAt_ {};
-    framework::Deadline noBorrowingUntil_;
+    framework::SteadyTime tokensUpdatedAt_ {};
+    framework::Deadline borrowingPausedUntil_;
 };
 
 } // namespace lagoon::policy
--- a/src/router/internal/home.cpp
+++ b/src/router/internal/home.cpp
@@ -31,7 +31,7 @@
     converted.freeMemory = framework::MebiBytes(bid.free_mib);
     converted.evictedMemory = framework::MebiBytes(bid.evict_mib);
     converted.victimIdle = Milliseconds(bid.victim_idle_ms);
-    converted.checkpoint = static_cast<policy::CheckpointPlace>(std::min<std::uint8_t>(bid.checkpoint, 2));
+    converted.checkpoint = static_cast<policy::CheckpointLocation>(std::min<std::uint8_t>(bid.checkpoint, 2));
     converted.expectedLoad = Milliseconds(bid.expected_load_ms);
     converted.running = bid.running;
     return converted;
@@ -348,7 +348,7 @@
     WakeReply reply;
     reply.placements = loadedVms(search);
     reply.soonestAt = Deadline::after(context_.clock.now(), forecast.soonest);
-    reply.retryAfter = policy::timeToComeBack(forecast, framework::randomFraction());
+    reply.retryAfter = policy::retryAfterFor(forecast, framework::randomFraction());
     return reply;
 }
 
--- a/src/router/internal/loadgate.cpp
+++ b/src/router/internal/loadgate.cpp
@@ -143,9 +143,9 @@
         return forecastRunning(ownEstimate, std::chrono::duration_cast<Milliseconds>(clock_.now() - own.startedAt));
     policy::LoadQueue queue;
     queue.running = share_.running();
-    queue.places = share_.places();
+    queue.slots = share_.slots();
     queue.loadsPerSecond = share_.loadsPerSecond();
-    queue.each = ownEstimate;
+    queue.perLoad = ownEstimate;
     queue.ahead = loadsAhead(where);
     return forecastWaiting(ownEstimate, queue);
 }
@@ -158,6 +158,6 @@
 
 void LoadGate::setHomes(std::uint32_t count, std::uint32_t rank) { share_.setLiveRouters(count, rank); }
 
-bool LoadGate::usesStore(const GatedLoad& load) { return load.checkpoint == policy::CheckpointPlace::Remote; }
+bool LoadGate::usesStore(const GatedLoad& load) { return load.checkpoint == policy::CheckpointLocation::Remote; }
 
 } // namespace lagoon::router
--- a/src/router/internal/loadgate.h
+++ b/src/router/internal/loadgate.h
@@ -29,7 +29,7 @@
 /// A load that a home has decided on.
 struct GatedLoad {
     SiteTarget where;
-    policy::CheckpointPlace checkpoint = policy::CheckpointPlace::Remote;
+    policy::CheckpointLocation checkpoint = policy::CheckpointLocation::Remote;
     framework::MebiBytes memory;
     LoadDemand demand;
 };
--- a/src/router/tests/dispatcher_test.cpp
+++ b/src/router/tests/dispatcher_test.cpp
@@ -84,7 +84,7 @@
 
     static std::string other(const std::string& vm) { return vm == "draft-1" ? "draft-2" : "draft-1"; }
 
-    policy::CheckpointPlace checkpoint_ = policy::CheckpointPlace::Memory;
+    policy::CheckpointLocation checkpoint_ = policy::CheckpointLocation::Memory;
     std::uint64_t correlation_ = 0;
     int loads_ = 0;
 };
@@ -385,14 +385,15 @@
     const framework::Deadline deadline = framework::Deadline::after(control_.now(), longTimeout);
     for (const char* name : { "running", "queued" }) {
         const SiteTarget other { { framework::ModelName(name), {}, {} }, site };
-        gate_.enqueue({ other, policy::CheckpointPlace::Remote, framework::MebiBytes(60), { deadline, 1, 5 } }, [] {});
+        gate_.enqueue(
+            { other, policy::CheckpointLocation::Remote, framework::MebiBytes(60), { deadline, 1, 5 } }, [] {});
     }
     std::optional<framework::Deadline> soonest;
     const auto note = [&soonest](const WakeReply& reply) { soonest = reply.soonestAt; };
     WakeOrder order { { notes(), site }, 1, deadline, deadline, 1, 0 };
     home_.wake(framework::VmName("entry-1"), order, note);
     settle();
-    checkpoint_ = policy::CheckpointPlace::Remote;
+    checkpoint_ = policy::CheckpointLocation::Remote;
     bidBoth(true);
     BOOST_REQUIRE(soonest.has_value());
     const framework::Deadline before = *soonest;
--- a/tests/benchmarks/slopesbenchmark.cpp
+++ b/tests/benchmarks/slopesbenchmark.cpp
@@ -109,7 +109,7 @@
         const auto before = mallinfo2().uordblks;
         policy::LoadTimeEstimator estimator;
         for (std::size_t target = 0; target < size; ++target) {
-            estimator.record("model-with-a-long-name-" + std::to_string(target), policy::CheckpointPlace::Remote,
+            estimator.record("model-with-a-long-name-" + std::to_string(target), policy::CheckpointLocation::Remote,
                 framework::MebiBytes(20000), std::chrono::seconds(20), now);
         }
         print("load times, heap per target", size,
