--- a/src/policy/benchmarks/baselines.cpp
+++ b/src/policy/benchmarks/baselines.cpp
@@ -9,7 +9,8 @@
 
 bool isAdapter(const LoadedReplica& replica) { return !replica.adapter.value().empty(); }
 
-/// A model counts as used when one of its adapters was.
+/// Returns the indices of the replicas, least recently used first. The use of an adapter is also a use of its model, so
+/// an adapter precedes a model with the same time.
 std::vector<std::size_t> byLastUse(const std::vector<LoadedReplica>& replicas)
 {
     std::vector<std::size_t> order(replicas.size());
@@ -46,10 +47,10 @@
             return taken;
         if (replicas[index].running > 0)
             continue;
-        bool isUsed = false;
+        bool hasAdapters = false;
         for (std::size_t other = 0; other < replicas.size() && !isAdapter(replicas[index]); ++other)
-            isUsed |= other != index && replicas[other].model == replicas[index].model && !isTaken(other);
-        if (isUsed)
+            hasAdapters |= other != index && replicas[other].model == replicas[index].model && !isTaken(other);
+        if (hasAdapters)
             continue;
         taken.push_back(index);
         freed += replicas[index].memory.value();
--- a/src/policy/benchmarks/baselines.h
+++ b/src/policy/benchmarks/baselines.h
@@ -4,10 +4,10 @@
 #include "policy/iloadorder.h"
 #include "policy/iloadplacement.h"
 
-/// What the policies are measured against.
+/// Baselines that the policies are compared with.
 namespace lagoon::policy::benchmarks {
 
-/// The same idle time for all; the least recently used goes first when memory is short.
+/// Keeps all replicas for the same idle time and evicts the least recently used first when memory is short.
 class FixedTimeoutKeepWarm final : public IKeepWarm {
 public:
     explicit FixedTimeoutKeepWarm(framework::Milliseconds timeout);
@@ -19,7 +19,8 @@
     framework::Milliseconds timeout_;
 };
 
-/// Any upstream that has the memory free, in turn; else any that can make room, in turn.
+/// Takes the upstreams with enough free memory in turn, or if there are none, the upstreams that can evict replicas,
+/// also in turn.
 class RoundRobinLoadPlacement final : public ILoadPlacement {
 public:
     std::optional<std::size_t> choose(const std::vector<LoadBid>&) const override;
@@ -28,7 +29,7 @@
     mutable std::size_t next_ = 0;
 };
 
-/// First come, first served.
+/// Starts loads in the order of arrival.
 class FifoLoadOrder final : public ILoadOrder {
 public:
     std::optional<std::size_t> next(const std::vector<PendingLoad>&, framework::SteadyTime now) const override;
--- a/src/policy/benchmarks/deployment.cpp
+++ b/src/policy/benchmarks/deployment.cpp
@@ -20,9 +20,9 @@
     return traceStart + std::chrono::duration_cast<SteadyTime::duration>(std::chrono::duration<double>(second));
 }
 
-double uniform(Random& random, double least, double most)
+double uniform(Random& random, double low, double high)
 {
-    return std::uniform_real_distribution<double>(least, most)(random);
+    return std::uniform_real_distribution<double>(low, high)(random);
 }
 
 double exponential(Random& random, double mean) { return std::exponential_distribution<double>(1 / mean)(random); }
@@ -38,7 +38,8 @@
     return made;
 }
 
-/// A few are used all day, most hardly: the popularity of the n-th falls with 1/n.
+/// Makes a Zipf distribution of popularity: the n-th target has a share of 1/n of the first one's, so that a few
+/// targets are used all day and most hardly ever. The shares are in random order.
 std::vector<double> popularity(std::size_t count, Random& random)
 {
     std::vector<double> shares;
@@ -135,13 +136,13 @@
 std::vector<TraceRequest> makeTrace(const Deployment& deployment, const std::vector<Target>& targets, Random& random)
 {
     constexpr double sessionsPerHourOfMostUsed = 3;
-    constexpr double leastSessionsPerHour = 0.05;
-    constexpr double leastChancePerSlot = 0.06;
+    constexpr double minSessionsPerHour = 0.05;
+    constexpr double minChancePerSlot = 0.06;
     std::vector<TraceRequest> trace;
     const std::vector<double> shares = popularity(targets.size(), random);
     for (std::size_t target = 0; target < targets.size(); ++target) {
-        const double perHour = std::max(leastSessionsPerHour, sessionsPerHourOfMostUsed * shares[target]);
-        const double chance = std::max(leastChancePerSlot, shares[target]);
+        const double perHour = std::max(minSessionsPerHour, sessionsPerHourOfMostUsed * shares[target]);
+        const double chance = std::max(minChancePerSlot, shares[target]);
         for (int day = 0; day < traceDays; ++day) {
             const double dayStart = day * 24 * 3600.0;
             if (deployment.traffic == Traffic::Sessions)
@@ -163,8 +164,8 @@
         const auto size = static_cast<std::size_t>(uniform(random, 1, 8));
         for (std::size_t count = 0; count < size; ++count) {
             trace.push_back(request(deployment, model, 3600 + uniform(random, 0, stormSeconds), random));
-            const auto patience = static_cast<std::int64_t>(1000 * uniform(random, 30, 180));
-            trace.back().deadline = Deadline::after(trace.back().at, Milliseconds(patience));
+            const auto timeoutMs = static_cast<std::int64_t>(1000 * uniform(random, 30, 180));
+            trace.back().deadline = Deadline::after(trace.back().at, Milliseconds(timeoutMs));
             trace.back().priority = uniform(random, 0, 1) < 0.2 ? 9 : 4;
         }
     }
--- a/src/policy/benchmarks/deployment.h
+++ b/src/policy/benchmarks/deployment.h
@@ -9,22 +9,22 @@
 #include <string>
 #include <vector>
 
-/// Seeded traces shaped after the brief's deployments, and a small simulation in virtual time that drives the policy
-/// classes over them. No cluster: no messages, no failures of processes.
+/// Seeded traces modelled on the deployments in the requirements, and a small simulation in virtual time that runs the
+/// policy classes over them. It simulates no messages and no failures of processes.
 namespace lagoon::policy::benchmarks {
 
 using Random = std::mt19937_64;
 
-/// Where the virtual clock starts; the policies treat 0 as "never".
+/// Start of the virtual clock. It isn't 0, since the policies treat 0 as "never".
 inline const framework::SteadyTime traceStart { std::chrono::hours(1000) };
 
 inline constexpr int traceDays = 3;
 inline const framework::SteadyTime traceEnd = traceStart + std::chrono::hours(24 * traceDays);
 
-/// How requests come.
+/// The pattern in which requests arrive.
 enum class Traffic : std::uint8_t {
-    Sessions, ///< someone works with a model for a while, at any time of the working day
-    Appointments, ///< many at once in the minutes before each half hour
+    Sessions, ///< a user works with a model for a while, at any time of the working day
+    Appointments, ///< bursts of requests in the minutes before each half hour
 };
 
 struct Deployment {
@@ -40,7 +40,7 @@
     std::uint32_t storeFullSpeedLoads = 4;
     framework::Milliseconds timeout { 0 };
     double coldStartWeight = 1;
-    /// Checkpoints that fit onto a server's disk and into its host memory, in accelerator memories.
+    /// Capacity for checkpoints on a server's disk and in its host memory, in multiples of the accelerator memory.
     double diskCache = 1.5;
     double memoryCache = 0.6;
     Traffic traffic = Traffic::Sessions;
@@ -52,15 +52,15 @@
 /// A model, or an adapter on its model.
 struct Target {
     std::string name;
-    /// Index of the model; a model's own index for itself.
+    /// Index of an adapter's model. For a model, its own index.
     std::size_t model = 0;
     bool isAdapter = false;
     framework::MebiBytes memory;
-    /// How much longer its loads take than others of its size.
+    /// Factor on the duration of its loads, compared with an average target of the same size.
     double slowness = 1;
 };
 
-/// Models first, then adapters.
+/// Makes the models and adapters of a deployment. The models come first.
 std::vector<Target> makeTargets(const Deployment&, Random&);
 
 struct TraceRequest {
@@ -72,11 +72,11 @@
     std::uint8_t priority = 4;
 };
 
-/// Requests of `traceDays` alike days in the order of time.
+/// Makes the requests of `traceDays` similar days, in the order of time.
 std::vector<TraceRequest> makeTrace(const Deployment&, const std::vector<Target>&, Random&);
 
-/// Everything at once, as after the loss of a failure domain: each model gets a few requests within half a minute, with
-/// deadlines of half a minute to three minutes; a fifth is of high priority.
+/// Makes requests for all models at once, as after the loss of a failure domain: each model gets a few requests within
+/// half a minute. Their deadlines are half a minute to three minutes after arrival; a fifth of them has high priority.
 std::vector<TraceRequest> makeStorm(const Deployment&, Random&);
 
 } // namespace lagoon::policy::benchmarks
--- a/src/policy/benchmarks/eventqueue.h
+++ b/src/policy/benchmarks/eventqueue.h
@@ -9,7 +9,8 @@
 
 namespace lagoon::policy::benchmarks {
 
-/// Virtual time: runs actions in the order of their times, and of their scheduling where these are equal.
+/// Event queue in virtual time. Runs actions in the order of their times; actions with equal times run in the order in
+/// which they were scheduled.
 class EventQueue {
 public:
     void at(framework::SteadyTime when, std::function<void()> action)
@@ -19,7 +20,7 @@
 
     framework::SteadyTime now() const { return now_; }
 
-    /// Until nothing is left.
+    /// Runs actions until none is left.
     void run()
     {
         while (!events_.empty()) {
--- a/src/policy/benchmarks/loadsimulation.cpp
+++ b/src/policy/benchmarks/loadsimulation.cpp
@@ -18,13 +18,13 @@
 
 using Seconds = std::chrono::duration<double>;
 
-constexpr Milliseconds pumpAgain { 200 };
-constexpr Milliseconds reviewAgain { 1000 };
+constexpr Milliseconds startRetryInterval { 200 };
+constexpr Milliseconds reviewInterval { 1000 };
 constexpr Milliseconds wakeTime { 5 };
-constexpr Milliseconds leastAnswer { 1000 };
-constexpr std::size_t rememberedUses = 8;
+constexpr Milliseconds minAnswerTime { 1000 };
+constexpr std::size_t maxRecentUses = 8;
 
-/// What a load takes besides the store's transfer; the policies don't know these numbers.
+/// Time that a load takes besides the transfer from the store. The policies don't know these numbers.
 constexpr double remoteFixedSeconds = 4;
 constexpr double diskFixedSeconds = 3;
 constexpr double diskMebiBytesPerSecond = 2000;
@@ -93,7 +93,7 @@
     }
     for (std::size_t index = 0; index < servers_.size(); ++index) {
         servers_[index].vm = framework::VmName("server-" + std::to_string(index));
-        // Uneven from the start: whatever ran here last week.
+        // The disk caches differ between the servers from the start, as after a week of use.
         for (std::size_t cached = 0; cached < deployment.models / 6; ++cached)
             touchCaches(servers_[index], random_() % deployment.models);
         servers_[index].memoryCache.clear();
@@ -112,7 +112,7 @@
         events_.at(slowdown_.from, [this, setSpeed] { setSpeed(slowdown_.speed); });
         events_.at(slowdown_.to, [setSpeed] { setSpeed(1); });
     }
-    // The trace ends: what is still loaded idled until now.
+    // At the end of the trace, the replicas that are still loaded have been idle until now.
     events_.at(traceEnd, [this] {
         for (auto& [target, replica] : replicas_)
             accountIdle(replica);
@@ -155,7 +155,7 @@
         return;
     setIdle(target);
     scheduleUnload(target);
-    // Memory that this one held may now be taken.
+    // This replica is idle now, so that loads may evict it to free memory.
     for (std::size_t home = 0; home < homes_.size(); ++home) {
         if (!homes_[home].demand.empty())
             scheduleLoadStarts(home, Milliseconds(0));
@@ -175,7 +175,7 @@
     demand.pending.earliestDeadline = std::min(demand.pending.earliestDeadline, request.deadline);
     demand.pending.priority = std::max(demand.pending.priority, request.priority);
     scheduleLoadStarts(homeOf(request.target), wakeTime);
-    // The load goes on for a hopeless one too: its caller, told when to come back, finds the model warm.
+    // The load starts for a hopeless request too: its caller finds the model warm when it retries.
     if (policySet_.refusesHopeless && isHopeless(home, demand, request.target, request)) {
         refuse(request, outcome_.hopeless);
         return;
@@ -190,7 +190,7 @@
 {
     if (demand.isStarted) {
         const auto elapsed = std::chrono::duration_cast<Milliseconds>(now() - demand.startedAt);
-        return policy::isHopeless(forecastRunning(demand.estimate, elapsed), request.deadline, leastAnswer, now());
+        return policy::isHopeless(forecastRunning(demand.estimate, elapsed), request.deadline, minAnswerTime, now());
     }
     CheckpointLocation nearest = CheckpointLocation::Remote;
     for (std::size_t server = 0; server < servers_.size(); ++server)
@@ -205,18 +205,18 @@
         queue.loadsPerSecond = deployment_.storeLoadsPerSecond;
         queue.perLoad = own;
     }
-    return policy::isHopeless(forecastWaiting(own, queue), request.deadline, leastAnswer, now());
+    return policy::isHopeless(forecastWaiting(own, queue), request.deadline, minAnswerTime, now());
 }
 
 std::uint32_t LoadSimulation::loadsAhead(const Home& home, std::size_t target) const
 {
-    std::set<std::size_t> passed;
-    while (const auto next = nextLoad(home, passed)) {
+    std::set<std::size_t> started;
+    while (const auto next = nextLoad(home, started)) {
         if (*next == target)
             break;
-        passed.insert(*next);
+        started.insert(*next);
     }
-    return static_cast<std::uint32_t>(passed.size());
+    return static_cast<std::uint32_t>(started.size());
 }
 
 void LoadSimulation::refuse(const TraceRequest& request, std::size_t& reason)
@@ -251,7 +251,7 @@
 void LoadSimulation::startPendingLoads(std::size_t index)
 {
     Home& home = homes_[index];
-    // Nobody waits, and it hasn't started: the demand is over.
+    // Demand ends if the load hasn't started, no request waits for it and the timeout has passed.
     std::erase_if(home.demand, [this](const auto& entry) {
         return !entry.second.isStarted && entry.second.waiting.empty()
             && now() > entry.second.pending.since + deployment_.timeout;
@@ -263,12 +263,12 @@
             blocked.insert(*target);
     }
     if (!blocked.empty())
-        scheduleLoadStarts(index, pumpAgain);
+        scheduleLoadStarts(index, startRetryInterval);
     else if (!home.demand.empty())
-        scheduleLoadStarts(index, reviewAgain);
+        scheduleLoadStarts(index, reviewInterval);
 }
 
-/// What has become hopeless since it came is refused now, not at its deadline.
+/// Refuses requests that have become hopeless since their arrival now instead of at their deadlines.
 void LoadSimulation::reviewWaiting(Home& home)
 {
     if (!policySet_.refusesHopeless)
@@ -311,7 +311,7 @@
 bool LoadSimulation::tryStart(std::size_t index, std::size_t target)
 {
     if (replicas_.contains(target))
-        return false; // on its way in, beneath one of its adapters
+        return false; // the model is already being loaded for one of its adapters
     Home& home = homes_[index];
     std::vector<LoadBid> bids;
     std::vector<framework::VmName> vms;
@@ -349,7 +349,7 @@
     std::uint64_t needed = targets_[target].memory.value();
     const auto modelReplica = replicas_.find(model);
     if (model != target && modelReplica != replicas_.end()) {
-        // The cap: the adapter goes where its model is.
+        // The replica cap allows one replica per model, so an adapter has to be loaded where its model is.
         if (modelReplica->second.server != server || modelReplica->second.state != State::Loaded)
             return made;
     } else if (model != target) {
@@ -378,7 +378,7 @@
     return made;
 }
 
-/// An adapter is small; what matters is where its model is, unless that is loaded.
+/// An adapter is small, so the location of its model's checkpoint decides, unless the model is loaded.
 CheckpointLocation LoadSimulation::checkpointLocation(std::size_t server, std::size_t target) const
 {
     const std::size_t model = targets_[target].model;
@@ -420,7 +420,7 @@
         replica.view.model = framework::ModelName(targets_[model].name);
         replica.view.adapter = framework::AdapterName(targets_[part].isAdapter ? targets_[part].name : "");
         replica.view.memory = targets_[part].memory;
-        replica.view.running = 1; // being loaded
+        replica.view.running = 1; // counts as running while it is being loaded
         replica.idleSince = now();
         replicas_.emplace(part, std::move(replica));
         servers_[server].targets.insert(part);
@@ -464,7 +464,7 @@
     const auto took = std::chrono::duration_cast<Milliseconds>(now() - demand.startedAt);
     const std::size_t model = targets_[target].model;
     Replica& replica = replicas_.at(target);
-    const bool broughtModel = model != target && replicas_.at(model).state == State::Loading;
+    const bool hasLoadedModel = model != target && replicas_.at(model).state == State::Loading;
     home.estimator.record(targets_[target].name, demand.location, demand.memory, took, now());
     touchCaches(servers_[replica.server], model);
     for (const std::size_t part : { model, target }) {
@@ -472,16 +472,16 @@
         if (loadedPart.state == State::Loaded)
             continue;
         loadedPart.state = State::Loaded;
-        // What a model's next load takes is not what its adapter took.
-        loadedPart.view.loadTime = broughtModel && part == target ? Milliseconds(2000) : took;
+        // The duration of a load that loaded the model too says nothing about the next load of the adapter alone.
+        loadedPart.view.loadTime = hasLoadedModel && part == target ? Milliseconds(2000) : took;
         loadedPart.view.running = 0;
         loadedPart.view.lastUsed = now();
-        // While it was being loaded it served nobody either.
+        // The accelerator served no requests during the load, so this time counts as idle too.
         accountIdle(loadedPart);
     }
     serveWaiting(demand);
-    if (auto& ofModel = homes_[homeOf(model)].demand; model != target && ofModel.contains(model))
-        serveWaiting(ofModel.extract(model).mapped());
+    if (auto& modelDemand = homes_[homeOf(model)].demand; model != target && modelDemand.contains(model))
+        serveWaiting(modelDemand.extract(model).mapped());
     scheduleUnload(target);
     scheduleUnload(model);
     for (std::size_t other = 0; other < homes_.size(); ++other) {
@@ -520,7 +520,8 @@
     events_.at(until.at(), [this, server = found->second.server] { unloadExpired(server); });
 }
 
-/// Between that from where its checkpoint is now and that from disk: by then others may have taken its place in memory.
+/// Returns the mean of the load time from the checkpoint's present location and that from disk, since other checkpoints
+/// may have replaced it in the memory cache by then.
 Milliseconds LoadSimulation::nextLoadTime(std::size_t target, const Replica& replica) const
 {
     const LoadTimeEstimator& estimator = homes_[homeOf(target)].estimator;
@@ -549,7 +550,7 @@
     ++replica.view.running;
     replica.view.lastUsed = now();
     replica.view.recentUses.push_back(now());
-    if (replica.view.recentUses.size() > rememberedUses)
+    if (replica.view.recentUses.size() > maxRecentUses)
         replica.view.recentUses.erase(replica.view.recentUses.begin());
 }
 
--- a/src/policy/benchmarks/loadsimulation.h
+++ b/src/policy/benchmarks/loadsimulation.h
@@ -19,7 +19,7 @@
 
 namespace lagoon::policy::benchmarks {
 
-/// A set of policies to be measured.
+/// A set of policies that is benchmarked.
 struct PolicySet {
     std::string name;
     std::function<std::unique_ptr<ILoadPlacement>(const Deployment&)> placement;
@@ -29,7 +29,7 @@
     bool mayBorrow = false;
 };
 
-/// The weight store's bandwidth is `speed` of the usual between two points in time.
+/// Reduces the weight store's bandwidth to `speed` times the usual between two points in time.
 struct StoreSlowdown {
     framework::SteadyTime from {};
     framework::SteadyTime to {};
@@ -37,7 +37,7 @@
 };
 
 struct Outcome {
-    /// Of every request that found no warm replica, in seconds; one refused counts as its whole timeout.
+    /// Waits of all requests that found no warm replica, in seconds. A refused request counts as the whole timeout.
     std::vector<double> coldWaits;
     std::size_t requests = 0;
     std::size_t served = 0;
@@ -49,19 +49,20 @@
     std::size_t evictions = 0;
     std::size_t storeRefusals = 0;
     double idleAcceleratorHours = 0;
-    /// When the refused requests came, for recoveries.
+    /// Arrival times of the refused requests, which show how fast the system recovers.
     std::vector<framework::SteadyTime> refusedAt;
-    /// How long they had waited by then, in seconds.
+    /// Time from the arrival of each refused request to its refusal, in seconds.
     std::vector<double> refusalWaits;
 
     double totalColdSeconds() const;
-    /// Over all requests, a warm one waits 0.
+    /// Percentile over all requests; a request that found a warm replica counts as a wait of 0.
     double waitPercentile(double percent) const;
     double coldPercentile(double percent) const;
     double refusalPercentile(double percent) const;
 };
 
-/// One deployment's days in virtual time. Each target has one replica at most, as the cap demands.
+/// Simulates the days of one deployment in virtual time. Each target has one replica at most, as the replica cap
+/// requires.
 class LoadSimulation {
 public:
     LoadSimulation(
@@ -78,7 +79,7 @@
         framework::SteadyTime idleSince {};
     };
 
-    /// What an agent remembers of a target.
+    /// An agent's record of the uses of a target.
     struct UseRecord {
         IdleGaps gaps;
         framework::SteadyTime lastEnd {};
@@ -87,15 +88,15 @@
     struct Server {
         framework::VmName vm;
         std::set<std::size_t> targets;
-        /// By target, also of those that aren't loaded now.
+        /// By target, including targets that aren't loaded now.
         std::map<std::size_t, UseRecord> uses;
         IdleGaps allGaps;
-        /// Models by last use, newest first.
+        /// Models by last use, most recently used first.
         std::deque<std::size_t> diskCache;
         std::deque<std::size_t> memoryCache;
     };
 
-    /// A load that its home wants done.
+    /// Demand for the load of a target, at its home router.
     struct LoadDemand {
         PendingLoad pending;
         std::vector<const TraceRequest*> waiting;
@@ -103,7 +104,7 @@
         framework::SteadyTime startedAt {};
         CheckpointLocation location = CheckpointLocation::Remote;
         framework::MebiBytes memory;
-        /// As of the start.
+        /// Estimate at the start of the load.
         LoadTimeEstimate estimate;
     };
 
@@ -163,7 +164,7 @@
     std::vector<Server> servers_;
     std::vector<Home> homes_;
     std::map<std::size_t, Replica> replicas_;
-    /// Each load's time after its transfer has ended.
+    /// Time that each load takes after its transfer from the store, by target.
     std::map<std::size_t, framework::Milliseconds> afterTransfer_;
     std::set<const TraceRequest*> waiting_;
     std::uint64_t storeUpdateNumber_ = 0;
--- a/src/policy/benchmarks/overloadbenchmark.cpp
+++ b/src/policy/benchmarks/overloadbenchmark.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Any replica, in turn.
+/// Chooses all replicas in turn.
 class RoundRobinReplicaChoice final : public IReplicaChoice {
 public:
     std::optional<std::size_t> choose(
@@ -23,7 +23,7 @@
     std::size_t next_ = 0;
 };
 
-/// The one with the least reported load, as of the last answer.
+/// Chooses the replica that reported the least load with its last answer.
 class LeastReportedReplicaChoice final : public IReplicaChoice {
 public:
     std::optional<std::size_t> choose(
--- a/src/policy/benchmarks/overloadbenchmark.h
+++ b/src/policy/benchmarks/overloadbenchmark.h
@@ -4,7 +4,7 @@
 
 namespace lagoon::policy::benchmarks {
 
-/// Prints tables of warm replicas at 0.5 to 4 times their capacity and with a slow one among fast ones.
+/// Prints a table for warm replicas at 0.5 to 4 times their capacity, and with one slow replica among fast ones.
 void printOverload(std::uint64_t seed);
 
 } // namespace lagoon::policy::benchmarks
--- a/src/policy/benchmarks/overloadsimulation.cpp
+++ b/src/policy/benchmarks/overloadsimulation.cpp
@@ -15,15 +15,15 @@
 
 using Seconds = std::chrono::duration<double>;
 
-constexpr std::uint32_t mostAttempts = 3;
+constexpr std::uint32_t maxAttempts = 3;
 constexpr double highShare = 0.1;
 constexpr std::uint8_t highPriority = 9;
-constexpr double newShare = 0.2;
+constexpr double newWeight = 0.2;
 constexpr double atOnceShare = 0.1;
-/// What an agent takes for the longest service from the mean.
-constexpr double mostOverMean = 1.5;
+/// Longest service time that an agent assumes, as a multiple of the mean.
+constexpr double maxOverMean = 1.5;
 constexpr std::size_t prefixes = 40;
-constexpr Milliseconds hop { 1 };
+constexpr Milliseconds networkDelay { 1 };
 
 SteadyTime::duration ticks(double seconds)
 {
@@ -70,7 +70,7 @@
     request->deadline = Deadline(now() + ticks(case_.deadlineSeconds));
     request->priority = draw() < highShare ? highPriority : request->priority;
     request->router = random_() % routers_.size();
-    // Half have a prompt's beginning in common with others.
+    // Half of the requests share the beginning of their prompt with others.
     request->prefix = draw() < 0.5 ? 1 + random_() % prefixes : 0;
     ++outcome_.requests;
     outcome_.high += request->priority == highPriority ? 1 : 0;
@@ -93,7 +93,7 @@
     const std::size_t upstream = *router.choice->choose(router.views, request->prefix, now());
     ++request->attempt;
     ++router.views[upstream].ownInFlight;
-    events_.at(now() + hop, [this, request, upstream] { admit(request, upstream); });
+    events_.at(now() + networkDelay, [this, request, upstream] { admit(request, upstream); });
 }
 
 void OverloadSimulation::admit(const RequestPointer& request, std::size_t index)
@@ -116,7 +116,7 @@
     const auto ahead = std::count_if(upstream.queue.begin(), upstream.queue.end(),
         [&request](const RequestPointer& other) { return !other->isFinished && other->priority >= request.priority; });
     const LoadTimeEstimate each { milliseconds(upstream.meanService / 2), milliseconds(upstream.meanService),
-        milliseconds(upstream.meanService * mostOverMean) };
+        milliseconds(upstream.meanService * maxOverMean) };
     const LoadQueue queue { static_cast<std::uint32_t>(ahead), upstream.running, case_.slots, 0, each };
     return isLikelyTooLate(forecastWaiting(each, queue), request.deadline, now());
 }
@@ -127,7 +127,7 @@
     ++upstream.running;
     const double mean = case_.serviceSeconds * upstream.slowness;
     const double service = std::uniform_real_distribution<double>(0.5 * mean, 1.5 * mean)(random_);
-    upstream.meanService += newShare * (service - upstream.meanService);
+    upstream.meanService += newWeight * (service - upstream.meanService);
     events_.at(now() + ticks(service), [this, request, index] {
         --upstreams_[index].running;
         answer(request, index);
@@ -141,9 +141,9 @@
     while (!upstream.queue.empty() && upstream.running < case_.slots) {
         const RequestPointer next = upstream.queue.front();
         upstream.queue.pop_front();
-        // Without admission nobody looks whether the caller still waits.
-        const bool isInVain = next->isFinished || (isTooLate(*next, Upstream { 0, {}, 1, upstream.meanService }));
-        if (policySet_.hasAdmission && isInVain)
+        // Without admission, agents don't check whether the caller still waits.
+        const bool isUseless = next->isFinished || (isTooLate(*next, Upstream { 0, {}, 1, upstream.meanService }));
+        if (policySet_.hasAdmission && isUseless)
             refuse(next, index);
         else
             start(next, index);
@@ -164,7 +164,7 @@
     ReplicaView& view = routers_[request->router].views[index];
     const double seconds = Seconds(now() - request->at).count();
     view.firstByteSeconds
-        = view.firstByteSeconds > 0 ? view.firstByteSeconds + newShare * (seconds - view.firstByteSeconds) : seconds;
+        = view.firstByteSeconds > 0 ? view.firstByteSeconds + newWeight * (seconds - view.firstByteSeconds) : seconds;
     view.lastAnswer = now();
     if (request->isFinished)
         return;
@@ -181,7 +181,7 @@
         return;
     const Milliseconds wait = backoff_.wait(request->attempt, draw());
     const bool hasTime = now() + wait + milliseconds(case_.serviceSeconds) < request->deadline.at();
-    if (!hasTime || request->attempt >= mostAttempts || !routers_[request->router].budget.spend())
+    if (!hasTime || request->attempt >= maxAttempts || !routers_[request->router].budget.spend())
         return finishRefused(request);
     ++outcome_.retries;
     events_.at(now() + wait, [this, request] { send(request); });
--- a/src/policy/benchmarks/overloadsimulation.h
+++ b/src/policy/benchmarks/overloadsimulation.h
@@ -14,28 +14,28 @@
 
 namespace lagoon::policy::benchmarks {
 
-/// One warm model on equal upstreams, more or less of them slow, under too much or too little load.
+/// A case for the simulation: one warm model on identical upstreams, some of which may be slow, at a given load.
 struct OverloadCase {
     std::size_t upstreams = 9;
     std::size_t routers = 3;
-    /// Requests that an upstream runs at once.
+    /// Number of requests that an upstream runs at once.
     std::uint32_t slots = 8;
     double serviceSeconds = 0.5;
     double deadlineSeconds = 5;
-    /// Offered load over what all upstreams together can do.
+    /// Offered load as a multiple of the capacity of all upstreams together.
     double load = 1;
     std::size_t slowUpstreams = 0;
     double slowness = 10;
     double seconds = 300;
 };
 
-/// How routers and agents behave in it.
+/// The policies of routers and agents in the simulation.
 struct OverloadPolicySet {
     std::string name;
     std::function<std::unique_ptr<IReplicaChoice>(std::uint64_t seed)> choice;
-    /// Agents refuse what can't be answered in time, and run the highest priority first.
+    /// Agents refuse requests that can't be answered in time and run requests of the highest priority first.
     bool hasAdmission = true;
-    /// Retries per request that routers may spend; each request is sent at most three times.
+    /// Retries per request that the routers' retry budget allows. Each request is sent at most three times.
     double retryShare = 0.1;
 };
 
@@ -45,13 +45,14 @@
     std::size_t highAnswered = 0;
     std::size_t answered = 0;
     std::size_t refusedAtOnce = 0;
-    /// Refused only after a tenth of their time or more, or at their deadline.
+    /// Requests that were refused after a tenth of their deadline or more, or when the deadline had passed.
     std::size_t refusedLate = 0;
     std::size_t retries = 0;
     std::vector<double> latencies;
     std::vector<double> refusalSeconds;
 };
 
+/// Simulates routers and agents at a given load in virtual time.
 class OverloadSimulation {
 public:
     OverloadSimulation(const OverloadCase&, const OverloadPolicySet&, std::uint64_t seed);
--- a/src/policy/benchmarks/policybenchmark.cpp
+++ b/src/policy/benchmarks/policybenchmark.cpp
@@ -26,7 +26,7 @@
     return made;
 }
 
-PolicySet ours()
+PolicySet lagoonPolicies()
 {
     return { "lagoon", [](const Deployment& deployment) { return policy::makeLoadPlacement(numbers(deployment)); },
         [](const Deployment& deployment) { return policy::makeKeepWarm(numbers(deployment)); },
@@ -40,10 +40,10 @@
         [](const Deployment&) { return std::make_unique<benchmarks::FifoLoadOrder>(); }, false, false };
 }
 
-/// Ours with one part taken from the baselines, to see what the part is worth.
-PolicySet without(const std::string& name, const std::function<void(PolicySet&, const PolicySet&)>& change)
+/// Makes the lagoon policies with one part replaced by a baseline, which shows the benefit of that part.
+PolicySet withReplacedPart(const std::string& name, const std::function<void(PolicySet&, const PolicySet&)>& change)
 {
-    PolicySet made = ours();
+    PolicySet made = lagoonPolicies();
     change(made, fixedTimeout("", Minutes(30)));
     made.name = name;
     return made;
@@ -51,20 +51,23 @@
 
 std::vector<PolicySet> policySets(bool hasParts)
 {
-    std::vector<PolicySet> all { ours(), fixedTimeout("fixed-1min", Minutes(1)), fixedTimeout("fixed-5min", Minutes(5)),
-        fixedTimeout("fixed-30min", Minutes(30)), fixedTimeout("never-unload", Hours(1000)) };
+    std::vector<PolicySet> all { lagoonPolicies(), fixedTimeout("fixed-1min", Minutes(1)),
+        fixedTimeout("fixed-5min", Minutes(5)), fixedTimeout("fixed-30min", Minutes(30)),
+        fixedTimeout("never-unload", Hours(1000)) };
     if (!hasParts)
         return all;
     using Change = PolicySet;
+    all.push_back(withReplacedPart(
+        "in-turn placement", [](Change& made, const PolicySet& other) { made.placement = other.placement; }));
+    all.push_back(withReplacedPart(
+        "fixed-30min keep", [](Change& made, const PolicySet& other) { made.keepWarm = other.keepWarm; }));
+    all.push_back(withReplacedPart("fixed-5min keep",
+        [](Change& made, const PolicySet&) { made.keepWarm = fixedTimeout("", Minutes(5)).keepWarm; }));
     all.push_back(
-        without("in-turn placement", [](Change& made, const PolicySet& other) { made.placement = other.placement; }));
+        withReplacedPart("arrival order", [](Change& made, const PolicySet& other) { made.order = other.order; }));
     all.push_back(
-        without("fixed-30min keep", [](Change& made, const PolicySet& other) { made.keepWarm = other.keepWarm; }));
-    all.push_back(without("fixed-5min keep",
-        [](Change& made, const PolicySet&) { made.keepWarm = fixedTimeout("", Minutes(5)).keepWarm; }));
-    all.push_back(without("arrival order", [](Change& made, const PolicySet& other) { made.order = other.order; }));
-    all.push_back(without("no hopelessness", [](Change& made, const PolicySet&) { made.refusesHopeless = false; }));
-    all.push_back(without("with borrowing", [](Change& made, const PolicySet&) { made.mayBorrow = true; }));
+        withReplacedPart("no hopelessness", [](Change& made, const PolicySet&) { made.refusesHopeless = false; }));
+    all.push_back(withReplacedPart("with borrowing", [](Change& made, const PolicySet&) { made.mayBorrow = true; }));
     return all;
 }
 
@@ -76,7 +79,8 @@
         "remote", "evict", "429");
 }
 
-/// Cold starts in seconds, idle time in accelerator hours, cost in accelerator hours at the deployment's weight.
+/// Prints one row. Cold starts are in seconds, idle time in accelerator hours, and cost in accelerator hours at the
+/// deployment's cold start weight.
 void printRow(const std::string& name, const std::string& seed, const Outcome& outcome, double weight)
 {
     std::printf(
@@ -149,8 +153,8 @@
     outcome.refusalWaits = std::move(kept);
 }
 
-/// The metastable case: does the backlog clear once the store is as fast as before? Without disk caches, so that
-/// every load needs the store.
+/// Tests for metastable failures: whether the backlog clears once the store is as fast as before. There are no caches,
+/// so that every load needs the store.
 void printStoreSlowdown(const Options& options)
 {
     Deployment deployment = benchmarks::waitaha();
@@ -160,7 +164,7 @@
         benchmarks::traceStart + Hours(24 + 11), 0.05 };
     std::printf("\nwaitaha without caches, store at 1/20 speed from 10:00 to 11:00 of the second day\n");
     std::printf("%-18s %6s %6s %8s %7s %6s %6s | %s\n", "policy", "reqs", "loads", "hopeless", "expired", "ref25",
-        "ref50", "refused of those that came in the hour before, of the slowdown, in 15-minute steps after it");
+        "ref50", "refused requests by arrival: in the hour before, during the slowdown, in 15-minute steps after it");
     for (const PolicySet& policySet : policySets(true)) {
         Outcome sum;
         for (std::uint64_t seed = options.seed; seed < options.seed + options.seeds; ++seed) {
@@ -208,11 +212,11 @@
     namespace po = boost::program_options;
     Options options;
     po::options_description description("Policies against baselines in virtual time");
-    description.add_options()("help", "this text")("seed", po::value(&options.seed)->default_value(1),
-        "the first seed")("seeds", po::value(&options.seeds)->default_value(3), "how many seeds, from the first on")(
-        "weight", po::value(&options.weight)->default_value(0), "cold start weight; 0: the deployment's")(
-        "parts", po::bool_switch(&options.hasParts), "also ours with one part replaced by a baseline's")(
-        "each", po::bool_switch(&options.showsSeeds), "a row for each seed");
+    description.add_options()("help", "print this help")("seed", po::value(&options.seed)->default_value(1),
+        "the first seed")("seeds", po::value(&options.seeds)->default_value(3), "number of consecutive seeds")("weight",
+        po::value(&options.weight)->default_value(0), "cold start weight; 0 for that of the deployment")("parts",
+        po::bool_switch(&options.hasParts), "also run the lagoon policies with one part replaced by a baseline")(
+        "each", po::bool_switch(&options.showsSeeds), "print a row for each seed");
     po::variables_map values;
     try {
         po::store(po::parse_command_line(argc, argv, description), values);
--- a/src/policy/benchmarks/storemodel.cpp
+++ b/src/policy/benchmarks/storemodel.cpp
@@ -10,7 +10,7 @@
 using Seconds = std::chrono::duration<double>;
 
 constexpr double fullSpeedMebiBytesPerSecond = 1000;
-constexpr double nothingLeft = 0.01;
+constexpr double minRemainingMebiBytes = 0.01;
 
 } // namespace
 
@@ -46,7 +46,7 @@
     for (auto& [load, left] : remaining_)
         left -= moved;
     for (const auto& [load, left] : remaining_) {
-        if (left > nothingLeft)
+        if (left > minRemainingMebiBytes)
             continue;
         const std::uint64_t ended = load;
         remaining_.erase(ended);
--- a/src/policy/benchmarks/storemodel.h
+++ b/src/policy/benchmarks/storemodel.h
@@ -8,20 +8,21 @@
 
 namespace lagoon::policy::benchmarks {
 
-/// The weight store: refuses loads over its rate, and shares its bandwidth among transfers beyond those that go at
-/// full speed.
+/// Model of the weight store. It refuses loads beyond its rate limit. If there are more transfers than it serves at
+/// full speed, they share its bandwidth.
 class StoreModel {
 public:
     StoreModel(double loadsPerSecond, std::uint32_t fullSpeedLoads);
 
-    /// 1 is the usual bandwidth. Call `advance` first.
+    /// Sets the bandwidth as a multiple of the usual one, which is 1. `advance` has to be called first.
     void setSpeed(double speed) { speed_ = speed; }
-    /// False: refused for its rate.
+    /// Returns false if the load is refused because of the rate limit.
     bool admit(framework::SteadyTime now);
     void begin(std::uint64_t load, double mebiBytes, framework::SteadyTime now);
-    /// Moves all transfers on to `now`; returns one that has ended by then, which is forgotten.
+    /// Advances all transfers to `now`. Returns one transfer that has ended by then and removes it, std::nullopt if
+    /// none has.
     std::optional<std::uint64_t> advance(framework::SteadyTime now);
-    /// When the next transfer ends if nothing changes.
+    /// Returns when the next transfer ends at the present bandwidth, std::nullopt if there are no transfers.
     std::optional<framework::SteadyTime> nextEnd() const;
     std::uint64_t refusals() const { return refusals_; }
 
--- a/src/policy/expiredreplicas.h
+++ b/src/policy/expiredreplicas.h
@@ -4,8 +4,9 @@
 
 namespace lagoon::policy {
 
-/// Indexes of the idle replicas whose time is over, in the order of unloading. A model's end is its adapters' too: they
-/// take so little of an accelerator that each by itself would stay for hours, and with it the whole model.
+/// Returns the indices of the idle replicas whose keep-warm time has expired, in the order in which to unload them.
+/// When a model expires, its adapters expire with it: an adapter takes so little of an accelerator that it would
+/// otherwise stay loaded for hours and keep the whole model loaded.
 std::vector<std::size_t> expiredReplicas(
     const IKeepWarm&, const std::vector<LoadedReplica>&, framework::MebiBytes accelerator, framework::SteadyTime now);
 
--- a/src/policy/idlegaps.h
+++ b/src/policy/idlegaps.h
@@ -7,20 +7,21 @@
 
 namespace lagoon::policy {
 
-/// How long a target lay idle between uses: a histogram over powers of two of seconds, in which old gaps fade. Kept
-/// for a target also while it isn't loaded, or only the short gaps would be known.
+/// Histogram of how long a target was idle between uses. Bucket bounds are powers of two of seconds, and the weight of
+/// old gaps decays. The histogram is kept also while the target isn't loaded: otherwise only the short gaps would be
+/// recorded.
 class IdleGaps {
 public:
-    /// The last one has all from 18 hours on.
+    /// The last bucket counts all gaps of 36 hours (2^17 s) or more.
     static constexpr std::size_t buckets = 18;
 
     void record(framework::Milliseconds gap);
-    /// These gaps and a few that are spread like `others`: those of all targets of an upstream say more about one that
-    /// was hardly used yet than no assumption would.
+    /// Returns these gaps plus a few that are distributed like `others`. With the gaps of all targets of an upstream as
+    /// the prior, a target that was hardly used yet gets a better estimate than without any assumption.
     IdleGaps withPrior(const IdleGaps& others) const;
-    /// Gaps counted in a bucket, faded.
+    /// Decayed number of gaps in a bucket.
     double weight(std::size_t bucket) const { return weights_[bucket]; }
-    /// The longest gap of a bucket.
+    /// Length of the longest gap that a bucket counts.
     static double upperBoundSeconds(std::size_t bucket);
 
 private:
--- a/src/policy/ikeepwarm.h
+++ b/src/policy/ikeepwarm.h
@@ -10,33 +10,35 @@
 
 namespace lagoon::policy {
 
-/// A loaded replica as its agent sees it. Adapters are replicas too.
+/// A loaded replica as its agent sees it. A loaded adapter is a replica of its own.
 struct LoadedReplica {
     framework::ModelName model;
     /// Empty for the model itself.
     framework::AdapterName adapter;
     framework::MebiBytes memory;
     framework::SteadyTime lastUsed {};
-    /// What its next load is expected to take. Best measured: half way between a load from where its checkpoint is now
-    /// and one from disk, since by then others may have taken its place in memory.
+    /// Expected duration of its next load. The mean of a load from the checkpoint's present location and a load from
+    /// disk gives the best results, since other checkpoints may have replaced this one in the memory cache by then.
     framework::Milliseconds loadTime { 0 };
     std::uint32_t running = 0;
-    /// Uses within memory, newest last, a few of them.
+    /// The last few uses since it was loaded, newest last.
     std::vector<framework::SteadyTime> recentUses;
-    /// From the end of a use to the beginning of the next one, here; `withPrior` of all targets' gaps here.
+    /// Gaps on this upstream from the end of one use to the beginning of the next one, combined by `withPrior` with the
+    /// gaps of all targets on this upstream.
     IdleGaps gaps;
 };
 
-/// How long an idle replica stays loaded, and which go first when memory is short.
+/// Decides how long an idle replica stays loaded and which replicas are evicted first when memory is short.
 class IKeepWarm {
 public:
     virtual ~IKeepWarm() = default;
-    /// When the idle replica should be unloaded unless used before; see `expiredReplicas` for adapters. `accelerator`
-    /// is the upstream's whole memory: a replica idles as much of an accelerator as it takes of that.
+    /// Returns when to unload the idle replica if it isn't used before; see `expiredReplicas` for adapters.
+    /// `accelerator` is the upstream's total memory: an idle replica wastes the share of an accelerator that its memory
+    /// takes of this total.
     virtual framework::Deadline keepUntil(const LoadedReplica&, framework::MebiBytes accelerator) const = 0;
-    /// Indexes of replicas that together free at least `needed`, in the order of unloading; empty if the idle ones
-    /// don't suffice. Running ones are never chosen, nor a model without the adapters on it; one that is being loaded
-    /// or unloaded has to be given as running.
+    /// Returns the indices of replicas that together free at least `needed`, in the order in which to unload them;
+    /// empty if all idle replicas together free less. Running replicas are never chosen, and a model only together with
+    /// its adapters. The caller has to pass replicas that are being loaded or unloaded as running.
     virtual std::vector<std::size_t> victims(
         const std::vector<LoadedReplica>&, framework::MebiBytes needed, framework::SteadyTime now) const = 0;
 };
--- a/src/policy/internal/expiredreplicas.cpp
+++ b/src/policy/internal/expiredreplicas.cpp
@@ -25,14 +25,14 @@
     std::vector<std::size_t> models;
     for (std::size_t index = 0; index < replicas.size(); ++index) {
         const LoadedReplica& replica = replicas[index];
-        const bool goesWhole = expired.contains(replica.model) && !busy.contains(replica.model);
+        const bool isModelExpired = expired.contains(replica.model) && !busy.contains(replica.model);
         if (!isAdapter(replica)) {
-            if (goesWhole)
+            if (isModelExpired)
                 models.push_back(index);
             continue;
         }
-        const bool isOver = replica.running == 0 && keepWarm.keepUntil(replica, accelerator).hasPassed(now);
-        if (goesWhole || isOver)
+        const bool isExpired = replica.running == 0 && keepWarm.keepUntil(replica, accelerator).hasPassed(now);
+        if (isModelExpired || isExpired)
             adapters.push_back(index);
     }
     adapters.insert(adapters.end(), models.begin(), models.end());
--- a/src/policy/internal/idlegaps.cpp
+++ b/src/policy/internal/idlegaps.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// What is left of all earlier gaps at a new one: the last fifty or so count.
-constexpr float fading = 0.98F;
+/// Factor by which each new gap reduces the weight of all earlier ones, so that about the last fifty gaps count.
+constexpr float decay = 0.98F;
 
 } // namespace
 
@@ -18,20 +18,20 @@
     const double seconds = std::max(1.0, std::chrono::duration<double>(gap).count());
     const auto bucket = static_cast<std::size_t>(std::log2(seconds));
     for (float& weight : weights_)
-        weight *= fading;
+        weight *= decay;
     weights_[std::min(bucket, buckets - 1)] += 1;
 }
 
 IdleGaps IdleGaps::withPrior(const IdleGaps& others) const
 {
-    constexpr float priorGaps = 5;
+    constexpr float priorWeight = 5;
     float sum = 0;
     for (const float weight : others.weights_)
         sum += weight;
-    IdleGaps both = *this;
+    IdleGaps combined = *this;
     for (std::size_t bucket = 0; bucket < buckets && sum > 0; ++bucket)
-        both.weights_[bucket] += priorGaps * others.weights_[bucket] / std::max(priorGaps, sum);
-    return both;
+        combined.weights_[bucket] += priorWeight * others.weights_[bucket] / std::max(priorWeight, sum);
+    return combined;
 }
 
 double IdleGaps::upperBoundSeconds(std::size_t bucket) { return std::exp2(static_cast<double>(bucket) + 1); }
--- a/src/policy/internal/keepwarm.cpp
+++ b/src/policy/internal/keepwarm.cpp
@@ -11,9 +11,9 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/// Assumed until a load was measured.
+/// Load time that is assumed until a load was measured.
 constexpr double assumedLoadSeconds = 20;
-/// A bucket's gaps are about this part of its longest one.
+/// Mean of a bucket's gaps as a share of its longest gap.
 constexpr double meanShareOfBucket = 0.75;
 
 double loadSeconds(const LoadedReplica& replica)
@@ -21,42 +21,43 @@
     return replica.loadTime.count() > 0 ? Seconds(replica.loadTime).count() : assumedLoadSeconds;
 }
 
-/// Gaps of any length are thought alike likely before any was seen; together they count as this many.
-constexpr double priorGaps = 2;
+/// Number of gaps that the prior counts as. The prior is uniform: before any gap was recorded, all buckets are equally
+/// likely.
+constexpr double priorWeight = 2;
 
 double gapWeight(const IdleGaps& gaps, std::size_t bucket)
 {
-    return gaps.weight(bucket) + priorGaps / IdleGaps::buckets;
+    return gaps.weight(bucket) + priorWeight / IdleGaps::buckets;
 }
 
-/// How many callers a cold start makes wait, each counted by the part of the load that it waits: uses that followed
-/// each other within a load's time would all have waited for it.
-double callersOfColdStart(const IdleGaps& gaps, double load)
+/// Returns how many callers a cold start delays, each weighted by the share of the load that it waits. Uses that
+/// followed each other within the time of a load would all have waited for it.
+double callersDelayedByColdStart(const IdleGaps& gaps, double load)
 {
     constexpr double meanShareOfWait = 0.5;
-    constexpr double most = 10;
-    double together = 0;
-    double all = 0;
+    constexpr double maxCallers = 10;
+    double withinLoad = 0;
+    double total = 0;
     for (std::size_t bucket = 0; bucket < IdleGaps::buckets; ++bucket) {
         const double weight = gapWeight(gaps, bucket);
-        all += weight;
+        total += weight;
         if (IdleGaps::upperBoundSeconds(bucket) <= load)
-            together += weight;
+            withinLoad += weight;
     }
-    return std::min(most, 1 + meanShareOfWait * together / std::max(all - together, 1 / most));
+    return std::min(maxCallers, 1 + meanShareOfWait * withinLoad / std::max(total - withinLoad, 1 / maxCallers));
 }
 
-/// Of all times to keep, the one that would have cost least over the gaps so far: each gap that is shorter costs
-/// itself, each that is longer the time kept and a cold start. `coldStart` is in seconds of this replica's idling.
-/// The result is at least the end of the first bucket: the histogram doesn't resolve shorter gaps, and a shorter time
-/// could unload the replica just before the next request.
-double cheapestKeep(const IdleGaps& gaps, double coldStart)
+/// Returns the keep-warm time in seconds that would have cost least over the gaps so far. A gap shorter than that
+/// time costs its own length; a longer gap costs that time and a cold start. `coldStart` is the cost of a cold start in
+/// seconds of this replica's idling. The result is at least the end of the first bucket: the histogram doesn't
+/// resolve shorter gaps, and a shorter time could unload the replica just before the next request.
+double cheapestKeepSeconds(const IdleGaps& gaps, double coldStart)
 {
     double longer = 0;
     for (std::size_t bucket = 0; bucket < IdleGaps::buckets; ++bucket)
         longer += gapWeight(gaps, bucket);
-    double best = 0;
-    double least = std::numeric_limits<double>::infinity();
+    double cheapest = 0;
+    double lowestCost = std::numeric_limits<double>::infinity();
     double shorterSeconds = 0;
     for (std::size_t bucket = 0; bucket < IdleGaps::buckets; ++bucket) {
         const double end = IdleGaps::upperBoundSeconds(bucket);
@@ -64,12 +65,12 @@
         longer -= weight;
         shorterSeconds += weight * end * meanShareOfBucket;
         const double cost = shorterSeconds + longer * (end + coldStart);
-        if (cost >= least)
+        if (cost >= lowestCost)
             continue;
-        least = cost;
-        best = end;
+        lowestCost = cost;
+        cheapest = end;
     }
-    return best;
+    return cheapest;
 }
 
 double usesPerSecond(const LoadedReplica& replica, framework::SteadyTime now)
@@ -80,27 +81,28 @@
     return uses / std::max(1.0, Seconds(now - first).count());
 }
 
-/// A replica with all that has to go with it: a model has its adapters.
-struct Removal {
-    /// In the order of unloading.
+/// A replica together with the replicas that have to be evicted with it: a model's adapters are evicted with the model.
+struct EvictionGroup {
+    /// Indices of the replicas in the order in which to unload them.
     std::vector<std::size_t> members;
     std::uint64_t memory = 0;
-    double missedPerMebiByte = 0;
+    double reloadCostPerMebiByte = 0;
 };
 
-Removal removal(const std::vector<LoadedReplica>& replicas, std::vector<std::size_t> members, framework::SteadyTime now)
+EvictionGroup makeGroup(
+    const std::vector<LoadedReplica>& replicas, std::vector<std::size_t> members, framework::SteadyTime now)
 {
-    Removal whole { std::move(members), 0, 0 };
-    double missed = 0;
-    for (const std::size_t member : whole.members) {
-        whole.memory += replicas[member].memory.value();
-        missed += loadSeconds(replicas[member]) * usesPerSecond(replicas[member], now);
+    EvictionGroup group { std::move(members), 0, 0 };
+    double reloadCost = 0;
+    for (const std::size_t member : group.members) {
+        group.memory += replicas[member].memory.value();
+        reloadCost += loadSeconds(replicas[member]) * usesPerSecond(replicas[member], now);
     }
-    whole.missedPerMebiByte = missed / static_cast<double>(std::max<std::uint64_t>(1, whole.memory));
-    return whole;
+    group.reloadCostPerMebiByte = reloadCost / static_cast<double>(std::max<std::uint64_t>(1, group.memory));
+    return group;
 }
 
-/// Adapters first, then the model.
+/// Groups the indices of the replicas by model; in each group the adapters precede the model.
 std::map<framework::ModelName, std::vector<std::size_t>> byModel(const std::vector<LoadedReplica>& replicas)
 {
     std::map<framework::ModelName, std::vector<std::size_t>> groups;
@@ -115,31 +117,33 @@
     return groups;
 }
 
-std::vector<Removal> possibleRemovals(const std::vector<LoadedReplica>& replicas, framework::SteadyTime now)
+std::vector<EvictionGroup> evictionCandidates(const std::vector<LoadedReplica>& replicas, framework::SteadyTime now)
 {
-    std::vector<Removal> removals;
+    std::vector<EvictionGroup> candidates;
     for (const auto& [model, members] : byModel(replicas)) {
         const auto isIdle = [&replicas](std::size_t member) { return replicas[member].running == 0; };
         if (std::all_of(members.begin(), members.end(), isIdle))
-            removals.push_back(removal(replicas, members, now));
+            candidates.push_back(makeGroup(replicas, members, now));
         for (const std::size_t member : members) {
             if (!replicas[member].adapter.value().empty() && isIdle(member))
-                removals.push_back(removal(replicas, { member }, now));
+                candidates.push_back(makeGroup(replicas, { member }, now));
         }
     }
-    std::stable_sort(removals.begin(), removals.end(),
-        [](const Removal& left, const Removal& right) { return left.missedPerMebiByte < right.missedPerMebiByte; });
-    return removals;
+    std::stable_sort(candidates.begin(), candidates.end(), [](const EvictionGroup& left, const EvictionGroup& right) {
+        return left.reloadCostPerMebiByte < right.reloadCostPerMebiByte;
+    });
+    return candidates;
 }
 
-/// Takes from the cheapest on until there is enough.
-std::vector<std::size_t> takeEnough(
-    const std::vector<LoadedReplica>& replicas, const std::vector<Removal>& removals, std::uint64_t needed)
+/// Takes candidates in ascending order of cost until they free `needed` MiB. Returns an empty list if all of them free
+/// less.
+std::vector<std::size_t> takeCheapest(
+    const std::vector<LoadedReplica>& replicas, const std::vector<EvictionGroup>& candidates, std::uint64_t needed)
 {
     std::vector<std::size_t> taken;
     std::uint64_t freed = 0;
-    for (const Removal& removal : removals) {
-        for (const std::size_t member : removal.members) {
+    for (const EvictionGroup& candidate : candidates) {
+        for (const std::size_t member : candidate.members) {
             if (std::find(taken.begin(), taken.end(), member) != taken.end())
                 continue;
             taken.push_back(member);
@@ -151,7 +155,9 @@
     return {};
 }
 
-bool isNeededBy(const std::vector<LoadedReplica>& replicas, std::size_t index, const std::vector<std::size_t>& taken)
+/// Whether the replica is an adapter whose model is evicted, so that it has to be evicted too.
+bool isEvictedWithModel(
+    const std::vector<LoadedReplica>& replicas, std::size_t index, const std::vector<std::size_t>& taken)
 {
     if (!replicas[index].adapter.value().empty()) {
         return std::any_of(taken.begin(), taken.end(), [&](std::size_t other) {
@@ -161,8 +167,8 @@
     return false;
 }
 
-/// Spares, from the dearest on, what isn't needed after all.
-std::vector<std::size_t> spareSurplus(
+/// Removes victims that aren't needed to free `needed` MiB, in descending order of cost.
+std::vector<std::size_t> removeSurplus(
     const std::vector<LoadedReplica>& replicas, std::vector<std::size_t> taken, std::uint64_t needed)
 {
     std::uint64_t freed = 0;
@@ -170,7 +176,7 @@
         freed += replicas[index].memory.value();
     for (std::size_t position = taken.size(); position-- > 0;) {
         const std::uint64_t memory = replicas[taken[position]].memory.value();
-        if (freed - memory < needed || isNeededBy(replicas, taken[position], taken))
+        if (freed - memory < needed || isEvictedWithModel(replicas, taken[position], taken))
             continue;
         freed -= memory;
         taken.erase(taken.begin() + static_cast<std::ptrdiff_t>(position));
@@ -190,8 +196,8 @@
     const double whole = static_cast<double>(std::max<std::uint64_t>(1, accelerator.value()));
     const double share = std::clamp(static_cast<double>(replica.memory.value()) / whole, 0.001, 1.0);
     const double load = loadSeconds(replica);
-    const double coldStart = load * (1 + coldStartWeight_ * callersOfColdStart(replica.gaps, load) / share);
-    const double keep = cheapestKeep(replica.gaps, coldStart);
+    const double coldStart = load * (1 + coldStartWeight_ * callersDelayedByColdStart(replica.gaps, load) / share);
+    const double keep = cheapestKeepSeconds(replica.gaps, coldStart);
     return framework::Deadline(
         replica.lastUsed + std::chrono::duration_cast<framework::SteadyTime::duration>(Seconds(keep)));
 }
@@ -201,8 +207,8 @@
 {
     if (needed.value() == 0)
         return {};
-    std::vector<std::size_t> taken = takeEnough(replicas, possibleRemovals(replicas, now), needed.value());
-    return spareSurplus(replicas, std::move(taken), needed.value());
+    std::vector<std::size_t> taken = takeCheapest(replicas, evictionCandidates(replicas, now), needed.value());
+    return removeSurplus(replicas, std::move(taken), needed.value());
 }
 
 } // namespace lagoon::policy
--- a/src/policy/internal/keepwarm.h
+++ b/src/policy/internal/keepwarm.h
@@ -4,15 +4,16 @@
 
 namespace lagoon::policy {
 
-/// Ski rental over what is known of the replica's use: of all times to keep it, the one that would have cost least over
-/// its idle gaps so far. Without any it stays no longer than its idling costs as much as the cold start it spares. Both
-/// are counted in seconds of an idle accelerator.
+/// Solves a ski rental problem for each replica: of all keep-warm times, it takes the one that would have cost least
+/// over the replica's idle gaps so far. A replica without gaps stays loaded until its idling has cost as much as the
+/// cold start that it avoids. Both costs are counted in seconds of an idle accelerator.
 class SkiRentalKeepWarm final : public IKeepWarm {
 public:
-    /// What a second of cold start is worth in seconds of an idle accelerator.
+    /// `coldStartWeight` is the cost of one second of cold start in seconds of an idle accelerator.
     explicit SkiRentalKeepWarm(double coldStartWeight);
     framework::Deadline keepUntil(const LoadedReplica&, framework::MebiBytes accelerator) const override;
-    /// Takes what is least missed per MiB first: load time times rate of use.
+    /// Evicts the replicas with the lowest expected reload cost per MiB first. That cost is the load time multiplied by
+    /// the rate of use.
     std::vector<std::size_t> victims(
         const std::vector<LoadedReplica>&, framework::MebiBytes needed, framework::SteadyTime now) const override;
 
--- a/src/policy/internal/loadforecast.cpp
+++ b/src/policy/internal/loadforecast.cpp
@@ -6,22 +6,23 @@
 
 namespace {
 
-constexpr double comeBackSpread = 0.2;
-constexpr framework::Milliseconds leastComeBack { 1000 };
+constexpr double retryJitter = 0.2;
+constexpr framework::Milliseconds minRetryAfter { 1000 };
 
-/// Until a place is free. The loads ahead pass through the places in rounds; on the whole, those running are half
-/// done. `runningLeft` is the share of a load that those running need at this estimate.
+/// Returns the time until a slot is free. The loads ahead pass through the slots in rounds; on average, the running
+/// loads are half done. `runningLeft` is the share of a load that each running load still needs in this estimate.
 framework::Milliseconds untilStart(const LoadQueue& queue, framework::Milliseconds perLoad, double runningLeft)
 {
     const double slots = std::max<std::uint32_t>(1, queue.slots);
-    const double before = queue.ahead + runningLeft * queue.running;
-    const double rounds = std::max(0.0, (before - (slots - 1) * runningLeft) / slots);
-    const double byPlaces = queue.ahead + queue.running < slots ? 0 : rounds * static_cast<double>(perLoad.count());
+    const double loadsBefore = queue.ahead + runningLeft * queue.running;
+    const double rounds = std::max(0.0, (loadsBefore - (slots - 1) * runningLeft) / slots);
+    const double bySlots = queue.ahead + queue.running < slots ? 0 : rounds * static_cast<double>(perLoad.count());
     const double byRate = queue.loadsPerSecond > 0 ? 1000.0 * queue.ahead / queue.loadsPerSecond : 0;
-    return framework::Milliseconds(static_cast<std::int64_t>(std::max(byPlaces, byRate)));
+    return framework::Milliseconds(static_cast<std::int64_t>(std::max(bySlots, byRate)));
 }
 
-framework::Milliseconds left(framework::Milliseconds estimate, framework::Milliseconds elapsed)
+/// Remaining time of a load. An overdue load is assumed to need as much time again as it is overdue.
+framework::Milliseconds remainingTime(framework::Milliseconds estimate, framework::Milliseconds elapsed)
 {
     return elapsed < estimate ? estimate - elapsed : elapsed - estimate;
 }
@@ -39,8 +40,8 @@
 {
     const framework::Milliseconds none { 0 };
     const framework::Milliseconds soonest = std::max(none, own.low - elapsed);
-    const framework::Milliseconds expected = std::max(soonest, left(own.typical, elapsed));
-    return { soonest, expected, std::max(expected, left(own.high, elapsed)) };
+    const framework::Milliseconds expected = std::max(soonest, remainingTime(own.typical, elapsed));
+    return { soonest, expected, std::max(expected, remainingTime(own.high, elapsed)) };
 }
 
 bool isHopeless(const LoadForecast& forecast, framework::Deadline deadline, framework::Milliseconds minAnswerTime,
@@ -56,9 +57,9 @@
 
 framework::Milliseconds retryAfterFor(const LoadForecast& forecast, double random)
 {
-    const double spread = 1 + comeBackSpread * random;
-    const auto wait = static_cast<std::int64_t>(static_cast<double>(forecast.expected.count()) * spread);
-    return std::max(leastComeBack, framework::Milliseconds(wait));
+    const double jitter = 1 + retryJitter * random;
+    const auto wait = static_cast<std::int64_t>(static_cast<double>(forecast.expected.count()) * jitter);
+    return std::max(minRetryAfter, framework::Milliseconds(wait));
 }
 
 } // namespace lagoon::policy
--- a/src/policy/internal/loadorder.h
+++ b/src/policy/internal/loadorder.h
@@ -4,9 +4,10 @@
 
 namespace lagoon::policy {
 
-/// Greatest value per second of the store's place first: priority and callers waiting over the expected load time, up
-/// to twice as much for the nearest deadlines, little if the earliest can't be met. Waiting raises the value without
-/// bound, so nothing starves.
+/// Starts the load with the greatest value per second of a store slot first. The value grows with the priority and with
+/// the number of waiting requests, and is divided by the expected load time. It is up to twice as high for the nearest
+/// deadlines, and low if the earliest deadline can't be met. It grows without bound while the load waits, so that no
+/// load starves.
 class ValueLoadOrder final : public ILoadOrder {
 public:
     std::optional<std::size_t> next(const std::vector<PendingLoad>&, framework::SteadyTime now) const override;
--- a/src/policy/internal/loadplacement.cpp
+++ b/src/policy/internal/loadplacement.cpp
@@ -9,13 +9,13 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/// Idle time after which a victim is thought half as likely to be missed.
+/// Idle time in seconds after which a victim is considered half as likely to be needed again.
 constexpr double victimHalfLifeSeconds = 600;
-/// What each running request adds: a load takes bandwidth from its neighbours.
+/// Cost in seconds for each running request, since a load takes bandwidth from the requests beside it.
 constexpr double secondsPerRunning = 0.05;
-/// Bids within this of the best are equal.
-constexpr double nearlyAsGoodShare = 0.1;
-constexpr double nearlyAsGoodSeconds = 0.5;
+/// Bids whose cost exceeds the lowest one by at most this share plus these seconds count as equal.
+constexpr double toleranceShare = 0.1;
+constexpr double toleranceSeconds = 0.5;
 
 double seconds(framework::Milliseconds duration) { return Seconds(duration).count(); }
 
@@ -32,12 +32,12 @@
 
 std::optional<std::size_t> CheapestLoadPlacement::choose(const std::vector<LoadBid>& bids) const
 {
-    double least = std::numeric_limits<double>::infinity();
+    double lowestCost = std::numeric_limits<double>::infinity();
     for (const LoadBid& bid : bids) {
         if (bid.canLoad)
-            least = std::min(least, cost(bid));
+            lowestCost = std::min(lowestCost, cost(bid));
     }
-    const double acceptable = least * (1 + nearlyAsGoodShare) + nearlyAsGoodSeconds;
+    const double acceptable = lowestCost * (1 + toleranceShare) + toleranceSeconds;
     for (std::size_t index = 0; index < bids.size(); ++index) {
         if (bids[index].canLoad && cost(bids[index]) <= acceptable)
             return index;
--- a/src/policy/internal/loadtimeestimator.cpp
+++ b/src/policy/internal/loadtimeestimator.cpp
@@ -10,27 +10,30 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/// What a load takes before anything was measured.
-struct Guess {
+/// Assumed speed of a load before anything was measured.
+struct AssumedSpeed {
     double fixedSeconds;
     double mebiBytesPerSecond;
 };
-/// By CheckpointLocation.
-constexpr std::array<Guess, 3> guesses { Guess { 1, 10000 }, Guess { 2, 2500 }, Guess { 3, 1000 } };
-
-constexpr double fadingHalfLifeSeconds = 180;
-/// Share of a new measurement in an average, once there are some.
-constexpr double newShare = 0.3;
-/// Mean absolute deviation of the logarithm that is assumed at first, and the least that is believed later.
-constexpr double firstDeviation = 0.5;
-constexpr double leastDeviation = 0.1;
-/// Mean absolute deviations to the tenth and ninetieth percentile (of a normal distribution).
+/// Indexed by CheckpointLocation.
+constexpr std::array<AssumedSpeed, 3> assumedSpeeds { AssumedSpeed { 1, 10000 }, AssumedSpeed { 2, 2500 },
+    AssumedSpeed { 3, 1000 } };
+
+constexpr double decayHalfLifeSeconds = 180;
+/// Weight of a new measurement in an exponential moving average. The first measurements of a target weigh more.
+constexpr double newWeight = 0.3;
+/// Mean absolute deviation of the logarithm that is assumed before the first measurement.
+constexpr double initialDeviation = 0.5;
+/// Lower bound of the mean absolute deviation in estimates.
+constexpr double minDeviation = 0.1;
+/// Distance from the median to the tenth and ninetieth percentiles of a normal distribution, in mean absolute
+/// deviations.
 constexpr double deviationsToTail = 1.6;
 
-double guessedSeconds(CheckpointLocation location, framework::MebiBytes memory)
+double assumedSeconds(CheckpointLocation location, framework::MebiBytes memory)
 {
-    const Guess& guess = guesses[static_cast<std::size_t>(location)];
-    return guess.fixedSeconds + static_cast<double>(memory.value()) / guess.mebiBytesPerSecond;
+    const AssumedSpeed& speed = assumedSpeeds[static_cast<std::size_t>(location)];
+    return speed.fixedSeconds + static_cast<double>(memory.value()) / speed.mebiBytesPerSecond;
 }
 
 framework::Milliseconds milliseconds(double seconds)
@@ -38,7 +41,7 @@
     return std::chrono::duration_cast<framework::Milliseconds>(Seconds(seconds));
 }
 
-double shareOfNew(std::uint32_t samples) { return std::max(newShare, 1.0 / (samples + 1)); }
+double weightOfNew(std::uint32_t samples) { return std::max(newWeight, 1.0 / (samples + 1)); }
 
 } // namespace
 
@@ -46,22 +49,22 @@
     framework::Milliseconds took, framework::SteadyTime now)
 {
     const auto index = static_cast<std::size_t>(location);
-    Factor& ofPlace = locationFactors_[index];
-    Factor& ofTarget = targets_[target][index];
+    Factor& locationFactor = locationFactors_[index];
+    Factor& targetFactor = targets_[target][index];
     const double measured = std::max(0.001, Seconds(took).count());
-    const double logarithm = std::log(measured / guessedSeconds(location, memory));
-    const double surprise = logarithm - decayed(ofPlace, now) - ofTarget.logarithm;
-
-    ofPlace.logarithm = decayed(ofPlace, now) + newShare * surprise;
-    ofPlace.last = now;
-    ++ofPlace.samples;
-
-    const double share = shareOfNew(ofTarget.samples);
-    ofTarget.logarithm += (1 - newShare) * share * surprise;
-    const double oldDeviation = ofTarget.samples == 0 ? firstDeviation : ofTarget.deviation;
-    ofTarget.deviation = oldDeviation + newShare * (std::abs(surprise) - oldDeviation);
-    ofTarget.last = now;
-    ++ofTarget.samples;
+    const double logarithm = std::log(measured / assumedSeconds(location, memory));
+    const double residual = logarithm - decayed(locationFactor, now) - targetFactor.logarithm;
+
+    locationFactor.logarithm = decayed(locationFactor, now) + newWeight * residual;
+    locationFactor.last = now;
+    ++locationFactor.samples;
+
+    const double weight = weightOfNew(targetFactor.samples);
+    targetFactor.logarithm += (1 - newWeight) * weight * residual;
+    const double oldDeviation = targetFactor.samples == 0 ? initialDeviation : targetFactor.deviation;
+    targetFactor.deviation = oldDeviation + newWeight * (std::abs(residual) - oldDeviation);
+    targetFactor.last = now;
+    ++targetFactor.samples;
 }
 
 void LoadTimeEstimator::recordUnfinished(const std::string& target, CheckpointLocation location,
@@ -70,9 +73,10 @@
     const LoadTimeEstimate expected = estimate(target, location, memory, now);
     if (elapsed <= expected.typical)
         return;
-    Factor& ofPlace = locationFactors_[static_cast<std::size_t>(location)];
-    ofPlace.logarithm = decayed(ofPlace, now) + std::log(Seconds(elapsed).count() / Seconds(expected.typical).count());
-    ofPlace.last = now;
+    Factor& locationFactor = locationFactors_[static_cast<std::size_t>(location)];
+    locationFactor.logarithm
+        = decayed(locationFactor, now) + std::log(Seconds(elapsed).count() / Seconds(expected.typical).count());
+    locationFactor.last = now;
 }
 
 LoadTimeEstimate LoadTimeEstimator::estimate(const std::string& target, CheckpointLocation location,
@@ -80,12 +84,12 @@
 {
     const auto index = static_cast<std::size_t>(location);
     double logarithm = decayed(locationFactors_[index], now);
-    double deviation = firstDeviation;
+    double deviation = initialDeviation;
     if (const auto found = targets_.find(target); found != targets_.end() && found->second[index].samples > 0) {
         logarithm += found->second[index].logarithm;
-        deviation = std::max(leastDeviation, found->second[index].deviation);
+        deviation = std::max(minDeviation, found->second[index].deviation);
     }
-    const double typical = guessedSeconds(location, memory) * std::exp(logarithm);
+    const double typical = assumedSeconds(location, memory) * std::exp(logarithm);
     const double spread = std::exp(deviationsToTail * deviation);
     return { milliseconds(typical / spread), milliseconds(typical), milliseconds(typical * spread) };
 }
@@ -93,7 +97,7 @@
 double LoadTimeEstimator::decayed(const Factor& factor, framework::SteadyTime now)
 {
     const double age = Seconds(now - factor.last).count();
-    return factor.logarithm * std::exp2(-std::max(0.0, age) / fadingHalfLifeSeconds);
+    return factor.logarithm * std::exp2(-std::max(0.0, age) / decayHalfLifeSeconds);
 }
 
 } // namespace lagoon::policy
--- a/src/policy/internal/modelcopies.cpp
+++ b/src/policy/internal/modelcopies.cpp
@@ -7,18 +7,19 @@
 
 namespace {
 
-/// Part of an engine's time that one copy's requests should take: beyond it, reading a long prompt holds up enough
-/// others that first events come late.
+/// Share of an engine's time that the requests of one copy should take at most. Beyond it, the prefill of a long prompt
+/// delays so many other requests that their first events are late.
 constexpr double workPerCopy = 0.5;
-/// A model with this much work has a second copy, so that the loss of one engine doesn't stop it.
+/// From this share of an engine's time on, a model gets a second copy, so that the loss of one engine doesn't interrupt
+/// it.
 constexpr double workOfBusyModel = 0.2;
 
-/// Beyond this part of an engine's time queues grow by themselves.
-constexpr double workOfStrainedCopy = 0.8;
+/// Beyond this share of an engine's time, queues grow even without bursts.
+constexpr double workOfOverloadedCopy = 0.8;
 
 } // namespace
 
-bool isOverloaded(double work, std::uint32_t holders) { return holders > 0 && work > workOfStrainedCopy * holders; }
+bool isOverloaded(double work, std::uint32_t holders) { return holders > 0 && work > workOfOverloadedCopy * holders; }
 
 bool isBusyModel(double work) { return work >= workOfBusyModel; }
 
--- a/src/policy/internal/rendezvous.cpp
+++ b/src/policy/internal/rendezvous.cpp
@@ -33,7 +33,7 @@
     weighed.reserve(vms.size());
     for (framework::VmName& vm : vms) {
         const std::string text = key + '\n' + vm.value();
-        // FNV's high bits mix badly over short keys that differ in the end.
+        // FNV-1a mixes its high bits poorly for short keys that differ only at the end.
         weighed.emplace_back(mixBits(fnv1a(text.data(), text.size())), std::move(vm));
     }
     std::sort(weighed.begin(), weighed.end(), std::greater<>());
--- a/src/policy/internal/replicachoice.cpp
+++ b/src/policy/internal/replicachoice.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-/// How much longer than the typical replica's wait a prefix's own replica may take: a cached prefix saves about
+/// Bound on the wait at a prefix's preferred replica, as a multiple of the median wait. A cached prefix saves about
 /// that much of the work.
 constexpr double affinityBound = 1.5;
-/// Time in which a bad average loses half of its excess over the typical one.
-constexpr double fadingHalfLifeSeconds = 20;
+/// Time in which a bad average loses half of its excess over the median.
+constexpr double decayHalfLifeSeconds = 20;
 constexpr double assumedFirstByteSeconds = 0.1;
 
 struct Candidate {
@@ -39,20 +39,21 @@
     return known.empty() ? assumedFirstByteSeconds : median(std::move(known));
 }
 
-double fadedFirstByte(const ReplicaView& replica, double typical, framework::SteadyTime now)
+double decayedFirstByte(const ReplicaView& replica, double typical, framework::SteadyTime now)
 {
     if (replica.firstByteSeconds <= typical)
         return typical;
     const double age = std::chrono::duration<double>(now - replica.lastAnswer).count();
     const double excess = replica.firstByteSeconds - typical;
-    return typical + excess * std::exp2(-std::max(0.0, age) / fadingHalfLifeSeconds);
+    return typical + excess * std::exp2(-std::max(0.0, age) / decayHalfLifeSeconds);
 }
 
-/// Own requests are known at once, others' only as last reported, with own ones among them.
+/// Returns the expected wait of one more request. This router's own requests are known at once. The agent's last report
+/// covers the requests of all routers, including this one's, but lags behind; so the greater of the two counts.
 double expectedWait(const ReplicaView& replica, double typical, framework::SteadyTime now)
 {
     const std::uint32_t load = std::max(replica.ownInFlight, replica.reportedRunning + replica.reportedWaiting);
-    return (load + 1) * fadedFirstByte(replica, typical, now);
+    return (load + 1) * decayedFirstByte(replica, typical, now);
 }
 
 std::uint64_t prefixWeight(std::uint64_t prefixHash, const ReplicaView& replica)
--- a/src/policy/internal/replicachoice.h
+++ b/src/policy/internal/replicachoice.h
@@ -4,9 +4,9 @@
 
 namespace lagoon::policy {
 
-/// Rendezvous hashing by prefix with bounded load: the first replica in the prefix's order whose expected wait isn't
-/// out of proportion. Requests without a prefix take the better of two drawn at random, since routers that all took
-/// the one that last reported the least would swamp it before the next report.
+/// Rendezvous hashing by prefix with bounded load: takes the first replica in the prefix's rendezvous order whose
+/// expected wait is within a bound. For requests without a prefix it takes the better of two replicas drawn at random:
+/// if all routers took the replica that last reported the least load, they would overload it before its next report.
 class BoundedLoadReplicaChoice final : public IReplicaChoice {
 public:
     explicit BoundedLoadReplicaChoice(std::uint64_t seed);
--- a/src/policy/internal/standingqueue.cpp
+++ b/src/policy/internal/standingqueue.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// However short the target: those who waited for a model's load all queue when it has ended, and the queue that they
-/// leave goes within this.
-constexpr Milliseconds leastStanding { 1000 };
+/// Lower bound of the time after which a queue counts as standing, however short the target is. When a model's load
+/// ends, all requests that waited for it queue at once, and their queue drains within this time.
+constexpr Milliseconds minStandingTime { 1000 };
 
 } // namespace
 
@@ -27,7 +27,7 @@
 bool StandingQueue::isStanding(Milliseconds target, SteadyTime now) const
 {
     return aboveTargetSince_ && now - lastAboveTarget_ <= target
-        && now - *aboveTargetSince_ >= std::max(target, leastStanding);
+        && now - *aboveTargetSince_ >= std::max(target, minStandingTime);
 }
 
 } // namespace lagoon::policy
--- a/src/policy/internal/storeconcurrencyestimator.cpp
+++ b/src/policy/internal/storeconcurrencyestimator.cpp
@@ -7,12 +7,13 @@
 
 namespace {
 
-/// Reports lag, and an unload may come first: a load that takes this much longer than undisturbed was slowed.
-constexpr double slowed = 1.2;
-/// Of a load that has ended in its time, beside as many others as are thought possible: one more may be.
-constexpr double placesMore = 1;
-constexpr double fewest = 1;
-constexpr double most = 64;
+/// A load counts as slowed down if it takes longer than this multiple of its uncontended time. The tolerance allows for
+/// delayed reports and for an unload that precedes the load.
+constexpr double slowdownThreshold = 1.2;
+/// Added to the estimate when a load has ended in time while all estimated slots were in use.
+constexpr double slotsIncrement = 1;
+constexpr double minSlots = 1;
+constexpr double maxSlots = 64;
 
 } // namespace
 
@@ -25,9 +26,9 @@
     const std::map<std::string, framework::Milliseconds>& loads, framework::SteadyTime now)
 {
     for (auto known = loads_.begin(); known != loads_.end();) {
-        known->second.concurrencySeconds
-            += secondsBetween(known->second.at, now) * static_cast<double>(std::max<std::size_t>(1, loads.size()));
-        known->second.at = now;
+        known->second.concurrencySeconds += secondsBetween(known->second.updatedAt, now)
+            * static_cast<double>(std::max<std::size_t>(1, loads.size()));
+        known->second.updatedAt = now;
         const bool hasEnded = !loads.contains(known->first);
         updateFrom(known->second, now, hasEnded);
         known = hasEnded ? loads_.erase(known) : std::next(known);
@@ -38,16 +39,16 @@
 
 void StoreConcurrencyEstimator::updateFrom(const Load& load, framework::SteadyTime now, bool hasEnded)
 {
-    const double took = secondsBetween(load.since, now);
+    const double took = secondsBetween(load.startedAt, now);
     const double uncontended = std::chrono::duration<double>(load.uncontended).count();
     if (took <= 0 || uncontended <= 0)
         return;
-    const double together = load.concurrencySeconds / took;
-    if (took > slowed * uncontended)
-        // At `slots` / `together` of full speed it would have needed just this long.
-        slots_ = std::clamp(std::min(slots_, together * uncontended / took), fewest, most);
-    else if (hasEnded && took > uncontended / slowed && together >= slots_)
-        slots_ = std::min(most, slots_ + placesMore);
+    const double meanConcurrency = load.concurrencySeconds / took;
+    if (took > slowdownThreshold * uncontended)
+        // The load would have taken exactly this long at `slots_` / `meanConcurrency` of full speed.
+        slots_ = std::clamp(std::min(slots_, meanConcurrency * uncontended / took), minSlots, maxSlots);
+    else if (hasEnded && took > uncontended / slowdownThreshold && meanConcurrency >= slots_)
+        slots_ = std::min(maxSlots, slots_ + slotsIncrement);
 }
 
 std::size_t StoreConcurrencyEstimator::slots() const { return static_cast<std::size_t>(std::lround(slots_)); }
--- a/src/policy/internal/storequeue.cpp
+++ b/src/policy/internal/storequeue.cpp
@@ -12,7 +12,7 @@
 {
     const std::size_t atLeastOne = std::max<std::size_t>(1, slots);
     std::sort(freeIn_.begin(), freeIn_.end());
-    // With more loads than places the first to end free none.
+    // If there are more loads than slots, the loads that end first free no slot.
     if (freeIn_.size() > atLeastOne)
         freeIn_.erase(freeIn_.begin(), freeIn_.end() - static_cast<std::ptrdiff_t>(atLeastOne));
     freeIn_.insert(freeIn_.begin(), atLeastOne - freeIn_.size(), Milliseconds(-1));
--- a/src/policy/internal/weightstoreshare.cpp
+++ b/src/policy/internal/weightstoreshare.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr framework::Milliseconds borrowAfter { 500 };
-constexpr framework::Milliseconds noBorrowingFor { 10000 };
+constexpr framework::Milliseconds waitBeforeBorrowing { 500 };
+constexpr framework::Milliseconds borrowingPause { 10000 };
 
 } // namespace
 
@@ -31,9 +31,9 @@
 {
     if (running_ < slots() && tokens(now) >= 1)
         return true;
-    if (!mayBorrow_ || now < waitingSince + borrowAfter || !borrowingPausedUntil_.hasPassed(now))
+    if (!mayBorrow_ || now < waitingSince + waitBeforeBorrowing || !borrowingPausedUntil_.hasPassed(now))
         return false;
-    // What was borrowed is at most a whole second of the store's rate.
+    // Borrowing is limited to the number of loads that the store admits in one second.
     return running_ < numbers_.weightLoadsAtFullSpeed && tokens(now) > -numbers_.weightLoadsPerSecond;
 }
 
@@ -52,23 +52,23 @@
 
 void WeightStoreShare::recordRefusal(framework::SteadyTime now)
 {
-    borrowingPausedUntil_ = framework::Deadline::after(now, noBorrowingFor);
+    borrowingPausedUntil_ = framework::Deadline::after(now, borrowingPause);
 }
 
 std::uint32_t WeightStoreShare::slots() const
 {
-    const std::uint32_t all = numbers_.weightLoadsAtFullSpeed;
-    const std::uint32_t leftOver = rank_ < all % routers_ ? 1 : 0;
-    return std::max(1U, all / routers_ + leftOver);
+    const std::uint32_t total = numbers_.weightLoadsAtFullSpeed;
+    const std::uint32_t remainder = rank_ < total % routers_ ? 1 : 0;
+    return std::max(1U, total / routers_ + remainder);
 }
 
 double WeightStoreShare::loadsPerSecond() const { return numbers_.weightLoadsPerSecond / routers_; }
 
 double WeightStoreShare::tokens(framework::SteadyTime now) const
 {
-    const double passed = std::max(0.0, std::chrono::duration<double>(now - tokensUpdatedAt_).count());
-    const double most = std::max(1.0, loadsPerSecond());
-    return std::min(most, tokens_ + passed * loadsPerSecond());
+    const double elapsed = std::max(0.0, std::chrono::duration<double>(now - tokensUpdatedAt_).count());
+    const double maxTokens = std::max(1.0, loadsPerSecond());
+    return std::min(maxTokens, tokens_ + elapsed * loadsPerSecond());
 }
 
 } // namespace lagoon::policy
--- a/src/policy/ireplicachoice.h
+++ b/src/policy/ireplicachoice.h
@@ -13,24 +13,26 @@
 /// A loaded replica as one router sees it.
 struct ReplicaView {
     framework::VmName vm;
-    /// Sent by this router and not answered.
+    /// Requests that this router has sent and that aren't answered yet.
     std::uint32_t ownInFlight = 0;
-    /// As the agent last said; lags.
+    /// As of the agent's last report, which lags behind.
     std::uint32_t reportedRunning = 0;
     std::uint32_t reportedWaiting = 0;
-    /// Exponentially averaged time to the first byte; 0 before the first answer.
+    /// Exponential moving average of the time to the first byte; 0 before the first answer.
     double firstByteSeconds = 0;
-    /// When that average last changed. A bad one fades from then on, so that a recovered replica is tried again.
+    /// When `firstByteSeconds` last changed. From then on a bad average decays, so that a recovered replica is tried
+    /// again.
     framework::SteadyTime lastAnswer {};
-    /// Failures or silence lately: don't use unless there is nothing else.
+    /// Whether the replica has failed or not responded lately. It is used only if all replicas are suspect.
     bool isSuspect = false;
 };
 
-/// Chooses among warm replicas.
+/// Chooses among the warm replicas of a target.
 class IReplicaChoice {
 public:
     virtual ~IReplicaChoice() = default;
-    /// `prefixHash` is that of the prompt's beginning, 0 for none. Nothing only if there are no replicas.
+    /// Returns an index into the replicas, std::nullopt only if there are none. `prefixHash` is the hash of the
+    /// prompt's beginning, 0 if there is no prefix.
     virtual std::optional<std::size_t> choose(
         const std::vector<ReplicaView>&, std::uint64_t prefixHash, framework::SteadyTime now)
         = 0;
--- a/src/policy/loadtimeestimator.h
+++ b/src/policy/loadtimeestimator.h
@@ -11,35 +11,36 @@
 
 namespace lagoon::policy {
 
-/// How long a load takes: nine in ten take longer than `low`, half longer than `typical`, one in ten longer than
-/// `high`.
+/// Estimated duration of a load: nine in ten loads take longer than `low`, half take longer than `typical`, and one in
+/// ten takes longer than `high`.
 struct LoadTimeEstimate {
     framework::Milliseconds low { 0 };
     framework::Milliseconds typical { 0 };
     framework::Milliseconds high { 0 };
 };
 
-/// Load times by target and checkpoint place, learned from measurements.
+/// Estimates load times by target and checkpoint location from measurements.
 ///
-/// A time is taken as (a guess from the memory and the place) x (a factor of the place now) x (a factor of the target).
-/// The place's factor follows within a few loads and fades to 1 in minutes without any: a weight store that was slow
-/// an hour ago must not have requests refused as hopeless now, since with no request there would be no load, and with
-/// no load no measurement that says otherwise. The target's factor is kept.
+/// An estimate is the product of an assumed time for the memory and location, a factor of the location, and a factor of
+/// the target. The location's factor adapts within a few loads and decays to 1 within minutes without any: a weight
+/// store that was slow an hour ago must not have requests refused as hopeless now, since without requests there would
+/// be no load, and without a load no measurement that corrects the factor. The target's factor doesn't decay.
 class LoadTimeEstimator {
 public:
     void record(const std::string& target, CheckpointLocation, framework::MebiBytes memory,
         framework::Milliseconds took, framework::SteadyTime now);
-    /// A load that has run this long and hasn't ended is a measurement too, once it exceeds the estimate. Otherwise a
-    /// store that has just become slow would be noticed only when the first slow load ends, long after the deadlines.
+    /// Records that a load has run for `elapsed` and hasn't ended. This counts as a measurement once it exceeds the
+    /// estimate. Otherwise a store that has just become slow would be noticed only when the first slow load ends, long
+    /// after the deadlines of the requests.
     void recordUnfinished(const std::string& target, CheckpointLocation, framework::MebiBytes memory,
         framework::Milliseconds elapsed, framework::SteadyTime now);
     LoadTimeEstimate estimate(
         const std::string& target, CheckpointLocation, framework::MebiBytes memory, framework::SteadyTime now) const;
-    /// Targets for which anything was recorded.
+    /// Number of targets that have measurements.
     std::size_t targetCount() const { return targets_.size(); }
 
 private:
-    /// A factor's logarithm and its mean deviation.
+    /// The logarithm of a factor and its mean absolute deviation.
     struct Factor {
         double logarithm = 0;
         double deviation = 0;
--- a/src/policy/policysetup.h
+++ b/src/policy/policysetup.h
@@ -12,7 +12,8 @@
 
 namespace lagoon::policy {
 
-/// Makes the policies that the bundle's numbers call for. Routers need different seeds, lest they all choose alike.
+/// The functions below make the policies with the parameters from the bundle. Each router needs a seed of its own,
+/// since routers with equal seeds would all make the same choices.
 std::unique_ptr<ILoadPlacement> makeLoadPlacement(const bundle::PolicyNumbers&);
 std::unique_ptr<IReplicaChoice> makeReplicaChoice(
     const bundle::PolicyNumbers&, std::uint64_t seed = framework::randomNumber());
--- a/src/policy/policyswitches.h
+++ b/src/policy/policyswitches.h
@@ -2,40 +2,42 @@
 
 namespace lagoon::policy {
 
-/// Which mechanisms of the direct path's policies are on: all, unless an operator or a test wants to know what one of
-/// them is worth, or has to do without it for a while. None of them keeps a promise; each only decides better or worse.
+/// Enables or disables single mechanisms of the direct path's policies. All are on by default; an operator or a test
+/// switches one off to measure its benefit or to do without it for a while. No guarantee depends on any of them: they
+/// only improve decisions.
 struct PolicySwitches {
-    /// Busy models are held by several engines.
+    /// Busy models are loaded on several engines.
     bool copiesBusyModels = true;
-    /// A busy model may lose one of its copies to a model that callers wait for.
+    /// One copy of a busy model may be evicted for a model that requests wait for.
     bool displacesBusyCopies = true;
-    /// Models that no engine has at hand are fetched while nobody waits.
+    /// Models that no engine has cached are prefetched while no request waits for them.
     bool fetchesAhead = true;
-    /// Models of many adapters are kept at hand on a second engine.
+    /// Models with many adapters are kept cached on a second engine.
     bool keepsStandbys = true;
-    /// Loads wait while the weight store serves as many as it can at full speed.
+    /// Loads wait while the weight store already serves as many loads as it can at full speed.
     bool sharesWeightStore = true;
-    /// Loads go by the worth of those who wait, not by who came first.
+    /// Loads start in the order of their value to the waiting requests, not in the order of arrival.
     bool ordersLoadsByValue = true;
-    /// Engines whose models are idle are preferred to those whose requests have to end first.
+    /// Loads go preferably to engines that can evict idle models, rather than to engines whose requests have to end
+    /// before they can evict.
     bool avoidsDrains = true;
-    /// An agent that has been asked for a load is kept to.
+    /// A load stays with the agent that was asked for it unless another one is better by a margin.
     bool keepsToLoader = true;
-    /// Engines are preferred for prompts whose parts they are thought to keep.
+    /// Prompts go preferably to engines that probably have parts of them in their prefix caches.
     bool followsPrompts = true;
-    /// Servers that failed lately are passed by.
+    /// Servers that failed lately are avoided.
     bool suspectsServers = true;
-    /// Engines that have fallen silent are passed by, and what may run again is taken away from them.
+    /// Engines that have stopped responding are avoided, and requests that may be retried are taken back from them.
     bool leavesSilentEngines = true;
-    /// Requests are sent once more if they may be.
+    /// Requests are retried if that is permitted.
     bool repeatsRequests = true;
-    /// Who can't be served in time is refused at once.
+    /// Requests that can't be answered in time are refused at once.
     bool refusesHopeless = true;
-    /// Who finds a queue that stays too long is refused.
+    /// Requests that find a standing queue are refused.
     bool refusesOverload = true;
-    /// Refused callers who are to come back count for their model's load.
+    /// Refused callers that were told to retry count as demand for their model's load.
     bool countsReturning = true;
-    /// Servers in the own failure domain are preferred.
+    /// Servers in the router's own failure domain are preferred.
     bool prefersOwnDomain = true;
 };
 
--- a/src/policy/rendezvous.h
+++ b/src/policy/rendezvous.h
@@ -7,18 +7,18 @@
 #include <string>
 #include <vector>
 
-/// Decisions without I/O or clock: each is a plain class, given all it needs, so that tests and benchmarks drive the
-/// very code that processes run.
+/// Policies decide without I/O and without a clock: each is a plain class that is given all its input, so that tests
+/// and benchmarks run the same code as the processes.
 namespace lagoon::policy {
 
-/// The VMs by falling rendezvous weight for a key: the same order at everyone with the same list, and the loss of one
-/// VM moves only the keys it was first for.
+/// Returns the VMs by descending rendezvous weight for a key. All processes with the same list get the same order, and
+/// the loss of one VM moves only the keys for which it came first.
 std::vector<framework::VmName> rendezvousOrder(const std::string& key, std::vector<framework::VmName>);
 
-/// FNV-1a over bytes, continued from `hash`.
+/// FNV-1a hash of the bytes, continued from `hash`.
 std::uint64_t fnv1a(const char* bytes, std::size_t size, std::uint64_t hash = 14695981039346656037ULL);
 
-/// Spreads a hash over all its bits (splitmix64's finaliser).
+/// Mixes the bits of a hash so that each input bit affects all output bits (the finaliser of splitmix64).
 std::uint64_t mixBits(std::uint64_t hash);
 
 } // namespace lagoon::policy
--- a/src/policy/retrybackoff.h
+++ b/src/policy/retrybackoff.h
@@ -6,12 +6,12 @@
 
 namespace lagoon::policy {
 
-/// Exponential backoff with full jitter: retries of many routers that failed together don't come back together.
+/// Exponential backoff with full jitter, which spreads the retries of many routers that failed at the same time.
 struct RetryBackoff {
     framework::Milliseconds initial { 50 };
     framework::Milliseconds max { 5000 };
 
-    /// The wait before the retry that follows `failures` (from 1); `random` in [0, 1).
+    /// Returns the wait before the retry after the `failures`-th failure, counted from 1. `random` is in [0, 1).
     framework::Milliseconds wait(std::uint32_t failures, double random) const;
 };
 
--- a/src/policy/retrybudget.h
+++ b/src/policy/retrybudget.h
@@ -2,15 +2,15 @@
 
 namespace lagoon::policy {
 
-/// Bounds retries to a share of the requests, so that they never multiply an overload: each request earns `share` of
-/// a retry, up to `max`; each retry spends one.
+/// Limits retries to a share of the requests, so that retries never multiply an overload. Each request adds `share` of
+/// a retry to the budget, which holds at most `max` retries; each retry takes one from it.
 class RetryBudget {
 public:
     RetryBudget(double share, double max);
     void earn();
-    /// False: there is no retry left; refuse instead.
+    /// Returns false if the budget is exhausted; the request has to be refused then.
     [[nodiscard]] bool spend();
-    /// From now on no more than this may be saved up.
+    /// Sets the maximum balance, which also cuts the present balance.
     void setMax(double max);
     double balance() const { return balance_; }
 
--- a/src/policy/standingqueue.h
+++ b/src/policy/standingqueue.h
@@ -6,18 +6,18 @@
 
 namespace lagoon::policy {
 
-/// Tells a queue that stays from one that a burst leaves behind and that goes by itself.
+/// Distinguishes a standing queue from one that a burst leaves behind and that drains by itself.
 ///
-/// An engine that is asked for more than it can do makes everyone late: each request waits as long as callers bear, and
-/// of those that are served hardly one is in time. If what comes is refused instead while the queue stays longer than
-/// the target, the engine serves as many, and most of them in time. A queue counts as staying once arrivals have found
-/// it longer than the target for as long as the target, and a second at least; and until none
-/// has for as long again, or it would be let grow anew each time that it has just become short enough.
+/// An overloaded engine makes all requests late: each waits as long as its caller tolerates, and of those that are
+/// served hardly one is in time. If arriving requests are refused while the queue stays above the target, the engine
+/// serves as many requests, and most of them in time. A queue counts as standing once arrivals have found it above the
+/// target for as long as the target, and for a second at least. It stops counting as standing once no arrival has found
+/// it above the target for as long as the target; otherwise it would grow again each time it has just become short.
 class StandingQueue {
 public:
-    /// `expected`: the wait of a request that comes now.
+    /// Records an arrival. `expected` is the wait of a request that arrives now.
     void didArrive(framework::Milliseconds expected, framework::Milliseconds target, framework::SteadyTime now);
-    /// Whether who finds it longer than the target is to be refused.
+    /// Whether a request that finds the queue above the target has to be refused.
     bool isStanding(framework::Milliseconds target, framework::SteadyTime now) const;
 
 private:
--- a/src/policy/storeconcurrencyestimator.h
+++ b/src/policy/storeconcurrencyestimator.h
@@ -8,20 +8,21 @@
 
 namespace lagoon::policy {
 
-/// How many loads the weight store serves at once without slowing each other, learned from how long loads take: beyond
-/// that number each takes longer in proportion, so more of them at once only makes all of them late.
+/// Estimates from the durations of loads how many loads the weight store serves at once without slowing them down.
+/// Beyond that number each load takes proportionally longer, so that further concurrent loads only make all of them
+/// late.
 class StoreConcurrencyEstimator {
 public:
-    /// `loads` are those under way now, by engine, with the time that each takes undisturbed.
+    /// `loads` has the loads in progress by engine, with the time that each takes without contention.
     void observe(const std::map<std::string, framework::Milliseconds>& loads, framework::SteadyTime now);
     std::size_t slots() const;
 
 private:
     struct Load {
-        framework::SteadyTime since {};
-        framework::SteadyTime at {};
+        framework::SteadyTime startedAt {};
+        framework::SteadyTime updatedAt {};
         framework::Milliseconds uncontended { 0 };
-        /// Sum over time of how many were under way, in seconds.
+        /// Number of loads in progress, integrated over the duration of this load, in seconds.
         double concurrencySeconds = 0;
     };
 
--- a/src/policy/storequeue.h
+++ b/src/policy/storequeue.h
@@ -7,21 +7,21 @@
 
 namespace lagoon::policy {
 
-/// Loads from the weight store in the order in which they get one of its places, and when each will have ended.
-/// Without I/O or clock; all times count from now.
+/// Predicts when loads from the weight store end if they get its slots in the order in which they are added. Has no I/O
+/// and no clock; all times count from now.
 class StoreQueue {
 public:
-    /// `running`: how much longer each of the loads under way takes. There may be more of them than places.
+    /// `running` has the remaining time of each load in progress. There may be more of them than slots.
     StoreQueue(std::size_t slots, std::vector<framework::Milliseconds> running);
 
-    /// Whether a load could begin now.
+    /// Whether a load could start now.
     bool hasFreeSlot() const;
     std::size_t freeSlots() const;
-    /// Gives the load the place that is free first. Returns when it will have ended.
+    /// Gives the load the slot that becomes free first. Returns the time at which the load will have ended.
     framework::Milliseconds add(framework::Milliseconds load);
 
 private:
-    /// When each place is free, the first first.
+    /// Time until each slot is free, in ascending order; negative for a free slot.
     std::vector<framework::Milliseconds> freeIn_;
 };
 
--- a/src/policy/tests/benchmark_check.cmake
+++ b/src/policy/tests/benchmark_check.cmake
@@ -1,5 +1,5 @@
-# Runs a benchmark (BENCHMARK, ARGUMENTS) and checks that its output is well-formed: it ends well, has each of the WANTED
-# patterns, and no value that isn't a number. No figure is judged.
+# Runs a benchmark (BENCHMARK, ARGUMENTS) and checks that its output is well-formed: it exits with 0, its output matches
+# each of the WANTED patterns and has no value that isn't a number. The figures themselves aren't checked.
 separate_arguments(arguments UNIX_COMMAND "${ARGUMENTS}")
 execute_process(COMMAND "${BENCHMARK}" ${arguments} OUTPUT_VARIABLE output RESULT_VARIABLE result)
 if(NOT result EQUAL 0)
--- a/src/policy/tests/keepwarm_test.cpp
+++ b/src/policy/tests/keepwarm_test.cpp
@@ -53,14 +53,14 @@
 
 BOOST_AUTO_TEST_SUITE(KeepWarm)
 
-BOOST_AUTO_TEST_CASE(withoutAHistoryItStaysAWhileButCostsNoMoreThanTheColdStart)
+BOOST_AUTO_TEST_CASE(withoutHistoryAReplicaIsKeptUntilItsIdlingCostsAsMuchAsAColdStart)
 {
-    // 30 s of load at weight 10, and the accelerator is taken while it loads.
+    // A cold start costs 30 s of load at weight 10 and 30 s of accelerator time during the load.
     const auto keep = kept(replica("drafts", 80000, 0s));
     BOOST_CHECK(keep > 30s && keep <= 330s);
 }
 
-BOOST_AUTO_TEST_CASE(itStaysLongerIfSmallerOrSlowToLoadOrDearer)
+BOOST_AUTO_TEST_CASE(smallerSlowerLoadingOrMoreCostlyReplicasAreKeptLonger)
 {
     const LoadedReplica whole = replica("drafts", 80000, 0s);
     LoadedReplica slow = whole;
@@ -70,23 +70,23 @@
     BOOST_CHECK(kept(whole, 100) > kept(whole, 10));
 }
 
-BOOST_AUTO_TEST_CASE(itOutlastsTheGapsThatWereSeenIfThatPays)
+BOOST_AUTO_TEST_CASE(aReplicaIsKeptThroughItsUsualGapsIfThatCostsLess)
 {
-    LoadedReplica often = replica("drafts", 80000, 0s);
+    LoadedReplica frequent = replica("drafts", 80000, 0s);
     for (int use = 0; use < 30; ++use)
-        often.gaps.record(200s);
-    BOOST_CHECK(kept(often) >= 200s && kept(often) < 600s);
+        frequent.gaps.record(200s);
+    BOOST_CHECK(kept(frequent) >= 200s && kept(frequent) < 600s);
 }
 
-BOOST_AUTO_TEST_CASE(itGoesAtOnceIfItWasNeverUsedAgainSoon)
+BOOST_AUTO_TEST_CASE(aReplicaWithOnlyLongGapsIsUnloadedSoon)
 {
-    LoadedReplica rarely = replica("drafts", 80000, 0s);
+    LoadedReplica rare = replica("drafts", 80000, 0s);
     for (int use = 0; use < 30; ++use)
-        rarely.gaps.record(5h);
-    BOOST_CHECK(kept(rarely) < 10s);
+        rare.gaps.record(5h);
+    BOOST_CHECK(kept(rare) < 10s);
 }
 
-// Guards against unloading a model in the short gap between two requests, which makes the second wait for a reload.
+// Prevents unloading a model in the short gap between two requests, which makes the second wait for a reload.
 BOOST_AUTO_TEST_CASE(aFastLoadingModelIsKeptThroughAShortGap)
 {
     LoadedReplica fast = replica("drafts", 56000, 0s);
@@ -97,14 +97,14 @@
     BOOST_CHECK(kept(fast) >= 1s);
 }
 
-BOOST_AUTO_TEST_CASE(othersGapsCountUntilThereAreOwnOnes)
+BOOST_AUTO_TEST_CASE(gapsOfOtherTargetsCountUntilAReplicaHasItsOwn)
 {
     policy::IdleGaps others;
     for (int use = 0; use < 30; ++use)
         others.record(200s);
-    LoadedReplica fresh = replica("drafts", 80000, 0s);
-    fresh.gaps = fresh.gaps.withPrior(others);
-    BOOST_CHECK(kept(fresh) >= 200s);
+    LoadedReplica unused = replica("drafts", 80000, 0s);
+    unused.gaps = unused.gaps.withPrior(others);
+    BOOST_CHECK(kept(unused) >= 200s);
     LoadedReplica known = replica("drafts", 80000, 0s);
     for (int use = 0; use < 30; ++use)
         known.gaps.record(5h);
@@ -112,7 +112,7 @@
     BOOST_CHECK(kept(known) < 10s);
 }
 
-BOOST_AUTO_TEST_CASE(oldGapsFade)
+BOOST_AUTO_TEST_CASE(oldGapsDecay)
 {
     LoadedReplica changed = replica("drafts", 80000, 0s);
     for (int use = 0; use < 30; ++use)
@@ -122,18 +122,18 @@
     BOOST_CHECK(kept(changed) >= 100s);
 }
 
-BOOST_AUTO_TEST_CASE(nothingIsTakenThatDoesNotSuffice)
+BOOST_AUTO_TEST_CASE(nothingIsEvictedIfItWouldNotFreeEnough)
 {
     BOOST_CHECK(victims({ replica("a", 1000, 1h), replica("b", 1000, 1h) }, 3000).empty());
     BOOST_CHECK(victims({ replica("a", 1000, 1h) }, 0).empty());
 }
 
-BOOST_AUTO_TEST_CASE(theLongestIdleGoesFirst)
+BOOST_AUTO_TEST_CASE(theLongestIdleReplicaIsEvictedFirst)
 {
     BOOST_CHECK(victims({ replica("a", 1000, 1min), replica("b", 1000, 2h) }, 500) == std::vector<std::size_t> { 1 });
 }
 
-BOOST_AUTO_TEST_CASE(aRunningReplicaStays)
+BOOST_AUTO_TEST_CASE(aRunningReplicaIsNotEvicted)
 {
     LoadedReplica running = replica("a", 1000, 2h);
     running.running = 1;
@@ -141,27 +141,27 @@
     BOOST_CHECK(victims({ running }, 500).empty());
 }
 
-BOOST_AUTO_TEST_CASE(aModelWithARunningAdapterStays)
+BOOST_AUTO_TEST_CASE(aModelWithARunningAdapterIsNotEvicted)
 {
     LoadedReplica adapter = adapterOf("a", "x", 2h);
     adapter.running = 1;
     BOOST_CHECK(victims({ replica("a", 1000, 2h), adapter }, 1000).empty());
 }
 
-BOOST_AUTO_TEST_CASE(aModelGoesAfterItsAdapters)
+BOOST_AUTO_TEST_CASE(aModelIsEvictedAfterItsAdapters)
 {
     const std::vector<LoadedReplica> replicas { replica("a", 1000, 2h), adapterOf("a", "x", 2h) };
     const std::vector<std::size_t> expected { 1, 0 };
     BOOST_CHECK(victims(replicas, 900) == expected);
 }
 
-BOOST_AUTO_TEST_CASE(noMoreGoesThanIsNeeded)
+BOOST_AUTO_TEST_CASE(noMoreIsEvictedThanNeeded)
 {
     const std::vector<LoadedReplica> replicas { replica("a", 1000, 3h), replica("b", 5000, 2h) };
     BOOST_TEST(victims(replicas, 4000).size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(aModelsEndIsItsAdaptersToo)
+BOOST_AUTO_TEST_CASE(adaptersExpireWithTheirModel)
 {
     const auto keeping = keepWarm(1);
     std::vector<LoadedReplica> replicas { replica("a", 40000, 5min), adapterOf("a", "x", 5min) };
@@ -173,14 +173,14 @@
     BOOST_CHECK(policy::expiredReplicas(*keeping, replicas, accelerator, start) == expected);
 }
 
-BOOST_AUTO_TEST_CASE(aModelWithARunningAdapterDoesNotEnd)
+BOOST_AUTO_TEST_CASE(aModelWithARunningAdapterDoesNotExpire)
 {
     std::vector<LoadedReplica> replicas { replica("a", 40000, 5min), adapterOf("a", "x", 5min) };
     replicas[1].running = 1;
     BOOST_CHECK(policy::expiredReplicas(*keepWarm(1), replicas, accelerator, start).empty());
 }
 
-BOOST_AUTO_TEST_CASE(anAdapterMayEndBeforeItsModel)
+BOOST_AUTO_TEST_CASE(anAdapterMayExpireBeforeItsModel)
 {
     const std::vector<LoadedReplica> replicas { replica("a", 40000, 0s), adapterOf("a", "x", 10h) };
     BOOST_CHECK(policy::expiredReplicas(*keepWarm(1), replicas, accelerator, start) == std::vector<std::size_t> { 1 });
--- a/src/policy/tests/loadorder_test.cpp
+++ b/src/policy/tests/loadorder_test.cpp
@@ -30,30 +30,30 @@
 
 BOOST_AUTO_TEST_SUITE(LoadOrder)
 
-BOOST_AUTO_TEST_CASE(nothingOfNothing) { BOOST_CHECK(!next({})); }
+BOOST_AUTO_TEST_CASE(anEmptyListHasNoNextLoad) { BOOST_CHECK(!next({})); }
 
-BOOST_AUTO_TEST_CASE(theEarlierDeadlineGoesFirst) { BOOST_CHECK(next({ pending(60s), pending(30s) }) == 1U); }
+BOOST_AUTO_TEST_CASE(theEarlierDeadlineStartsFirst) { BOOST_CHECK(next({ pending(60s), pending(30s) }) == 1U); }
 
-BOOST_AUTO_TEST_CASE(moreWaitersGoFirst) { BOOST_CHECK(next({ pending(60s), pending(60s, 8) }) == 1U); }
+BOOST_AUTO_TEST_CASE(moreWaitersStartFirst) { BOOST_CHECK(next({ pending(60s), pending(60s, 8) }) == 1U); }
 
-BOOST_AUTO_TEST_CASE(higherPriorityGoesFirst) { BOOST_CHECK(next({ pending(60s), pending(60s, 1, 9) }) == 1U); }
+BOOST_AUTO_TEST_CASE(higherPriorityStartsFirst) { BOOST_CHECK(next({ pending(60s), pending(60s, 1, 9) }) == 1U); }
 
-BOOST_AUTO_TEST_CASE(aLoadThatCanNotBeInTimeGoesBehind) { BOOST_CHECK(next({ pending(5s), pending(60s) }) == 1U); }
+BOOST_AUTO_TEST_CASE(aLoadThatCanNotBeInTimeStartsLater) { BOOST_CHECK(next({ pending(5s), pending(60s) }) == 1U); }
 
-BOOST_AUTO_TEST_CASE(theShorterLoadGoesFirst)
+BOOST_AUTO_TEST_CASE(theShorterLoadStartsFirst)
 {
     PendingLoad brief = pending(60s);
     brief.expectedLoad = 3s;
     BOOST_CHECK(next({ pending(60s), brief }) == 1U);
 }
 
-// Busy models keep bringing urgent loads. The one that waits would never start, and its caller would be refused each
-// time that it comes back. What has waited long goes first whatever comes.
-BOOST_AUTO_TEST_CASE(nothingStarves)
+// Prevents starvation: while busy models keep adding urgent loads, a load of low value would never start, and its
+// caller would be refused at each retry.
+BOOST_AUTO_TEST_CASE(noLoadStarves)
 {
-    PendingLoad patient = pending(60s, 1, 0);
-    patient.since = start - 10min;
-    BOOST_CHECK(next({ pending(11s, 50, 9), patient }) == 1U);
+    PendingLoad longWaiting = pending(60s, 1, 0);
+    longWaiting.since = start - 10min;
+    BOOST_CHECK(next({ pending(11s, 50, 9), longWaiting }) == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/policy/tests/loadplacement_test.cpp
+++ b/src/policy/tests/loadplacement_test.cpp
@@ -27,7 +27,7 @@
 
 BOOST_AUTO_TEST_SUITE(LoadPlacement)
 
-BOOST_AUTO_TEST_CASE(nothingIfNoneCanLoad)
+BOOST_AUTO_TEST_CASE(noBidIsChosenIfNoneCanLoad)
 {
     LoadBid refused = bid(CheckpointLocation::Memory, 1s);
     refused.canLoad = false;
@@ -35,17 +35,17 @@
     BOOST_CHECK(!choose({ refused }));
 }
 
-BOOST_AUTO_TEST_CASE(aCachedCheckpointGoesBeforeTheOrder)
+BOOST_AUTO_TEST_CASE(aCachedCheckpointOutweighsTheRendezvousOrder)
 {
     BOOST_CHECK(choose({ bid(CheckpointLocation::Remote, 40s), bid(CheckpointLocation::Disk, 10s) }) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(equalBidsGoByTheOrder)
+BOOST_AUTO_TEST_CASE(nearlyEqualBidsAreChosenInRendezvousOrder)
 {
     BOOST_CHECK(choose({ bid(CheckpointLocation::Disk, 10300ms), bid(CheckpointLocation::Disk, 10s) }) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(freeMemoryGoesBeforeTheEvictionOfAFreshReplica)
+BOOST_AUTO_TEST_CASE(freeMemoryIsPreferredToEvictingARecentlyUsedReplica)
 {
     LoadBid evicting = bid(CheckpointLocation::Disk, 10s);
     evicting.evictedMemory = framework::MebiBytes(1000);
@@ -53,7 +53,7 @@
     BOOST_CHECK(choose({ evicting, bid(CheckpointLocation::Disk, 10s) }) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(evictingAReplicaIdleForHoursBeatsARemoteLoad)
+BOOST_AUTO_TEST_CASE(evictingAReplicaIdleForHoursIsPreferredToARemoteLoad)
 {
     LoadBid evicting = bid(CheckpointLocation::Disk, 10s);
     evicting.evictedMemory = framework::MebiBytes(1000);
--- a/src/policy/tests/loadtimeestimator_test.cpp
+++ b/src/policy/tests/loadtimeestimator_test.cpp
@@ -13,7 +13,7 @@
 const framework::SteadyTime start = framework::SteadyTime() + 1h;
 const MebiBytes memory(30000);
 
-bool isNear(framework::Milliseconds value, framework::Milliseconds expected, double share)
+bool isWithin(framework::Milliseconds value, framework::Milliseconds expected, double share)
 {
     const double ratio = static_cast<double>(value.count()) / static_cast<double>(expected.count());
     return ratio > 1 - share && ratio < 1 + share;
@@ -23,7 +23,7 @@
 
 BOOST_AUTO_TEST_SUITE(LoadTimes)
 
-BOOST_AUTO_TEST_CASE(beforeAnyMeasurementFartherIsLongerAndTheBoundsAreWide)
+BOOST_AUTO_TEST_CASE(withoutMeasurementsFartherLocationsTakeLongerAndTheBoundsAreWide)
 {
     const LoadTimeEstimator estimator;
     const auto inMemory = estimator.estimate("m", CheckpointLocation::Memory, memory, start);
@@ -33,27 +33,27 @@
     BOOST_CHECK(remote.low < remote.typical / 2 && remote.high > remote.typical * 2);
 }
 
-BOOST_AUTO_TEST_CASE(aTargetsOwnTimesAreLearnedAndKept)
+BOOST_AUTO_TEST_CASE(aTargetsLoadTimesAreLearnedAndKept)
 {
     LoadTimeEstimator estimator;
     for (int load = 0; load < 8; ++load)
         estimator.record("m", CheckpointLocation::Disk, memory, 60s, start + load * 20min);
     const auto nextDay = estimator.estimate("m", CheckpointLocation::Disk, memory, start + 24h);
-    BOOST_TEST(isNear(nextDay.typical, 60s, 0.15), nextDay.typical.count());
+    BOOST_TEST(isWithin(nextDay.typical, 60s, 0.15), nextDay.typical.count());
     BOOST_CHECK(nextDay.high < nextDay.typical * 2);
 }
 
-BOOST_AUTO_TEST_CASE(oneTargetsSlownessIsNotAnothersForLong)
+BOOST_AUTO_TEST_CASE(aSlowTargetAffectsOtherTargetsOnlyForAShortTime)
 {
     LoadTimeEstimator estimator;
     const auto before = estimator.estimate("other", CheckpointLocation::Disk, memory, start);
     for (int load = 0; load < 8; ++load)
         estimator.record("m", CheckpointLocation::Disk, memory, 60s, start + load * 20min);
     const auto after = estimator.estimate("other", CheckpointLocation::Disk, memory, start + 3h);
-    BOOST_TEST(isNear(after.typical, before.typical, 0.1));
+    BOOST_TEST(isWithin(after.typical, before.typical, 0.1));
 }
 
-BOOST_AUTO_TEST_CASE(aSlowStoreShowsInTargetsThatWereNotLoadedSince)
+BOOST_AUTO_TEST_CASE(aSlowStoreRaisesEstimatesOfOtherTargets)
 {
     LoadTimeEstimator estimator;
     for (int load = 0; load < 6; ++load)
@@ -62,9 +62,9 @@
     BOOST_CHECK(other.typical > 100s);
 }
 
-// The weight store has become slow. Until the first slow load ends, callers of other models would wait for theirs to
-// their deadlines, though it is plain by now that none comes in time.
-BOOST_AUTO_TEST_CASE(aLoadThatDoesNotEndShowsInTheOthers)
+// Prevents callers from waiting until their deadlines for loads that can't be in time: when the weight store has become
+// slow, an overdue load shows it before the first slow load ends.
+BOOST_AUTO_TEST_CASE(anOverdueLoadRaisesEstimatesOfOtherTargets)
 {
     LoadTimeEstimator estimator;
     const auto before = estimator.estimate("other", CheckpointLocation::Remote, memory, start);
@@ -72,12 +72,12 @@
     BOOST_CHECK(estimator.estimate("other", CheckpointLocation::Remote, memory, start).typical == before.typical);
     estimator.recordUnfinished("m", CheckpointLocation::Remote, memory, before.typical * 5, start);
     const auto after = estimator.estimate("other", CheckpointLocation::Remote, memory, start);
-    BOOST_TEST(isNear(after.typical, before.typical * 5, 0.05));
+    BOOST_TEST(isWithin(after.typical, before.typical * 5, 0.05));
 }
 
-// The weight store was ten times slower for a while. Requests were refused as hopeless, so nothing was loaded and
-// nothing measured: with an estimate that never changes by itself, callers would be refused long after the store
-// had recovered, until an operator came.
+// Prevents lasting refusals after the weight store was ten times slower for a while. Requests were refused as hopeless,
+// so nothing was loaded and nothing measured: if estimates didn't decay, callers would be refused long after the store
+// had recovered, until an operator intervened.
 BOOST_AUTO_TEST_CASE(aSlowStoreIsForgottenWithoutNewMeasurements)
 {
     LoadTimeEstimator estimator;
@@ -85,7 +85,7 @@
     for (int load = 0; load < 10; ++load)
         estimator.record("m" + std::to_string(load), CheckpointLocation::Remote, memory, 330s, start);
     const auto later = estimator.estimate("other", CheckpointLocation::Remote, memory, start + 30min);
-    BOOST_TEST(isNear(later.typical, before.typical, 0.1));
+    BOOST_TEST(isWithin(later.typical, before.typical, 0.1));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/policy/tests/rendezvous_test.cpp
+++ b/src/policy/tests/rendezvous_test.cpp
@@ -21,7 +21,7 @@
 
 BOOST_AUTO_TEST_SUITE(Rendezvous)
 
-BOOST_AUTO_TEST_CASE(theOrderDoesNotDependOnTheList)
+BOOST_AUTO_TEST_CASE(theOrderDoesNotDependOnTheOrderOfTheList)
 {
     std::vector<VmName> reversed = vms(9);
     std::reverse(reversed.begin(), reversed.end());
--- a/src/policy/tests/replicachoice_test.cpp
+++ b/src/policy/tests/replicachoice_test.cpp
@@ -30,7 +30,7 @@
 
 BOOST_AUTO_TEST_SUITE(ReplicaChoice)
 
-BOOST_AUTO_TEST_CASE(nothingOnlyWithoutReplicas)
+BOOST_AUTO_TEST_CASE(aReplicaIsChosenUnlessThereAreNone)
 {
     BOOST_CHECK(!choice()->choose({}, 1, start));
     std::vector<ReplicaView> suspect = replicas(1);
@@ -38,7 +38,7 @@
     BOOST_CHECK(choice()->choose(suspect, 1, start) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(aPrefixStaysOnItsReplicaAtEveryRouter)
+BOOST_AUTO_TEST_CASE(allRoutersChooseTheSameReplicaForAPrefix)
 {
     std::set<std::size_t> chosen;
     for (std::uint64_t router = 0; router < 10; ++router)
@@ -46,7 +46,7 @@
     BOOST_TEST(chosen.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(prefixesSpread)
+BOOST_AUTO_TEST_CASE(prefixesSpreadOverAllReplicas)
 {
     std::set<std::size_t> chosen;
     for (std::uint64_t prefix = 1; prefix < 100; ++prefix)
@@ -54,15 +54,15 @@
     BOOST_TEST(chosen.size() == 5U);
 }
 
-BOOST_AUTO_TEST_CASE(aPrefixLeavesAReplicaWithTooMuchLoad)
+BOOST_AUTO_TEST_CASE(aPrefixMovesAwayFromAnOverloadedReplica)
 {
     std::vector<ReplicaView> views = replicas(3);
-    const std::size_t usual = *choice()->choose(views, 4711, start);
-    views[usual].ownInFlight = 10;
-    BOOST_CHECK(choice()->choose(views, 4711, start) != usual);
+    const std::size_t preferred = *choice()->choose(views, 4711, start);
+    views[preferred].ownInFlight = 10;
+    BOOST_CHECK(choice()->choose(views, 4711, start) != preferred);
 }
 
-BOOST_AUTO_TEST_CASE(aSuspectReplicaIsLeftOut)
+BOOST_AUTO_TEST_CASE(aSuspectReplicaIsNotChosen)
 {
     std::vector<ReplicaView> views = replicas(3);
     views[1].isSuspect = true;
@@ -71,8 +71,9 @@
         BOOST_CHECK(chooser->choose(views, prefix, start) != 1U);
 }
 
-// One upstream answers thirty times slower than its like. Its callers would see that as the tail of the whole model,
-// although others are free. Its bad average keeps requests away; with time it fades, and one request tries it again.
+// Prevents an upstream that answers thirty times slower than the others from dominating the tail latency of a model
+// while others are free. Its bad average keeps requests away; the average decays, so that a request tries the upstream
+// again.
 BOOST_AUTO_TEST_CASE(aSlowReplicaIsAvoidedAndLaterTriedAgain)
 {
     std::vector<ReplicaView> views = replicas(3);
@@ -86,9 +87,9 @@
     BOOST_TEST(chosen.count(1) == 1U);
 }
 
-// Many routers got the same reports, in which one replica had the least to do. If all sent to it, it would be swamped
-// before the next report.
-BOOST_AUTO_TEST_CASE(manyRoutersDoNotHerdToTheOneThatReportedTheLeast)
+// Prevents herding: many routers have the same reports, in which one replica has the least load. If all of them sent
+// requests to it, it would be overloaded before its next report.
+BOOST_AUTO_TEST_CASE(routersDoNotHerdToTheReplicaWithTheLeastReportedLoad)
 {
     std::vector<ReplicaView> views = replicas(6);
     for (ReplicaView& view : views)
--- a/src/policy/tests/retries_test.cpp
+++ b/src/policy/tests/retries_test.cpp
@@ -9,8 +9,8 @@
 
 BOOST_AUTO_TEST_SUITE(Retries)
 
-// All upstreams fail. Without a budget each request would be tried again to its limit and the load multiplied just
-// when there is least room for it.
+// Prevents retry storms: when all upstreams fail, without a budget each request would be retried up to its limit, which
+// would multiply the load just when there is the least capacity for it.
 BOOST_AUTO_TEST_CASE(retriesStayWithinTheirShareOfRequests)
 {
     RetryBudget budget(0.1, 10);
@@ -23,7 +23,7 @@
     BOOST_TEST((retries >= 100 && retries <= 110), retries);
 }
 
-BOOST_AUTO_TEST_CASE(quietTimesSaveNoMoreThanTheMost)
+BOOST_AUTO_TEST_CASE(theBudgetHoldsAtMostItsMaximum)
 {
     RetryBudget budget(0.1, 3);
     for (int request = 0; request < 1000; ++request)
@@ -34,7 +34,7 @@
     BOOST_TEST(retries == 3);
 }
 
-BOOST_AUTO_TEST_CASE(backoffDoublesUpToItsMostWithFullJitter)
+BOOST_AUTO_TEST_CASE(backoffDoublesUpToItsMaximumWithFullJitter)
 {
     const RetryBackoff backoff { 100ms, 1000ms };
     BOOST_CHECK(backoff.wait(1, 0) == 0ms);
@@ -43,9 +43,9 @@
     BOOST_CHECK(backoff.wait(60, 0.5) == 500ms);
 }
 
-// All routers had been restarted at once. Each took itself for one of a few, and together they repeated more than twice
-// of what the operators allow.
-BOOST_AUTO_TEST_CASE(aSmallerPartHoldsAtOnce)
+// Prevents routers from exceeding the retry budget after a simultaneous restart: each assumed that it was one of only a
+// few routers, and together they sent more than twice the retries that the operators allow.
+BOOST_AUTO_TEST_CASE(aLowerMaximumAppliesAtOnce)
 {
     RetryBudget budget(0.2, 10);
     budget.setMax(2);
--- a/src/policy/tests/standingqueue_test.cpp
+++ b/src/policy/tests/standingqueue_test.cpp
@@ -10,19 +10,20 @@
 using framework::Milliseconds;
 using framework::SteadyTime;
 
-/// An engine that reads one prompt after the other, as for reviews whose shared parts it keeps: 130 ms each, so 7.7 a
-/// second. Callers leave after 4.8 s; an answer is in time within 0.8 s.
-class Load {
+/// Simulates an engine that prefills one prompt after the other in 130 ms each, so 7.7 prompts per second. These are
+/// the figures for reviews, whose shared prefixes are cached. Callers disconnect after 4.8 s; an answer within 0.8 s is
+/// in time.
+class SimulatedEngine {
 public:
-    explicit Load(bool refuses)
+    explicit SimulatedEngine(bool refuses)
         : refuses_(refuses)
     {
     }
 
-    void offer(int perSecond, Milliseconds lasts)
+    void offer(int perSecond, Milliseconds duration)
     {
         const Milliseconds between(1000 / perSecond);
-        for (Milliseconds offered(0); offered < lasts; offered += between) {
+        for (Milliseconds offered(0); offered < duration; offered += between) {
             arrive();
             now_ += between;
         }
@@ -36,10 +37,10 @@
     void arrive()
     {
         const Milliseconds wait = std::max(Milliseconds(0), std::chrono::duration_cast<Milliseconds>(freeAt_ - now_));
-        const Milliseconds expected = wait + reading;
+        const Milliseconds expected = wait + prefillTime;
         queue_.didArrive(expected, target, now_);
         const bool isRefused = refuses_ && expected > target && queue_.isStanding(target, now_);
-        if (isRefused || expected > patience) {
+        if (isRefused || expected > callerTimeout) {
             ++refused;
             return;
         }
@@ -47,9 +48,9 @@
         ++(expected <= target ? inTime : late);
     }
 
-    static constexpr Milliseconds reading { 130 };
+    static constexpr Milliseconds prefillTime { 130 };
     static constexpr Milliseconds target { 800 };
-    static constexpr Milliseconds patience { 4800 };
+    static constexpr Milliseconds callerTimeout { 4800 };
     bool refuses_;
     StandingQueue queue_;
     SteadyTime now_ { std::chrono::hours(1) };
@@ -60,33 +61,35 @@
 
 BOOST_AUTO_TEST_SUITE(StandingQueues)
 
-// Demand moved to a model that one engine held. For the eight seconds until others had it, 20 reviews a second came
-// where 7.7 can be read; all queued, so that after two seconds none began in time, and many ended at their deadline.
-BOOST_AUTO_TEST_CASE(underMoreThanItCanDoAnEngineServesAsManyAndMostInTime)
+// Prevents an overloaded engine from answering all requests late. Demand moved to a model that only one engine had
+// loaded. For the eight seconds until other engines had loaded it, 20 reviews per second arrived at an engine that can
+// prefill 7.7. All of them queued: after two seconds none started in time, and many ended at their deadlines.
+BOOST_AUTO_TEST_CASE(refusingUnderOverloadKeepsThroughputAndServesMostInTime)
 {
-    Load queueing(false);
+    SimulatedEngine queueing(false);
     queueing.offer(20, Milliseconds(8000));
-    Load refusing(true);
+    SimulatedEngine refusing(true);
     refusing.offer(20, Milliseconds(8000));
     BOOST_TEST(queueing.inTime < 15);
     BOOST_TEST(refusing.inTime > 40);
     BOOST_TEST(refusing.inTime + refusing.late > 60);
 }
 
-// Twenty reviews came at once and then no more than usual. All of them are served, late or not: the queue they leave is
-// gone in two seconds, sooner than callers who were refused would have come back.
-BOOST_AUTO_TEST_CASE(whatABurstLeavesBehindIsServed)
+// Prevents refusals after a short burst. Twenty reviews arrive within half a second and then no more than usual. All of
+// them are served, in time or late: their queue drains within two seconds, sooner than refused callers would retry.
+BOOST_AUTO_TEST_CASE(aBurstIsServedWithoutRefusals)
 {
-    Load load(true);
-    load.offer(40, Milliseconds(500));
-    BOOST_TEST(load.refused == 0);
-    BOOST_TEST(load.inTime + load.late == 20);
+    SimulatedEngine engine(true);
+    engine.offer(40, Milliseconds(500));
+    BOOST_TEST(engine.refused == 0);
+    BOOST_TEST(engine.inTime + engine.late == 20);
 }
 
-// All engines had lost power. Thirty chats waited for their model, which one engine had again after half a second, and
-// twenty a second went on coming; with 18 ms a prompt the queue was gone in less than a second. Of those that came in
-// that second, four in five were refused, as an answer is in time within 0.3 s there.
-BOOST_AUTO_TEST_CASE(whoeverComesBehindThoseWhoWaitedForALoadIsServed)
+// Prevents refusals right after a load. After a power loss of all engines, thirty chats waited for their model, which
+// one engine had loaded again after half a second; twenty more per second kept arriving. At 18 ms per prompt the queue
+// drained in less than a second, but four in five of the requests that arrived in that second were refused, since an
+// answer is in time only within 0.3 s for chats.
+BOOST_AUTO_TEST_CASE(requestsThatArriveRightAfterALoadAreServed)
 {
     constexpr Milliseconds target(300);
     StandingQueue queue;
@@ -97,7 +100,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aQueueThatNobodySawIsNotTakenForOneThatStayed)
+BOOST_AUTO_TEST_CASE(aQueueWithoutArrivalsInBetweenIsNotStanding)
 {
     constexpr Milliseconds target(800);
     StandingQueue queue;
@@ -111,7 +114,8 @@
     BOOST_TEST(!isStandingAfter(Milliseconds(900), Milliseconds(5500)));
     BOOST_TEST(!isStandingAfter(Milliseconds(900), Milliseconds(5900)));
     BOOST_TEST(isStandingAfter(Milliseconds(900), Milliseconds(6000)));
-    // One that finds it short doesn't end it: it would be let grow again at once.
+    // A single arrival that finds the queue below the target doesn't end the standing queue, since it would grow again
+    // at once.
     BOOST_TEST(isStandingAfter(Milliseconds(700), Milliseconds(6050)));
     BOOST_TEST(isStandingAfter(Milliseconds(900), Milliseconds(6100)));
     BOOST_TEST(!isStandingAfter(Milliseconds(900), Milliseconds(7000)));
--- a/src/policy/tests/storeconcurrencyestimator_test.cpp
+++ b/src/policy/tests/storeconcurrencyestimator_test.cpp
@@ -10,43 +10,44 @@
 using framework::Milliseconds;
 using framework::SteadyTime;
 
-/// A store that serves `capacity` loads at full speed, with always `together` under way, seen each 100 ms.
-std::size_t learned(double capacity, std::size_t together, int loadsEach)
+/// Returns the estimate for a store that serves `capacity` loads at full speed. `concurrency` loads are always in
+/// progress and are observed every 100 ms.
+std::size_t estimatedSlots(double capacity, std::size_t concurrency, int loadsEach)
 {
-    StoreConcurrencyEstimator slots;
+    StoreConcurrencyEstimator estimator;
     SteadyTime now { std::chrono::hours(1) };
-    const Milliseconds undisturbed(6000);
-    const double slowness = std::max(1.0, static_cast<double>(together) / capacity);
+    const Milliseconds uncontended(6000);
+    const double slowness = std::max(1.0, static_cast<double>(concurrency) / capacity);
     const auto takes = Milliseconds(static_cast<std::int64_t>(6000 * slowness));
     std::map<std::string, Milliseconds> loads;
     for (int load = 0; load < loadsEach; ++load) {
-        for (std::size_t engine = 0; engine < together; ++engine)
-            loads.emplace(std::to_string(engine) + " " + std::to_string(load), undisturbed);
+        for (std::size_t engine = 0; engine < concurrency; ++engine)
+            loads.emplace(std::to_string(engine) + " " + std::to_string(load), uncontended);
         for (Milliseconds elapsed(0); elapsed < takes; elapsed += Milliseconds(100)) {
-            slots.observe(loads, now);
+            estimator.observe(loads, now);
             now += Milliseconds(100);
         }
         loads.clear();
-        slots.observe(loads, now);
+        estimator.observe(loads, now);
     }
-    return slots.slots();
+    return estimator.slots();
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(StorePlacesLearned)
+BOOST_AUTO_TEST_SUITE(StoreConcurrencyEstimators)
 
-BOOST_AUTO_TEST_CASE(aStoreThatServesOneIsKnownAfterItsFirstLoads) { BOOST_TEST(learned(1, 4, 1) == 1U); }
+BOOST_AUTO_TEST_CASE(aStoreWithOneSlotIsDetectedAfterItsFirstLoads) { BOOST_TEST(estimatedSlots(1, 4, 1) == 1U); }
 
-BOOST_AUTO_TEST_CASE(aStoreThatServesFourKeepsItsPlaces)
+BOOST_AUTO_TEST_CASE(aStoreWithFourSlotsIsEstimatedAtFour)
 {
-    BOOST_TEST(learned(4, 4, 1) >= 4U);
-    BOOST_TEST(learned(4, 8, 2) == 4U);
+    BOOST_TEST(estimatedSlots(4, 4, 1) >= 4U);
+    BOOST_TEST(estimatedSlots(4, 8, 2) == 4U);
 }
 
-BOOST_AUTO_TEST_CASE(aStoreThatServesMoreIsFoundOut) { BOOST_TEST(learned(12, 6, 3) > 4U); }
+BOOST_AUTO_TEST_CASE(theEstimateGrowsForAStoreWithMoreSlots) { BOOST_TEST(estimatedSlots(12, 6, 3) > 4U); }
 
-BOOST_AUTO_TEST_CASE(copiesFollowTheWork)
+BOOST_AUTO_TEST_CASE(desiredCopiesGrowWithTheWork)
 {
     BOOST_TEST(desiredCopies(0) == 1U);
     BOOST_TEST(desiredCopies(0.1) == 1U);
--- a/src/policy/tests/storequeue_test.cpp
+++ b/src/policy/tests/storequeue_test.cpp
@@ -8,7 +8,7 @@
 
 BOOST_AUTO_TEST_SUITE(StoreQueues)
 
-BOOST_AUTO_TEST_CASE(freePlacesAreTakenAtOnce)
+BOOST_AUTO_TEST_CASE(freeSlotsAreUsedAtOnce)
 {
     StoreQueue queue(4, { Milliseconds(5000), Milliseconds(1000) });
     BOOST_TEST(queue.freeSlots() == 2U);
@@ -17,7 +17,7 @@
     BOOST_TEST(!queue.hasFreeSlot());
 }
 
-BOOST_AUTO_TEST_CASE(laterLoadsWaitForThoseThatEndFirst)
+BOOST_AUTO_TEST_CASE(furtherLoadsWaitForTheLoadsThatEndFirst)
 {
     StoreQueue queue(2, { Milliseconds(5000), Milliseconds(1000) });
     BOOST_TEST(!queue.hasFreeSlot());
@@ -26,7 +26,7 @@
     BOOST_TEST(queue.add(Milliseconds(6000)).count() == 13000);
 }
 
-BOOST_AUTO_TEST_CASE(withMoreLoadsThanPlacesTheFirstToEndFreeNone)
+BOOST_AUTO_TEST_CASE(withMoreLoadsThanSlotsTheFirstToEndFreeNoSlot)
 {
     StoreQueue queue(2, { Milliseconds(1000), Milliseconds(2000), Milliseconds(3000), Milliseconds(4000) });
     BOOST_TEST(queue.freeSlots() == 0U);
--- a/src/policy/tests/weightstoreshare_test.cpp
+++ b/src/policy/tests/weightstoreshare_test.cpp
@@ -18,14 +18,15 @@
     return made;
 }
 
-/// Loads started by one home that always has some waiting and ends none, in steps of 100 ms.
+/// Returns how many loads one home starts that always has waiting loads, in steps of 100 ms. The loads end at once if
+/// `areEnded`, otherwise never.
 int startedWithin(WeightStoreShare& share, framework::Milliseconds duration, bool areEnded)
 {
     int started = 0;
-    for (framework::Milliseconds passed { 0 }; passed < duration; passed += 100ms) {
-        if (!share.mayStart(start, start + passed))
+    for (framework::Milliseconds elapsed { 0 }; elapsed < duration; elapsed += 100ms) {
+        if (!share.mayStart(start, start + elapsed))
             continue;
-        share.start(start + passed);
+        share.start(start + elapsed);
         ++started;
         if (areEnded)
             share.end();
@@ -37,7 +38,7 @@
 
 BOOST_AUTO_TEST_SUITE(WeightStoreShares)
 
-BOOST_AUTO_TEST_CASE(strictHomesTogetherKeepTheRate)
+BOOST_AUTO_TEST_CASE(sharesWithoutBorrowingAddUpToTheRate)
 {
     int started = 0;
     for (int router = 0; router < 3; ++router) {
@@ -48,7 +49,7 @@
     BOOST_TEST((started >= 88 && started <= 94), started);
 }
 
-BOOST_AUTO_TEST_CASE(strictHomesTogetherKeepThePlaces)
+BOOST_AUTO_TEST_CASE(sharesWithoutBorrowingAddUpToTheSlots)
 {
     for (const std::uint32_t routers : { 1U, 2U, 3U, 4U }) {
         int started = 0;
@@ -61,16 +62,16 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aBorrowingHomeUsesThePlacesThatOthersDoNot)
+BOOST_AUTO_TEST_CASE(aBorrowingHomeUsesTheSlotsThatOthersLeaveFree)
 {
     WeightStoreShare share(numbers(4, 4), true);
     share.setLiveRouters(3, 0);
     BOOST_TEST(startedWithin(share, 10s, false) == 4);
 }
 
-// Several homes borrow at once and the store refuses loads for its rate. If they went on borrowing, each refused load
-// would come again and the refusals never end.
-BOOST_AUTO_TEST_CASE(afterARefusalNothingIsBorrowed)
+// Prevents endless refusals: when several homes borrow at once, the store refuses loads because of its rate limit. If
+// they continued to borrow, each refused load would be retried and be refused again.
+BOOST_AUTO_TEST_CASE(borrowingPausesAfterARefusal)
 {
     WeightStoreShare share(numbers(4, 4), true);
     share.setLiveRouters(4, 0);
--- a/src/policy/weightstoreshare.h
+++ b/src/policy/weightstoreshare.h
@@ -7,34 +7,35 @@
 
 namespace lagoon::policy {
 
-/// One home's part of the weight store's limits, which hold over all routers of all sites. Nobody hands the parts out:
-/// each takes (limit / live routers), so it goes on while the platform is down, with the last known number of routers.
-/// A soft limit: homes that count differently for a moment make the store slower, or have it refuse, and no more.
+/// One home router's share of the weight store's limits, which hold for the routers of all sites together. The shares
+/// need no coordinator: each home takes (limit / live routers), so that loads continue with the last known number of
+/// routers while the platform is down. The limit is soft: homes that temporarily count different numbers of routers
+/// only make the store slower or have it refuse loads.
 ///
-/// Borrowing lets a load that has waited half a second take a place beyond the share, up to the whole limit, unless the
-/// store has refused lately. Measured, it gains nothing on ordinary days, and in a storm of cold models the homes all
-/// borrow, share the store's bandwidth and make every load late: hence it is off. Only loads of remote checkpoints are
-/// counted here.
+/// Borrowing lets a load that has waited for half a second take a slot beyond the share, up to the whole limit, unless
+/// the store has refused a load lately. It is off by default: it gains nothing on ordinary days, and when many cold
+/// models are needed at once, all homes borrow, share the store's bandwidth and make every load late. Only loads of
+/// remote checkpoints count towards the share.
 class WeightStoreShare {
 public:
     explicit WeightStoreShare(const bundle::PolicyNumbers&, bool mayBorrow = false);
 
-    /// From a new bundle or VM list; all sites' routers count.
+    /// Sets the limits from a new bundle.
     void setLimits(const bundle::PolicyNumbers&);
-    /// `rank` is this router's position among the live ones by name, from 0: those in front take the places that are
-    /// left over by the division.
+    /// Sets the number of live routers of all sites, from a new VM list. `rank` is this router's position among them by
+    /// name, from 0: the routers with the lowest ranks take the slots that remain after the division.
     void setLiveRouters(std::uint32_t count, std::uint32_t rank);
 
-    /// Whether a load that has waited since then may start.
+    /// Whether a load that has waited since `waitingSince` may start.
     bool mayStart(framework::SteadyTime waitingSince, framework::SteadyTime now) const;
     void start(framework::SteadyTime now);
-    /// Each started load ends once, whether loaded or not.
+    /// Has to be called once for each started load, whether it succeeded or failed.
     void end();
-    /// The store refused a load for its rate: nothing is borrowed for a while.
+    /// Records that the store refused a load because of its rate limit. Borrowing pauses for a while then.
     void recordRefusal(framework::SteadyTime now);
 
     std::uint32_t running() const { return running_; }
-    /// At least 1, or a router among many would never load.
+    /// Number of loads that may run at once; at least 1, since otherwise a router among many could never load.
     std::uint32_t slots() const;
     double loadsPerSecond() const;
 
@@ -46,7 +47,7 @@
     std::uint32_t routers_ = 1;
     std::uint32_t rank_ = 0;
     std::uint32_t running_ = 0;
-    /// Loads that may start at once, as of `tokensUpdatedAt_`; below 0 after borrowing.
+    /// Number of loads that may start at once, as of `tokensUpdatedAt_`; below 0 after borrowing.
     double tokens_ = 1;
     framework::SteadyTime tokensUpdatedAt_ {};
     framework::Deadline borrowingPausedUntil_;
