--- a/src/direct/directsettings.h
+++ b/src/direct/directsettings.h
@@ -23,8 +23,8 @@
     /// Where agents listen, on the VM of their engine.
     std::uint16_t agentPort = 0;
     /// Repeats that a service may get from all routers together.
-    double repeatShare = 0.2;
-    double repeatReserve = 50;
+    double retryShare = 0.2;
+    double retryReserve = 50;
     policy::PolicySwitches policy;
     /// From the request to end until the process is ended by force.
     framework::Milliseconds grace { 8000 };
--- a/src/direct/internal/agentlinks.h
+++ b/src/direct/internal/agentlinks.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "catalog/types/upstream.h"
-#include "forwarding/wantedplanner.h"
+#include "forwarding/demandplanner.h"
 #include "framework/controlthread.h"
 #include "framework/iclock.h"
 #include "framework/types/ids.h"
--- a/src/direct/internal/directrouter.cpp
+++ b/src/direct/internal/directrouter.cpp
@@ -25,7 +25,7 @@
 
 forwarding::ForwarderSettings forwarderSettings(const DirectRouterSettings& settings)
 {
-    return { settings.identity.failureDomain, settings.repeatShare, settings.repeatReserve, settings.policy };
+    return { settings.identity.failureDomain, settings.retryShare, settings.retryReserve, settings.policy };
 }
 
 http::ExchangeLimits exchangeLimits(const catalog::CallerLimits& limits)
@@ -75,8 +75,8 @@
         settings_.grace = settings.grace;
         ports_.traffic.post([this, changed = forwarderSettings(settings)] { forwarder_.setSettings(changed); });
         logDecision(LogLine("reloaded")
-                        .number("repeat_share", settings.repeatShare)
-                        .number("repeat_reserve", settings.repeatReserve)
+                        .number("repeat_share", settings.retryShare)
+                        .number("repeat_reserve", settings.retryReserve)
                         .number("grace_ms", settings.grace.count()));
     }
 
--- a/src/forwarding/wantedplanner.h
+++ b/src/forwarding/demandplanner.h
@@ -30,7 +30,7 @@
 };
 
 /// Requests that wait for a model or adapter.
-struct WaitingFor {
+struct WaitingRequests {
     catalog::ModelTarget target;
     std::uint32_t waiting = 0;
     framework::Deadline earliest;
@@ -46,7 +46,7 @@
     const ReplicaIndex& replicas;
     /// Those that this router subscribes to and has heard.
     std::vector<EngineFacts> engines;
-    std::vector<WaitingFor> waiting;
+    std::vector<WaitingRequests> waiting;
     /// This router's work by model, as parts of an engine's time.
     std::map<framework::ModelName, double> work;
     /// Whether a model that nobody has asked for is really not in demand.
@@ -80,21 +80,21 @@
 ///
 /// A router subscribes to the engines that serve the models that its callers ask for, and to the candidates for the
 /// models that are to be loaded: its cost grows with its own requests, not with the number of engines.
-class WantedPlanner {
+class DemandPlanner {
 public:
-    WantedPlanner();
+    DemandPlanner();
 
     LoadPlan plan(const PlannerInput&);
 
     /// When what is waited for will be at an engine, from now: as agents have said, or by its place among the loads
     /// that wait for the weight store. Nothing if neither is known, or for an adapter: those take milliseconds, and
     /// what agents say is of models.
-    std::optional<framework::Milliseconds> soonest(
-        const std::vector<EngineFacts>&, const WaitingFor&, framework::SteadyTime now) const;
+    std::optional<framework::Milliseconds> timeUntilLoaded(
+        const std::vector<EngineFacts>&, const WaitingRequests&, framework::SteadyTime now) const;
     /// Whether an engine has been found to load the model.
     bool hasLoader(const framework::ModelName& model) const { return choices_.contains(model); }
     /// Placements that the last plan weighed, for tests of its cost.
-    std::size_t placementsWeighed() const { return placementsWeighed_; }
+    std::size_t placementsEvaluated() const { return placementsEvaluated_; }
 
 private:
     struct Choice {
@@ -102,33 +102,33 @@
         framework::SteadyTime since {};
     };
 
-    void noteHeld(const PlannerInput&);
+    void collectFleetWork(const PlannerInput&);
     const EngineFacts* factsOf(const framework::Endpoint&) const;
     std::vector<framework::Endpoint> candidatesFor(
-        const PlannerInput&, const framework::ModelName&, const CandidateCounts& most);
-    bool mayBeAsked(const PlannerInput&, const framework::ModelName&, const framework::Endpoint&) const;
+        const PlannerInput&, const framework::ModelName&, const CandidateCounts& limit);
+    bool isEligible(const PlannerInput&, const framework::ModelName&, const framework::Endpoint&) const;
     std::set<framework::Endpoint> subscriptions(const PlannerInput&);
     static std::uint32_t replicasOf(const PlannerInput&, const framework::ModelName&);
-    void noteStoreLoads(const PlannerInput&);
+    void observeStoreLoads(const PlannerInput&);
     static bool needsStore(const EngineFacts&, const catalog::ModelProfile&);
-    bool takeStorePlace(const PlannerInput&, const framework::Endpoint& engine, const catalog::ModelProfile&);
-    framework::Milliseconds placingCost(
-        const PlannerInput&, const EngineFacts&, const catalog::ModelProfile&, bool isWaitedFor);
+    bool takeStoreSlot(const PlannerInput&, const framework::Endpoint& engine, const catalog::ModelProfile&);
+    framework::Milliseconds placementCost(
+        const PlannerInput&, const EngineFacts&, const catalog::ModelProfile&, bool hasWaitingRequests);
     std::vector<framework::Endpoint> cheapestFor(const PlannerInput&, const catalog::ModelProfile&,
-        const std::vector<framework::Endpoint>& candidates, std::size_t most,
+        const std::vector<framework::Endpoint>& candidates, std::size_t limit,
         const std::set<framework::Endpoint>& askedBefore);
-    void noteRefusals(const PlannerInput&);
+    void recordRefusals(const PlannerInput&);
     bool hasRefused(const framework::ModelName&, const framework::Endpoint& engine) const;
-    void planHeld(const PlannerInput&);
+    void planLoaded(const PlannerInput&);
     void planWaiting(const PlannerInput&);
-    std::vector<WaitingFor> bySequence(const PlannerInput&) const;
-    void planWaitingForModel(const PlannerInput&, const WaitingFor&, const catalog::Wanted&);
+    std::vector<WaitingRequests> inLoadOrder(const PlannerInput&) const;
+    void planWaitingForModel(const PlannerInput&, const WaitingRequests&, const catalog::Wanted&);
     void planCopies(const PlannerInput&);
     void planPrefetch(const PlannerInput&);
     static bool isCachedEnough(const PlannerInput&, const catalog::ModelProfile&);
     const std::vector<framework::ModelName>& uncached(const PlannerInput&);
     void add(const PlannerInput&, const framework::Endpoint&, catalog::Wanted);
-    const framework::Endpoint* chooseLoader(const PlannerInput&, const WaitingFor&);
+    const framework::Endpoint* chooseLoader(const PlannerInput&, const WaitingRequests&);
     static std::uint32_t rankOf(const PlannerInput&, const framework::ModelName&, const framework::Endpoint&);
 
     std::map<framework::Endpoint, catalog::WantedList> lists_;
@@ -140,16 +140,16 @@
     /// Loads from the store that are under way or asked for in this plan.
     policy::StoreQueue storeQueue_ { 1, {} };
     /// Models whose loads wait for the store, and when they will be there.
-    std::map<framework::ModelName, framework::Deadline> heldBack_;
+    std::map<framework::ModelName, framework::Deadline> deferredLoads_;
     /// Of held models, over all routers.
-    std::map<framework::ModelName, double> workOfAll_;
+    std::map<framework::ModelName, double> fleetWork_;
     /// When an agent last said that it can't place a model.
     std::map<std::pair<framework::ModelName, framework::Endpoint>, framework::SteadyTime> refusals_;
     /// Of this plan's input.
     std::unordered_map<framework::Endpoint, const EngineFacts*> facts_;
     /// Candidates for models that were to be placed, and when they last were.
     std::map<framework::Endpoint, framework::SteadyTime> candidates_;
-    std::size_t placementsWeighed_ = 0;
+    std::size_t placementsEvaluated_ = 0;
     /// Models that too few engines have cached, as of this time.
     std::vector<framework::ModelName> uncached_;
     std::optional<framework::SteadyTime> uncachedAt_;
--- a/src/forwarding/eventsplitter.h
+++ b/src/forwarding/eventsplitter.h
@@ -25,19 +25,19 @@
     };
 
     /// Takes bytes and returns the whole events that are there now, as they came.
-    std::string take(std::string_view bytes);
+    std::string feed(std::string_view bytes);
     State state() const { return state_; }
     /// The id of the last whole event.
     std::optional<std::uint64_t> last() const { return last_; }
     /// Whether bytes of an event that hasn't ended are held.
-    bool holdsPart() const { return !held_.empty(); }
+    bool hasPartialEvent() const { return !buffer_.empty(); }
 
 private:
     void check(std::string_view event);
 
     std::optional<std::uint64_t> last_;
     State state_ = State::InOrder;
-    std::string held_;
+    std::string buffer_;
 };
 
 } // namespace lagoon::forwarding
--- a/src/forwarding/returningcallers.h
+++ b/src/forwarding/expectedretries.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "forwarding/wantedplanner.h"
+#include "forwarding/demandplanner.h"
 #include "framework/types/ids.h"
 #include "framework/types/time.h"
 
@@ -16,23 +16,23 @@
 ///
 /// Guards against a load that never comes: callers who leave after two seconds are all refused at once while a load is
 /// six away, so nobody waits for the model, and loads for which one patient caller waits go before it again and again.
-class ReturningCallers {
+class ExpectedRetries {
 public:
-    /// `leavesBy`: when the caller gives up for good.
-    void didRefuse(const framework::ServiceName&, const WaitingFor&, framework::Deadline leavesBy);
+    /// `callerDeadline`: when the caller gives up for good.
+    void didRefuse(const framework::ServiceName&, const WaitingRequests&, framework::Deadline callerDeadline);
     /// A caller came; where some are expected back, it is taken for one of them.
     void didArrive(const framework::ServiceName&, const framework::ModelName&);
     /// The model is there.
     void forget(const framework::ServiceName&, const framework::ModelName&);
-    void forgetLeft(framework::SteadyTime now);
+    void dropExpired(framework::SteadyTime now);
     /// One entry for each model of the service that some are expected back for.
-    std::vector<WaitingFor> expected(const framework::ServiceName&) const;
+    std::vector<WaitingRequests> expected(const framework::ServiceName&) const;
 
 private:
     struct Entry {
-        WaitingFor waiting;
+        WaitingRequests waiting;
         /// One for each caller, the first first.
-        std::vector<framework::Deadline> leaveBy;
+        std::vector<framework::Deadline> callerDeadlines;
     };
 
     std::map<std::pair<framework::ServiceName, framework::ModelName>, Entry> entries_;
--- a/src/forwarding/forwarder.h
+++ b/src/forwarding/forwarder.h
@@ -2,9 +2,9 @@
 
 #include "catalog/types/configuration.h"
 #include "catalog/types/upstream.h"
+#include "forwarding/demandplanner.h"
 #include "forwarding/forwardersettings.h"
 #include "forwarding/irequestdialect.h"
-#include "forwarding/wantedplanner.h"
 #include "framework/eventthread.h"
 #include "framework/iclock.h"
 #include "framework/metrics.h"
--- a/src/forwarding/forwardersettings.h
+++ b/src/forwarding/forwardersettings.h
@@ -10,8 +10,8 @@
 struct ForwarderSettings {
     framework::FailureDomainName failureDomain;
     /// Repeats that a service may get, as a share of its requests and in all beyond that, over all routers.
-    double repeatShare = 0.2;
-    double repeatReserve = 50;
+    double retryShare = 0.2;
+    double retryReserve = 50;
     policy::PolicySwitches policy;
 };
 
--- a/src/forwarding/internal/wantedplanner.cpp
+++ b/src/forwarding/internal/demandplanner.cpp
@@ -1,8 +1,8 @@
-#include "forwarding/wantedplanner.h"
+#include "forwarding/demandplanner.h"
 
 #include "catalog/modelweights.h"
 #include "forwarding/internal/enginefacts.h"
-#include "forwarding/internal/roomdamage.h"
+#include "forwarding/internal/evictioncost.h"
 #include "policy/modelcopies.h"
 #include "policy/policysetup.h"
 #include "policy/rendezvous.h"
@@ -26,29 +26,29 @@
 
 /// What it is worth to keep one rare model where it is, against the time of a load: those who ask for it next wait for
 /// its load instead.
-constexpr Milliseconds perDamage { 400 };
+constexpr Milliseconds timePerEvictionCost { 400 };
 /// A model with so many adapters serves as many groups of callers, and grows busy more often than one with none. It is
 /// kept at hand on a second engine, since a copy from the store takes longer than its callers wait.
-constexpr std::uint32_t adaptersOfStandby = 8;
+constexpr std::uint32_t minAdaptersForStandby = 8;
 constexpr std::size_t standbyEngines = 2;
 /// Among engines that could load as soon as each other, the same one at all routers.
-constexpr Milliseconds perRank { 60 };
+constexpr Milliseconds timePerRank { 60 };
 /// An engine that has been asked is left for another only if that one is so much sooner: a load that has been asked for
 /// is often under way already.
-constexpr Milliseconds changeGain { 700 };
+constexpr Milliseconds minSwitchGain { 700 };
 /// For an agent to hear and answer before its silence counts as a refusal.
-constexpr Milliseconds answerTime { 400 };
+constexpr Milliseconds agentAnswerTimeout { 400 };
 /// For a new subscription to bring its engine's state.
-constexpr Milliseconds subscribeTime { 150 };
+constexpr Milliseconds subscriptionTimeout { 150 };
 /// What is placed changes from plan to plan; a link costs more to open than to keep for a while.
-constexpr Milliseconds candidateHolds { 5000 };
+constexpr Milliseconds candidateRetention { 5000 };
 /// Nobody waits for what is fetched ahead, and looking for it costs a look at each model.
-constexpr Milliseconds uncachedHolds { 500 };
+constexpr Milliseconds uncachedTtl { 500 };
 /// How long an agent that couldn't place a model isn't asked again: what holds its places changes within seconds, and
 /// what it says of a model ends as soon as it isn't asked any more.
-constexpr Milliseconds refusalHolds { 1500 };
+constexpr Milliseconds refusalTtl { 1500 };
 /// A service of so few engines is subscribed to as a whole.
-constexpr std::size_t fewEngines = 64;
+constexpr std::size_t smallFleet = 64;
 /// For a model that requests wait for.
 constexpr CandidateCounts waitedCandidates { 8, 8 };
 /// For a further copy of a busy model, beside one preferred engine for each copy that is missing.
@@ -66,24 +66,24 @@
 
 } // namespace
 
-WantedPlanner::WantedPlanner()
+DemandPlanner::DemandPlanner()
     : loadOrder_(policy::makeLoadOrder({}))
 {
 }
 
-LoadPlan WantedPlanner::plan(const PlannerInput& input)
+LoadPlan DemandPlanner::plan(const PlannerInput& input)
 {
     lists_.clear();
     facts_.clear();
-    placementsWeighed_ = 0;
+    placementsEvaluated_ = 0;
     for (const EngineFacts& engine : input.engines) {
         lists_[engine.engine];
         facts_[engine.engine] = &engine;
     }
-    noteHeld(input);
-    noteStoreLoads(input);
-    noteRefusals(input);
-    planHeld(input);
+    collectFleetWork(input);
+    observeStoreLoads(input);
+    recordRefusals(input);
+    planLoaded(input);
     planWaiting(input);
     if (input.policy.copiesBusyModels)
         planCopies(input);
@@ -93,48 +93,48 @@
 }
 
 /// How busy models are comes from the agents, which hear it from all routers: one router alone sees too few requests.
-void WantedPlanner::noteHeld(const PlannerInput& input)
+void DemandPlanner::collectFleetWork(const PlannerInput& input)
 {
-    workOfAll_.clear();
+    fleetWork_.clear();
     for (const EngineFacts& engine : input.engines) {
         for (const catalog::HeldModel& held : engine.state->held) {
-            double& work = workOfAll_[held.model];
+            double& work = fleetWork_[held.model];
             work = std::max(work, held.work);
         }
     }
 }
 
-const EngineFacts* WantedPlanner::factsOf(const Endpoint& engine) const
+const EngineFacts* DemandPlanner::factsOf(const Endpoint& engine) const
 {
     const auto found = facts_.find(engine);
     return found == facts_.end() ? nullptr : found->second;
 }
 
-std::uint32_t WantedPlanner::replicasOf(const PlannerInput& input, const ModelName& model)
+std::uint32_t DemandPlanner::replicasOf(const PlannerInput& input, const ModelName& model)
 {
     return static_cast<std::uint32_t>(input.replicas.loadedAt(model).size());
 }
 
 /// Engines that may be asked to load the model. One that refused lately, or whose agent can't be reached, is replaced
 /// by the next of the order.
-std::vector<Endpoint> WantedPlanner::candidatesFor(
-    const PlannerInput& input, const ModelName& model, const CandidateCounts& most)
+std::vector<Endpoint> DemandPlanner::candidatesFor(
+    const PlannerInput& input, const ModelName& model, const CandidateCounts& limit)
 {
     std::vector<Endpoint> candidates;
-    if (input.replicas.size() <= fewEngines) {
+    if (input.replicas.size() <= smallFleet) {
         for (const EngineFacts& engine : input.engines)
             candidates.push_back(engine.engine);
         return candidates;
     }
     for (const Endpoint& engine : input.replicas.availableAt(model)) {
-        if (candidates.size() < most.cached && !input.unreachable.contains(engine))
+        if (candidates.size() < limit.cached && !input.unreachable.contains(engine))
             candidates.push_back(engine);
     }
     std::size_t asked = 0;
     for (const Endpoint* const engine : input.replicas.order(model)) {
-        if (asked == most.preferred)
+        if (asked == limit.preferred)
             break;
-        if (!mayBeAsked(input, model, *engine))
+        if (!isEligible(input, model, *engine))
             continue;
         ++asked;
         if (std::find(candidates.begin(), candidates.end(), *engine) == candidates.end())
@@ -145,20 +145,20 @@
     return candidates;
 }
 
-bool WantedPlanner::mayBeAsked(const PlannerInput& input, const ModelName& model, const Endpoint& engine) const
+bool DemandPlanner::isEligible(const PlannerInput& input, const ModelName& model, const Endpoint& engine) const
 {
     return !input.unreachable.contains(engine) && !hasRefused(model, engine);
 }
 
-std::set<Endpoint> WantedPlanner::subscriptions(const PlannerInput& input)
+std::set<Endpoint> DemandPlanner::subscriptions(const PlannerInput& input)
 {
     std::set<Endpoint> subscriptions;
-    if (input.replicas.size() <= fewEngines) {
+    if (input.replicas.size() <= smallFleet) {
         for (const auto& [engine, contents] : input.replicas.engines())
             subscriptions.insert(engine);
         return subscriptions;
     }
-    std::erase_if(candidates_, [&](const auto& entry) { return input.now - entry.second > candidateHolds; });
+    std::erase_if(candidates_, [&](const auto& entry) { return input.now - entry.second > candidateRetention; });
     for (const auto& [engine, since] : candidates_)
         subscriptions.insert(engine);
     for (const auto& [model, work] : input.work) {
@@ -177,7 +177,7 @@
     return subscriptions;
 }
 
-void WantedPlanner::noteStoreLoads(const PlannerInput& input)
+void DemandPlanner::observeStoreLoads(const PlannerInput& input)
 {
     std::map<std::string, Milliseconds> loads;
     std::vector<Milliseconds> left;
@@ -186,20 +186,20 @@
         if (!engine.state->loadsFromStore || !model)
             continue;
         loads.emplace(engine.engine.value() + ' ' + model->name.value(), model->loadFromStore);
-        left.push_back(expectedAt(engine, model->name, input.now).value_or(model->loadFromStore));
+        left.push_back(expectedLoadTime(engine, model->name, input.now).value_or(model->loadFromStore));
     }
     storePlaces_.observe(loads, input.now);
     storeQueue_ = policy::StoreQueue(storePlaces_.places(), std::move(left));
 }
 
-bool WantedPlanner::needsStore(const EngineFacts& engine, const ModelProfile& model)
+bool DemandPlanner::needsStore(const EngineFacts& engine, const ModelProfile& model)
 {
     return engine.state->loading != model.name && catalog::loadTime(model, engine.state->atHand) >= model.loadFromStore;
 }
 
 /// Whether the load may be asked for: from the store only while it serves no more than it can at full speed. Beyond
 /// that all loads slow down together, and each of them comes too late.
-bool WantedPlanner::takeStorePlace(const PlannerInput& input, const Endpoint& engine, const ModelProfile& model)
+bool DemandPlanner::takeStoreSlot(const PlannerInput& input, const Endpoint& engine, const ModelProfile& model)
 {
     if (!input.policy.sharesWeightStore || !needsStore(*factsOf(engine), model))
         return true;
@@ -214,28 +214,29 @@
 ///
 /// Guards against asking the engine at which the model is just making way: it has the weights at hand, so it seems the
 /// soonest, but it loads nothing that it still holds, and callers wait until that has ended.
-Milliseconds WantedPlanner::placingCost(
-    const PlannerInput& input, const EngineFacts& engine, const ModelProfile& model, bool isWaitedFor)
+Milliseconds DemandPlanner::placementCost(
+    const PlannerInput& input, const EngineFacts& engine, const ModelProfile& model, bool hasWaitingRequests)
 {
-    ++placementsWeighed_;
-    const Milliseconds byRank = perRank * rankOf(input, model.name, engine.engine);
+    ++placementsEvaluated_;
+    const Milliseconds byRank = timePerRank * rankOf(input, model.name, engine.engine);
     if (hasRefused(model.name, engine.engine) || engine.state->isLeaving(model.name))
         return catalog::cannotPlace + byRank;
-    if (expectedAt(engine, model.name, input.now))
+    if (expectedLoadTime(engine, model.name, input.now))
         return loadCost(engine, model, input.now) + byRank;
-    const auto room = RoomDamage(input, workOfAll_).ofRoom(engine, model, isWaitedFor);
-    if (!room)
+    const auto eviction = EvictionCost(input, fleetWork_).estimate(engine, model, hasWaitingRequests);
+    if (!eviction)
         return catalog::cannotPlace + byRank;
     return loadCost(engine, model, input.now) + byRank
-        + (room->isInUse && input.policy.avoidsDrains ? input.runTime : Milliseconds(0))
-        + Milliseconds(static_cast<std::int64_t>(room->damage * static_cast<double>(perDamage.count())));
+        + (eviction->isInUse && input.policy.avoidsDrains ? input.runTime : Milliseconds(0))
+        + Milliseconds(
+            static_cast<std::int64_t>(eviction->evictionCost * static_cast<double>(timePerEvictionCost.count())));
 }
 
 /// Guards against asking two agents in turn, each of which says no, while a third has room: an agent's answer is only
 /// there for as long as it is asked.
-void WantedPlanner::noteRefusals(const PlannerInput& input)
+void DemandPlanner::recordRefusals(const PlannerInput& input)
 {
-    std::erase_if(refusals_, [&](const auto& entry) { return input.now - entry.second > refusalHolds; });
+    std::erase_if(refusals_, [&](const auto& entry) { return input.now - entry.second > refusalTtl; });
     for (const EngineFacts& engine : input.engines) {
         for (const EngineState::Expected& expected : engine.state->expected) {
             if (expected.within >= catalog::cannotPlace)
@@ -244,13 +245,13 @@
     }
 }
 
-bool WantedPlanner::hasRefused(const ModelName& model, const Endpoint& engine) const
+bool DemandPlanner::hasRefused(const ModelName& model, const Endpoint& engine) const
 {
     return refusals_.contains({ model, engine });
 }
 
 /// Agents have to know what their engines' models are worth before they unload one.
-void WantedPlanner::planHeld(const PlannerInput& input)
+void DemandPlanner::planLoaded(const PlannerInput& input)
 {
     for (const EngineFacts& engine : input.engines) {
         for (const catalog::HeldModel& held : engine.state->held) {
@@ -268,11 +269,11 @@
     }
 }
 
-void WantedPlanner::planWaiting(const PlannerInput& input)
+void DemandPlanner::planWaiting(const PlannerInput& input)
 {
-    heldBack_.clear();
+    deferredLoads_.clear();
     std::set<ModelName> waitedFor;
-    for (const WaitingFor& waiting : bySequence(input)) {
+    for (const WaitingRequests& waiting : inLoadOrder(input)) {
         Wanted wanted;
         wanted.target = waiting.target;
         wanted.waiting = waiting.waiting;
@@ -290,46 +291,46 @@
 
 /// The store's few places go to those first for whom most callers wait, and who can still be in time: with places given
 /// in any order a model that many wait for stands behind one whose caller has left before it is there.
-std::vector<WaitingFor> WantedPlanner::bySequence(const PlannerInput& input) const
+std::vector<WaitingRequests> DemandPlanner::inLoadOrder(const PlannerInput& input) const
 {
     std::vector<policy::PendingLoad> loads;
-    for (const WaitingFor& waiting : input.waiting) {
+    for (const WaitingRequests& waiting : input.waiting) {
         const ModelProfile* const model = input.profile.find(waiting.target.model);
         loads.push_back({ waiting.target.model.value(), waiting.earliest, waiting.waiting, waiting.since,
             model ? model->loadFromStore : Milliseconds(0), waiting.priority });
     }
     if (!input.policy.ordersLoadsByValue)
         return input.waiting;
-    std::vector<WaitingFor> sequence;
+    std::vector<WaitingRequests> sequence;
     for (const std::size_t index : policy::sequenceOf(*loadOrder_, loads, input.now))
         sequence.push_back(input.waiting[index]);
     return sequence;
 }
 
-void WantedPlanner::planWaitingForModel(const PlannerInput& input, const WaitingFor& waiting, const Wanted& wanted)
+void DemandPlanner::planWaitingForModel(const PlannerInput& input, const WaitingRequests& waiting, const Wanted& wanted)
 {
     const Endpoint* const loader = chooseLoader(input, waiting);
     if (!loader)
         return;
     const ModelProfile& model = *input.profile.find(waiting.target.model);
-    if (takeStorePlace(input, *loader, model))
+    if (takeStoreSlot(input, *loader, model))
         return add(input, *loader, wanted);
-    heldBack_[model.name] = framework::Deadline::after(input.now, storeQueue_.add(model.loadFromStore));
+    deferredLoads_[model.name] = framework::Deadline::after(input.now, storeQueue_.add(model.loadFromStore));
 }
 
-const Endpoint* WantedPlanner::chooseLoader(const PlannerInput& input, const WaitingFor& waiting)
+const Endpoint* DemandPlanner::chooseLoader(const PlannerInput& input, const WaitingRequests& waiting)
 {
     const ModelProfile* const model = input.profile.find(waiting.target.model);
     if (!model)
         return nullptr;
-    const auto costAt = [&](const EngineFacts& engine) { return placingCost(input, engine, *model, true); };
+    const auto costAt = [&](const EngineFacts& engine) { return placementCost(input, engine, *model, true); };
     const EngineFacts* best = nullptr;
     Milliseconds least(0);
-    bool isOneUnheard = false;
+    bool isStateMissing = false;
     for (const Endpoint& candidate : candidatesFor(input, model->name, waitedCandidates)) {
         const EngineFacts* const engine = factsOf(candidate);
         if (!engine) {
-            isOneUnheard = true;
+            isStateMissing = true;
             continue;
         }
         const Milliseconds cost = costAt(*engine);
@@ -343,12 +344,13 @@
         return nullptr;
     }
     // Routers that hear different engines would name different ones.
-    if (isOneUnheard && input.now - waiting.since < subscribeTime && !choices_.contains(model->name))
+    if (isStateMissing && input.now - waiting.since < subscriptionTimeout && !choices_.contains(model->name))
         return nullptr;
     Choice& choice = choices_[model->name];
     if (const EngineFacts* const before = factsOf(choice.engine)) {
-        const bool isSilent = !expectedAt(*before, model->name, input.now) && input.now - choice.since > answerTime;
-        const Milliseconds gain = input.policy.keepsToLoader ? changeGain : Milliseconds(0);
+        const bool isSilent
+            = !expectedLoadTime(*before, model->name, input.now) && input.now - choice.since > agentAnswerTimeout;
+        const Milliseconds gain = input.policy.keepsToLoader ? minSwitchGain : Milliseconds(0);
         if (!isSilent && costAt(*before) <= least + gain)
             return &choice.engine;
     }
@@ -358,10 +360,10 @@
 
 /// Busy models need more than one engine. An engine that has been asked is left for another only for the gain at which
 /// a waited load would be: it may have to let requests end first, and begins anew each time that it is asked again.
-void WantedPlanner::planCopies(const PlannerInput& input)
+void DemandPlanner::planCopies(const PlannerInput& input)
 {
     auto askedBefore = std::exchange(copyLoaders_, {});
-    for (const auto& [name, work] : workOfAll_) {
+    for (const auto& [name, work] : fleetWork_) {
         const ModelProfile* const model = input.profile.find(name);
         if (!model || !policy::isBusyModel(work))
             continue;
@@ -373,7 +375,7 @@
             = candidatesFor(input, name, { copyCandidates.cached, copyCandidates.preferred + missing });
         // All that are missing at once: a load may take many seconds.
         for (const Endpoint& engine : cheapestFor(input, *model, candidates, missing, askedBefore[name])) {
-            if (!takeStorePlace(input, engine, *model))
+            if (!takeStoreSlot(input, engine, *model))
                 break;
             Wanted wanted;
             wanted.target.model = name;
@@ -385,22 +387,22 @@
 }
 
 /// Candidates without the model, those first where it costs least to place it.
-std::vector<Endpoint> WantedPlanner::cheapestFor(const PlannerInput& input, const ModelProfile& model,
-    const std::vector<Endpoint>& candidates, std::size_t most, const std::set<Endpoint>& askedBefore)
+std::vector<Endpoint> DemandPlanner::cheapestFor(const PlannerInput& input, const ModelProfile& model,
+    const std::vector<Endpoint>& candidates, std::size_t limit, const std::set<Endpoint>& askedBefore)
 {
     std::vector<std::pair<Milliseconds, Endpoint>> costs;
     for (const Endpoint& candidate : candidates) {
         const EngineFacts* const engine = factsOf(candidate);
         if (!engine || engine->state->find(model.name) || engine->state->loading == model.name)
             continue;
-        const Milliseconds cost = placingCost(input, *engine, model, false);
+        const Milliseconds cost = placementCost(input, *engine, model, false);
         if (cost < catalog::cannotPlace)
-            costs.emplace_back(cost - (askedBefore.contains(candidate) ? changeGain : Milliseconds(0)), candidate);
+            costs.emplace_back(cost - (askedBefore.contains(candidate) ? minSwitchGain : Milliseconds(0)), candidate);
     }
     std::sort(costs.begin(), costs.end());
     std::vector<Endpoint> cheapest;
     for (const auto& [cost, engine] : costs) {
-        if (cheapest.size() == most)
+        if (cheapest.size() == limit)
             break;
         cheapest.push_back(engine);
     }
@@ -412,7 +414,7 @@
 ///
 /// Guards against fetching ahead before demand is known: after a loss of power everywhere an engine is busy for the
 /// time of a load with a model that nobody asks for, and has the only copy on disk of the one that all ask for.
-void WantedPlanner::planPrefetch(const PlannerInput& input)
+void DemandPlanner::planPrefetch(const PlannerInput& input)
 {
     if (!input.isDemandKnown)
         return;
@@ -439,16 +441,16 @@
     }
 }
 
-bool WantedPlanner::isCachedEnough(const PlannerInput& input, const ModelProfile& model)
+bool DemandPlanner::isCachedEnough(const PlannerInput& input, const ModelProfile& model)
 {
-    const bool hasStandby = input.policy.keepsStandbys && model.adapters >= adaptersOfStandby;
+    const bool hasStandby = input.policy.keepsStandbys && model.adapters >= minAdaptersForStandby;
     return input.replicas.availableAt(model.name).size() >= (hasStandby ? standbyEngines : 1);
 }
 
 /// Models that too few engines have cached, those first that none has.
-const std::vector<ModelName>& WantedPlanner::uncached(const PlannerInput& input)
+const std::vector<ModelName>& DemandPlanner::uncached(const PlannerInput& input)
 {
-    if (uncachedAt_ && input.now - *uncachedAt_ < uncachedHolds)
+    if (uncachedAt_ && input.now - *uncachedAt_ < uncachedTtl)
         return uncached_;
     uncachedAt_ = input.now;
     std::vector<std::tuple<std::size_t, std::uint64_t, ModelName>> missing;
@@ -466,7 +468,7 @@
     return uncached_;
 }
 
-void WantedPlanner::add(const PlannerInput& input, const Endpoint& endpoint, Wanted wanted)
+void DemandPlanner::add(const PlannerInput& input, const Endpoint& endpoint, Wanted wanted)
 {
     const auto list = lists_.find(endpoint);
     if (list == lists_.end())
@@ -486,24 +488,24 @@
         *same = std::move(wanted);
 }
 
-std::uint32_t WantedPlanner::rankOf(const PlannerInput& input, const ModelName& model, const Endpoint& engine)
+std::uint32_t DemandPlanner::rankOf(const PlannerInput& input, const ModelName& model, const Endpoint& engine)
 {
-    return static_cast<std::uint32_t>(input.replicas.rank(model, engine, fewEngines));
+    return static_cast<std::uint32_t>(input.replicas.rank(model, engine, smallFleet));
 }
 
-std::optional<Milliseconds> WantedPlanner::soonest(
-    const std::vector<EngineFacts>& engines, const WaitingFor& waiting, framework::SteadyTime now) const
+std::optional<Milliseconds> DemandPlanner::timeUntilLoaded(
+    const std::vector<EngineFacts>& engines, const WaitingRequests& waiting, framework::SteadyTime now) const
 {
     std::optional<Milliseconds> least;
     if (!waiting.target.adapter.value().empty())
         return least;
     for (const EngineFacts& engine : engines) {
-        const auto expected = expectedAt(engine, waiting.target.model, now);
+        const auto expected = expectedLoadTime(engine, waiting.target.model, now);
         if (expected && *expected < catalog::cannotPlace && (!least || *expected < *least))
             least = expected;
     }
-    const auto held = heldBack_.find(waiting.target.model);
-    return least || held == heldBack_.end() ? least : std::optional(held->second.remaining(now));
+    const auto held = deferredLoads_.find(waiting.target.model);
+    return least || held == deferredLoads_.end() ? least : std::optional(held->second.remaining(now));
 }
 
 } // namespace lagoon::forwarding
--- a/src/forwarding/internal/loadrequests.cpp
+++ b/src/forwarding/internal/demandpublisher.cpp
@@ -1,4 +1,4 @@
-#include "forwarding/internal/loadrequests.h"
+#include "forwarding/internal/demandpublisher.h"
 
 #include "forwarding/enginespeed.h"
 #include "forwarding/internal/enginefacts.h"
@@ -20,19 +20,19 @@
 /// Until some requests have been served.
 constexpr Milliseconds assumedRunTime { 500 };
 /// Part of the shared parts of a prompt that an engine reads anew, on average.
-constexpr double readAnew = 0.25;
+constexpr double rereadShare = 0.25;
 
 /// Reading a prompt holds up all others there. Writing an answer takes a slot, which is counted while it is taken.
 Milliseconds readingTime(const RequestFacts& facts)
 {
     const std::uint64_t own = facts.prompt.empty() ? facts.promptTokens.value() : facts.prompt.back().tokens;
     const auto shared = static_cast<double>(facts.promptTokens.value() - std::min(own, facts.promptTokens.value()));
-    return Milliseconds(std::llround((static_cast<double>(own) + readAnew * shared) / promptTokensPerMillisecond));
+    return Milliseconds(std::llround((static_cast<double>(own) + rereadShare * shared) / promptTokensPerMillisecond));
 }
 
 } // namespace
 
-LoadRequests::LoadRequests(const UpstreamTable& upstreams, Publish publish, SteadyTime startedAt)
+DemandPublisher::DemandPublisher(const UpstreamTable& upstreams, Publish publish, SteadyTime startedAt)
     : upstreams_(upstreams)
     , publish_(std::move(publish))
     , demand_(startedAt)
@@ -40,32 +40,33 @@
 {
 }
 
-void LoadRequests::didArrive(const ServiceName& service, const RequestFacts& facts, SteadyTime now)
+void DemandPublisher::didArrive(const ServiceName& service, const RequestFacts& facts, SteadyTime now)
 {
     if (facts.model.value().empty())
         return;
     demand_.didArrive(facts.model, readingTime(facts), now);
-    comingBack_.didArrive(service, facts.model);
+    expectedRetries_.didArrive(service, facts.model);
 }
 
-void LoadRequests::keepFor(const ServiceName& service, const WaitingFor& waiting, framework::Deadline leavesBy)
+void DemandPublisher::expectRetry(
+    const ServiceName& service, const WaitingRequests& waiting, framework::Deadline callerDeadline)
 {
-    comingBack_.didRefuse(service, waiting, leavesBy);
+    expectedRetries_.didRefuse(service, waiting, callerDeadline);
 }
 
-std::optional<Milliseconds> LoadRequests::soonest(const ServiceName& service, const std::vector<EngineFacts>& engines,
-    const WaitingFor& waiting, SteadyTime now) const
+std::optional<Milliseconds> DemandPublisher::timeUntilLoaded(const ServiceName& service,
+    const std::vector<EngineFacts>& engines, const WaitingRequests& waiting, SteadyTime now) const
 {
     const auto planner = planners_.find(service);
     // Before the first plan it is what the agents say.
-    return planner == planners_.end() ? WantedPlanner().soonest(engines, waiting, now)
-                                      : planner->second.soonest(engines, waiting, now);
+    return planner == planners_.end() ? DemandPlanner().timeUntilLoaded(engines, waiting, now)
+                                      : planner->second.timeUntilLoaded(engines, waiting, now);
 }
 
-void LoadRequests::plan(const catalog::Configuration& configuration, const Waiting& waiting,
+void DemandPublisher::plan(const catalog::Configuration& configuration, const ListWaitingRequests& waiting,
     const policy::PolicySwitches& policy, SteadyTime now)
 {
-    comingBack_.forgetLeft(now);
+    expectedRetries_.dropExpired(now);
     demand_.forgetOld(now);
     LoadPlan all;
     for (const catalog::Service& service : configuration.services) {
@@ -78,10 +79,10 @@
     publish_(all);
 }
 
-LoadPlan LoadRequests::planFor(const catalog::Service& service, const std::vector<WaitingFor>& requests,
+LoadPlan DemandPublisher::planFor(const catalog::Service& service, const std::vector<WaitingRequests>& requests,
     const policy::PolicySwitches& policy, SteadyTime now)
 {
-    forgetServed(service.name, now);
+    forgetLoaded(service.name, now);
     PlannerInput input { *service.engine, upstreams_.replicas(service.name), upstreams_.engines(service.name, now),
         byTarget(service.name, requests), {}, demand_.isKnown(now), now, runTime_.mean(), policy,
         upstreams_.enginesWithoutAgent() };
@@ -89,32 +90,33 @@
     for (const auto& [model, reading] : demand_.recent(now))
         input.work[model] += reading;
     LoadPlan plan = planners_[service.name].plan(input);
-    logNew(service.name, plan.wanted, input.engines.size());
+    logNewLoads(service.name, plan.wanted, input.engines.size());
     return plan;
 }
 
-bool LoadRequests::hasLoader(const ServiceName& service, const framework::ModelName& model) const
+bool DemandPublisher::hasLoader(const ServiceName& service, const framework::ModelName& model) const
 {
     const auto planner = planners_.find(service);
     return planner != planners_.end() && planner->second.hasLoader(model);
 }
 
-/// Guards against a second load, elsewhere, of a model that is there by now for those who come back.
-void LoadRequests::forgetServed(const ServiceName& service, SteadyTime now)
+/// Guards against a second load, elsewhere, of a model that is there by now for those who come expectedRetry.
+void DemandPublisher::forgetLoaded(const ServiceName& service, SteadyTime now)
 {
-    for (const WaitingFor& back : comingBack_.expected(service)) {
-        const auto holdsIt = [&](const UpstreamPointer& engine) { return upstreams_.holds(*engine, back.target, now); };
-        const std::vector<UpstreamPointer> serving = upstreams_.serving(service, back.target.model);
-        if (std::any_of(serving.begin(), serving.end(), holdsIt))
-            comingBack_.forget(service, back.target.model);
+    for (const WaitingRequests& expectedRetry : expectedRetries_.expected(service)) {
+        const auto hasLoadedIt
+            = [&](const UpstreamPointer& engine) { return upstreams_.hasLoaded(*engine, expectedRetry.target, now); };
+        const std::vector<UpstreamPointer> serving = upstreams_.serving(service, expectedRetry.target.model);
+        if (std::any_of(serving.begin(), serving.end(), hasLoadedIt))
+            expectedRetries_.forget(service, expectedRetry.target.model);
     }
 }
 
-std::vector<WaitingFor> LoadRequests::byTarget(
-    const ServiceName& service, const std::vector<WaitingFor>& requests) const
+std::vector<WaitingRequests> DemandPublisher::byTarget(
+    const ServiceName& service, const std::vector<WaitingRequests>& requests) const
 {
-    std::map<std::pair<catalog::ModelTarget, Endpoint>, WaitingFor> merged;
-    for (const WaitingFor& request : requests) {
+    std::map<std::pair<catalog::ModelTarget, Endpoint>, WaitingRequests> merged;
+    for (const WaitingRequests& request : requests) {
         const auto [entry, isNew] = merged.try_emplace({ request.target, request.at }, request);
         if (isNew)
             continue;
@@ -123,30 +125,30 @@
         entry->second.since = std::min(entry->second.since, request.since);
         entry->second.priority = std::max(entry->second.priority, request.priority);
     }
-    for (const WaitingFor& back : comingBack_.expected(service)) {
-        const auto [entry, isNew] = merged.try_emplace({ back.target, {} }, back);
+    for (const WaitingRequests& expectedRetry : expectedRetries_.expected(service)) {
+        const auto [entry, isNew] = merged.try_emplace({ expectedRetry.target, {} }, expectedRetry);
         if (isNew)
             continue;
-        entry->second.waiting += back.waiting;
-        entry->second.since = std::min(entry->second.since, back.since);
+        entry->second.waiting += expectedRetry.waiting;
+        entry->second.since = std::min(entry->second.since, expectedRetry.since);
     }
-    std::vector<WaitingFor> all;
+    std::vector<WaitingRequests> all;
     for (auto& [target, waiting] : merged)
         all.push_back(std::move(waiting));
     return all;
 }
 
 /// One line for each load that this router begins to ask for.
-void LoadRequests::logNew(
+void DemandPublisher::logNewLoads(
     const ServiceName& service, const std::map<Endpoint, catalog::WantedList>& plan, std::size_t agents)
 {
-    Asked asked;
+    RequestedLoads requested;
     for (const auto& [engine, list] : plan) {
         for (const catalog::Wanted& wanted : list) {
             if (!wanted.isLoad())
                 continue;
-            asked.insert({ engine, wanted.target });
-            if (asked_[service].contains({ engine, wanted.target }))
+            requested.insert({ engine, wanted.target });
+            if (requestedLoads_[service].contains({ engine, wanted.target }))
                 continue;
             logDecision(LogLine("asked_to_load")
                             .text("engine", engine.value())
@@ -160,7 +162,7 @@
                             .number("agents", agents));
         }
     }
-    asked_[service] = std::move(asked);
+    requestedLoads_[service] = std::move(requested);
 }
 
 } // namespace lagoon::forwarding
--- a/src/forwarding/internal/loadrequests.h
+++ b/src/forwarding/internal/demandpublisher.h
@@ -2,11 +2,11 @@
 
 #include "catalog/types/configuration.h"
 #include "catalog/types/wanted.h"
+#include "forwarding/demandplanner.h"
+#include "forwarding/expectedretries.h"
 #include "forwarding/internal/upstreamtable.h"
 #include "forwarding/modeldemand.h"
-#include "forwarding/returningcallers.h"
 #include "forwarding/types/requestfacts.h"
-#include "forwarding/wantedplanner.h"
 #include "policy/meanduration.h"
 
 #include <functional>
@@ -20,46 +20,48 @@
 
 /// Which models this router's callers ask for, and what its engines' agents are asked for because of it. Traffic thread
 /// only.
-class LoadRequests {
+class DemandPublisher {
 public:
     /// Called at each plan, with the plans of all engine services together.
     using Publish = std::function<void(const LoadPlan&)>;
     /// A service's requests that wait for a load, one entry each.
-    using Waiting = std::function<std::vector<WaitingFor>(const framework::ServiceName&)>;
+    using ListWaitingRequests = std::function<std::vector<WaitingRequests>(const framework::ServiceName&)>;
 
-    LoadRequests(const UpstreamTable&, Publish, framework::SteadyTime startedAt);
+    DemandPublisher(const UpstreamTable&, Publish, framework::SteadyTime startedAt);
 
     void didArrive(const framework::ServiceName&, const RequestFacts&, framework::SteadyTime now);
     /// A request for a model was served within this time from its sending.
     void didRun(framework::Milliseconds took) { runTime_.add(took); }
     /// The caller was told when to come back: until it leaves for good the load goes on being asked for, or the caller
     /// would find the same and be refused again.
-    void keepFor(const framework::ServiceName&, const WaitingFor&, framework::Deadline leavesBy);
-    /// As `WantedPlanner::soonest`.
-    std::optional<framework::Milliseconds> soonest(const framework::ServiceName&, const std::vector<EngineFacts>&,
-        const WaitingFor&, framework::SteadyTime now) const;
+    void expectRetry(const framework::ServiceName&, const WaitingRequests&, framework::Deadline callerDeadline);
+    /// As `DemandPlanner::timeUntilLoaded`.
+    std::optional<framework::Milliseconds> timeUntilLoaded(const framework::ServiceName&,
+        const std::vector<EngineFacts>&, const WaitingRequests&, framework::SteadyTime now) const;
     /// Whether an engine has been found to load the model.
     bool hasLoader(const framework::ServiceName&, const framework::ModelName&) const;
-    void plan(const catalog::Configuration&, const Waiting&, const policy::PolicySwitches&, framework::SteadyTime now);
+    void plan(const catalog::Configuration&, const ListWaitingRequests&, const policy::PolicySwitches&,
+        framework::SteadyTime now);
 
 private:
-    using Asked = std::set<std::pair<framework::Endpoint, catalog::ModelTarget>>;
+    using RequestedLoads = std::set<std::pair<framework::Endpoint, catalog::ModelTarget>>;
 
-    LoadPlan planFor(const catalog::Service&, const std::vector<WaitingFor>& requests, const policy::PolicySwitches&,
-        framework::SteadyTime now);
-    void forgetServed(const framework::ServiceName&, framework::SteadyTime now);
-    std::vector<WaitingFor> byTarget(const framework::ServiceName&, const std::vector<WaitingFor>& requests) const;
-    void logNew(
+    LoadPlan planFor(const catalog::Service&, const std::vector<WaitingRequests>& requests,
+        const policy::PolicySwitches&, framework::SteadyTime now);
+    void forgetLoaded(const framework::ServiceName&, framework::SteadyTime now);
+    std::vector<WaitingRequests> byTarget(
+        const framework::ServiceName&, const std::vector<WaitingRequests>& requests) const;
+    void logNewLoads(
         const framework::ServiceName&, const std::map<framework::Endpoint, catalog::WantedList>&, std::size_t agents);
 
     const UpstreamTable& upstreams_;
     Publish publish_;
     ModelDemand demand_;
-    std::map<framework::ServiceName, WantedPlanner> planners_;
-    ReturningCallers comingBack_;
+    std::map<framework::ServiceName, DemandPlanner> planners_;
+    ExpectedRetries expectedRetries_;
     policy::MeanDuration runTime_;
     /// The loads that are asked for now.
-    std::map<framework::ServiceName, Asked> asked_;
+    std::map<framework::ServiceName, RequestedLoads> requestedLoads_;
 };
 
 } // namespace lagoon::forwarding
--- a/src/forwarding/internal/enginefacts.cpp
+++ b/src/forwarding/internal/enginefacts.cpp
@@ -26,7 +26,8 @@
 
 } // namespace
 
-std::optional<Milliseconds> expectedAt(const EngineFacts& engine, const ModelName& model, framework::SteadyTime now)
+std::optional<Milliseconds> expectedLoadTime(
+    const EngineFacts& engine, const ModelName& model, framework::SteadyTime now)
 {
     const auto age = std::chrono::duration_cast<Milliseconds>(now - engine.stateAt);
     for (const EngineState::Expected& expected : engine.state->expected) {
@@ -40,7 +41,7 @@
 
 Milliseconds loadCost(const EngineFacts& engine, const ModelProfile& model, framework::SteadyTime now)
 {
-    if (const auto expected = expectedAt(engine, model.name, now))
+    if (const auto expected = expectedLoadTime(engine, model.name, now))
         return *expected;
     Milliseconds queue(0);
     for (const EngineState::Expected& other : engine.state->expected) {
--- a/src/forwarding/internal/enginefacts.h
+++ b/src/forwarding/internal/enginefacts.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "forwarding/wantedplanner.h"
+#include "forwarding/demandplanner.h"
 
 #include <cstdint>
 #include <map>
@@ -10,7 +10,7 @@
 namespace lagoon::forwarding {
 
 /// When the model will be there, from now, as the engine's agent said; nothing if it said nothing of it.
-std::optional<framework::Milliseconds> expectedAt(
+std::optional<framework::Milliseconds> expectedLoadTime(
     const EngineFacts&, const framework::ModelName&, framework::SteadyTime now);
 /// Until the engine would have loaded the model, if it were asked now.
 framework::Milliseconds loadCost(const EngineFacts&, const catalog::ModelProfile&, framework::SteadyTime now);
--- a/src/forwarding/internal/eventsplitter.cpp
+++ b/src/forwarding/internal/eventsplitter.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// An event holds a few tokens of text.
-constexpr std::size_t mostEventBytes = 1024 * 1024;
+constexpr std::size_t maxEventBytes = 1024 * 1024;
 
 /// Where the event that begins the text ends, behind its empty line; npos if it isn't whole.
 std::size_t eventEnd(std::string_view text)
@@ -40,12 +40,12 @@
 
 } // namespace
 
-std::string EventSplitter::take(std::string_view bytes)
+std::string EventSplitter::feed(std::string_view bytes)
 {
-    held_.append(bytes);
+    buffer_.append(bytes);
     std::size_t whole = 0;
     while (state_ == State::InOrder) {
-        const std::string_view rest = std::string_view(held_).substr(whole);
+        const std::string_view rest = std::string_view(buffer_).substr(whole);
         const std::size_t end = eventEnd(rest);
         if (end == std::string_view::npos)
             break;
@@ -53,9 +53,9 @@
         if (state_ == State::InOrder)
             whole += end;
     }
-    std::string events = held_.substr(0, whole);
-    held_.erase(0, whole);
-    if (held_.size() > mostEventBytes)
+    std::string events = buffer_.substr(0, whole);
+    buffer_.erase(0, whole);
+    if (buffer_.size() > maxEventBytes)
         state_ = State::Broken;
     return events;
 }
--- a/src/forwarding/internal/roomdamage.cpp
+++ b/src/forwarding/internal/evictioncost.cpp
@@ -1,4 +1,4 @@
-#include "forwarding/internal/roomdamage.h"
+#include "forwarding/internal/evictioncost.h"
 
 #include "catalog/modelweights.h"
 #include "forwarding/internal/enginefacts.h"
@@ -18,13 +18,13 @@
 
 /// A rare model that no other engine has at hand is missed more: the engine may not have room for it when it is asked
 /// for.
-constexpr double damageOfOnlyCopy = 1;
-constexpr double damageOfOtherCopy = 0.5;
+constexpr double onlyCopyCost = 1;
+constexpr double otherCopyCost = 0.5;
 /// And one that is asked for more often: this for each part of an engine's time.
-constexpr double damagePerWork = 20;
+constexpr double costPerWork = 20;
 /// A busy model may lose one of several copies to a model that callers wait for, where the other way is a load from the
 /// store: its requests go to the other copies until another is made.
-constexpr double damageOfBusyCopy = 5;
+constexpr double busyCopyCost = 5;
 
 std::uint64_t usedWeights(const catalog::EngineProfile& profile, const EngineState& state)
 {
@@ -38,42 +38,44 @@
 } // namespace
 
 /// What is lost if the held model makes way; nothing if it must not.
-std::optional<double> RoomDamage::of(const EngineFacts& engine, const ModelName& held, bool isWaitedFor) const
+std::optional<double> EvictionCost::costOf(
+    const EngineFacts& engine, const ModelName& held, bool hasWaitingRequests) const
 {
     const double work = work_.at(held);
-    const auto holders = static_cast<std::uint32_t>(input_.replicas.loadedAt(held).size());
-    if (holders > policy::wantedCopies(work))
+    const auto copies = static_cast<std::uint32_t>(input_.replicas.loadedAt(held).size());
+    if (copies > policy::wantedCopies(work))
         return 0;
     if (policy::isBusyModel(work))
-        return isWaitedFor && holders > 1 && input_.policy.displacesBusyCopies ? std::optional(damageOfBusyCopy)
-                                                                               : std::nullopt;
+        return hasWaitingRequests && copies > 1 && input_.policy.displacesBusyCopies ? std::optional(busyCopyCost)
+                                                                                     : std::nullopt;
     const ReplicaIndex::Engines& available = input_.replicas.availableAt(held);
     const bool isElsewhere = available.size() > 1 || (available.size() == 1 && available.front() != engine.engine);
-    return (isElsewhere ? damageOfOtherCopy : damageOfOnlyCopy) + damagePerWork * work;
+    return (isElsewhere ? otherCopyCost : onlyCopyCost) + costPerWork * work;
 }
 
 /// Of making room for a model of this size; nothing if there can't be any. What isn't in use goes first.
-std::optional<Room> RoomDamage::ofRoom(const EngineFacts& engine, const ModelProfile& model, bool isWaitedFor) const
+std::optional<EvictionEstimate> EvictionCost::estimate(
+    const EngineFacts& engine, const ModelProfile& model, bool hasWaitingRequests) const
 {
     const std::uint64_t needed = model.weights.value();
     std::uint64_t used = usedWeights(input_.profile, *engine.state);
     std::vector<std::tuple<bool, double, std::uint64_t>> removable;
     for (const catalog::HeldModel& held : engine.state->held) {
-        if (const auto damage = of(engine, held.model, isWaitedFor))
-            removable.emplace_back(held.inUse > 0, *damage, catalog::weightsOf(input_.profile, held).value());
+        if (const auto evictionCost = costOf(engine, held.model, hasWaitingRequests))
+            removable.emplace_back(held.inUse > 0, *evictionCost, catalog::weightsOf(input_.profile, held).value());
     }
     std::sort(removable.begin(), removable.end());
-    Room room;
-    for (const auto& [isInUse, lost, size] : removable) {
+    EvictionEstimate eviction;
+    for (const auto& [isInUse, itemCost, size] : removable) {
         if (used + needed <= input_.profile.weights.value())
             break;
         used -= std::min(used, size);
-        room.damage += lost;
-        room.isInUse = room.isInUse || isInUse;
+        eviction.evictionCost += itemCost;
+        eviction.isInUse = eviction.isInUse || isInUse;
     }
     if (used + needed > input_.profile.weights.value())
         return std::nullopt;
-    return room;
+    return eviction;
 }
 
 } // namespace lagoon::forwarding
--- a/src/forwarding/internal/roomdamage.h
+++ b/src/forwarding/internal/evictioncost.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "forwarding/wantedplanner.h"
+#include "forwarding/demandplanner.h"
 
 #include <cstdint>
 #include <map>
@@ -9,29 +9,30 @@
 namespace lagoon::forwarding {
 
 /// What it costs to make room for a model.
-struct Room {
-    double damage = 0;
+struct EvictionEstimate {
+    double evictionCost = 0;
     /// Whether requests have to end first.
     bool isInUse = false;
 };
 
 /// What callers lose if an engine drops models to make room for another one: 0 for nothing, 1 for the only copy of a
 /// rare model.
-class RoomDamage {
+class EvictionCost {
 public:
     /// `work` is of each held model, over all routers. Both must outlive this.
-    RoomDamage(const PlannerInput& input, const std::map<framework::ModelName, double>& work)
+    EvictionCost(const PlannerInput& input, const std::map<framework::ModelName, double>& work)
         : input_(input)
         , work_(work)
     {
     }
 
-    /// Of making room for the model; nothing if there can't be any. `isWaitedFor`: callers wait for it, which is worth
-    /// more than a further copy of a busy one.
-    std::optional<Room> ofRoom(const EngineFacts&, const catalog::ModelProfile&, bool isWaitedFor) const;
+    /// Of making room for the model; nothing if there can't be any. `hasWaitingRequests`: callers wait for it, which is
+    /// worth more than a further copy of a busy one.
+    std::optional<EvictionEstimate> estimate(
+        const EngineFacts&, const catalog::ModelProfile&, bool hasWaitingRequests) const;
 
 private:
-    std::optional<double> of(const EngineFacts&, const framework::ModelName& held, bool isWaitedFor) const;
+    std::optional<double> costOf(const EngineFacts&, const framework::ModelName& held, bool hasWaitingRequests) const;
 
     const PlannerInput& input_;
     const std::map<framework::ModelName, double>& work_;
--- a/src/forwarding/internal/forwarder.cpp
+++ b/src/forwarding/internal/forwarder.cpp
@@ -1,7 +1,7 @@
 #include "forwarding/forwarder.h"
 
 #include "catalog/routetable.h"
-#include "forwarding/internal/loadrequests.h"
+#include "forwarding/internal/demandpublisher.h"
 #include "forwarding/internal/requestjob.h"
 #include "framework/decisionlog.h"
 #include "framework/randomid.h"
@@ -25,20 +25,20 @@
 using framework::ServiceName;
 
 /// Agents hear of changed demand this soon; what changes meanwhile goes with it.
-constexpr Milliseconds planWithin { 15 };
+constexpr Milliseconds urgentPlanDelay { 15 };
 /// Of what no request waits for.
-constexpr Milliseconds planCalmly { 100 };
+constexpr Milliseconds backgroundPlanDelay { 100 };
 /// And without a change, since averages move.
-constexpr Milliseconds planEach { 500 };
+constexpr Milliseconds planInterval { 500 };
 /// To come back while this process knows no configuration yet: it reads one within about a second of its start.
-constexpr Milliseconds untilConfigured { 500 };
+constexpr Milliseconds retryAfterUnconfigured { 500 };
 /// A model's request isn't answered faster than this once the model is there.
-constexpr Milliseconds fastestAnswer { 60 };
+constexpr Milliseconds minAnswerTime { 60 };
 /// How long a request waits for an agent to be linked before it is refused: links take a few network delays.
-constexpr Milliseconds agentPatience { 600 };
+constexpr Milliseconds agentConnectTimeout { 600 };
 /// Part of the operators' reserve of repeats that all routers together plan with: one that has just started has a full
 /// share again, and may not know yet how many others there are.
-constexpr double shareOfReserve = 0.6;
+constexpr double plannedReserveShare = 0.6;
 const catalog::RouteTarget& drawTarget(const catalog::Route& route)
 {
     double all = 0;
@@ -66,12 +66,12 @@
         upstreams_.setPolicy(settings.policy);
     }
 
-    void start() { planSoon(planEach); }
+    void start() { schedulePlan(planInterval); }
 
     void handle(const std::shared_ptr<http::IExchange>& exchange)
     {
         if (!routes_)
-            return refuse(*exchange, 503, "no configuration yet", untilConfigured);
+            return refuse(*exchange, 503, "no configuration yet", retryAfterUnconfigured);
         const std::string_view host = exchange->request().headers.find("Host").value_or("");
         const catalog::Route* const route = routes_->find(host, exchange->request().target);
         if (!route)
@@ -100,7 +100,7 @@
     {
         upstreams_.setUpstreams(list);
         retryWaiting();
-        planSoon(planWithin);
+        schedulePlan(urgentPlanDelay);
     }
 
     void didConfirmUpstreams(framework::SteadyTime at) { upstreams_.didConfirmList(at); }
@@ -109,13 +109,13 @@
     {
         std::vector<framework::ModelName> models = modelsOf(state);
         upstreams_.setState(std::move(state), now());
-        planSoon(retryWaitingFor(models) ? planWithin : planCalmly);
+        schedulePlan(retryWaitingFor(models) ? urgentPlanDelay : backgroundPlanDelay);
     }
 
     void setLoad(const catalog::EngineLoad& load)
     {
         upstreams_.setLoad(load, now());
-        planSoon(planCalmly);
+        schedulePlan(backgroundPlanDelay);
     }
 
     void forgetState(const Endpoint& engine) { upstreams_.forgetState(engine); }
@@ -123,7 +123,7 @@
     void didLoseAgent(const Endpoint& engine)
     {
         upstreams_.didLoseAgent(engine, now());
-        planSoon(planWithin);
+        schedulePlan(urgentPlanDelay);
     }
 
     void endService(const framework::ServiceEnd& end)
@@ -133,7 +133,7 @@
             job->endService(end);
         retryWaiting();
         // What still waits then is too late to start.
-        startTimer_ = context_.traffic.runAt(end.startBy, [weak = weak_from_this()] {
+        startByTimer_ = context_.traffic.runAt(end.startBy, [weak = weak_from_this()] {
             if (const auto self = weak.lock())
                 self->retryWaiting();
         });
@@ -160,36 +160,36 @@
     framework::EventThread& thread() override { return context_.traffic; }
     framework::Metrics& metrics() override { return *context_.metrics; }
     framework::SteadyTime now() const override { return context_.clock.now(); }
-    bool spendRepeat(const ServiceName& service) override
+    bool spendRetry(const ServiceName& service) override
     {
         return settings_.policy.repeatsRequests && budget(service).spend();
     }
 
-    void didFindQueue(const JobTerms& terms, Milliseconds expected) override
+    void didEstimateFirstEvent(const JobSpec& spec, Milliseconds expected) override
     {
-        queues_[{ terms.facts.model, terms.route->priority }].didArrive(expected, terms.route->targetLatency, now());
+        queues_[{ spec.facts.model, spec.route->priority }].didArrive(expected, spec.route->targetLatency, now());
     }
 
-    bool isOverloaded(const JobTerms& terms, Milliseconds expected) const override
+    bool isOverloaded(const JobSpec& spec, Milliseconds expected) const override
     {
-        const Milliseconds target = terms.route->targetLatency;
+        const Milliseconds target = spec.route->targetLatency;
         // Without a target there is nothing by which a queue could be too long.
         if (target.count() <= 0 || expected <= target || !settings_.policy.refusesOverload)
             return false;
-        const auto queue = queues_.find({ terms.facts.model, terms.route->priority });
+        const auto queue = queues_.find({ spec.facts.model, spec.route->priority });
         const bool isStanding = queue != queues_.end() && queue->second.isStanding(target, now());
-        return isStanding || now() + expected > terms.firstEventBy.at();
+        return isStanding || now() + expected > spec.firstEventBy.at();
     }
 
     void didRun(Milliseconds took) override { loads_.didRun(took); }
 
-    void demandChanged() override { planSoon(planCalmly); }
+    void demandChanged() override { schedulePlan(backgroundPlanDelay); }
 
     void didEnd(const std::shared_ptr<RequestJob>& job) override
     {
         jobs_.erase(job);
         noteEnd(job);
-        planSoon(planCalmly);
+        schedulePlan(backgroundPlanDelay);
         if (std::exchange(isRetryPosted_, true))
             return;
         // Not from here: the request that ended is still on the stack.
@@ -215,26 +215,26 @@
 
     void begin(const std::shared_ptr<http::IExchange>& exchange, const catalog::Route& route, RequestFacts facts)
     {
-        JobTerms terms;
-        terms.configuration = routes_->configuration();
-        terms.route = &route;
-        terms.service = drawTarget(route).service;
+        JobSpec spec;
+        spec.configuration = routes_->configuration();
+        spec.route = &route;
+        spec.service = drawTarget(route).service;
         const Milliseconds patience = std::min(route.timeout, facts.timeLeft.value_or(route.timeout));
-        terms.deadline = Deadline::after(exchange->receivedAt(), patience);
+        spec.deadline = Deadline::after(exchange->receivedAt(), patience);
         const Milliseconds untilFirst = route.patience.count() > 0 ? route.patience : patience;
-        terms.firstEventBy = Deadline::after(exchange->receivedAt(), std::min(patience, untilFirst));
-        loads_.didArrive(terms.service, facts, now());
-        terms.facts = std::move(facts);
-        budget(terms.service).earn();
-        const auto job = std::make_shared<RequestJob>(*this, exchange, std::move(terms));
+        spec.firstEventBy = Deadline::after(exchange->receivedAt(), std::min(patience, untilFirst));
+        loads_.didArrive(spec.service, facts, now());
+        spec.facts = std::move(facts);
+        budget(spec.service).earn();
+        const auto job = std::make_shared<RequestJob>(*this, exchange, std::move(spec));
         if (end_)
             job->endService(*end_);
         jobs_.insert(job);
-        if (!job->terms().facts.model.value().empty())
-            jobsByModel_[job->terms().facts.model].insert(job);
+        if (!job->spec().facts.model.value().empty())
+            jobsByModel_[job->spec().facts.model].insert(job);
         job->start();
         if (job->isWaiting())
-            planSoon(Milliseconds(0));
+            schedulePlan(Milliseconds(0));
     }
 
     /// Each router spends by its own requests and its part of the reserve, so that all together keep to the operators'
@@ -242,15 +242,15 @@
     /// an agent has been heard, and until then each takes a small part.
     policy::RetryBudget& budget(const ServiceName& service)
     {
-        const double reserve = std::max(1.0, shareOfReserve * settings_.repeatReserve / upstreams_.routers());
-        policy::RetryBudget& budget = budgets_.try_emplace(service, settings_.repeatShare, reserve).first->second;
+        const double reserve = std::max(1.0, plannedReserveShare * settings_.retryReserve / upstreams_.routers());
+        policy::RetryBudget& budget = budgets_.try_emplace(service, settings_.retryShare, reserve).first->second;
         budget.setMost(reserve);
         return budget;
     }
 
     void noteEnd(const std::shared_ptr<RequestJob>& job)
     {
-        const auto ofModel = jobsByModel_.find(job->terms().facts.model);
+        const auto ofModel = jobsByModel_.find(job->spec().facts.model);
         if (ofModel != jobsByModel_.end() && ofModel->second.erase(job) > 0 && ofModel->second.empty())
             jobsByModel_.erase(ofModel);
     }
@@ -296,8 +296,8 @@
                 waiting.push_back(job);
         }
         std::sort(waiting.begin(), waiting.end(), [](const auto& left, const auto& right) {
-            return std::tie(left->terms().route->priority, left->terms().deadline)
-                < std::tie(right->terms().route->priority, right->terms().deadline);
+            return std::tie(left->spec().route->priority, left->spec().deadline)
+                < std::tie(right->spec().route->priority, right->spec().deadline);
         });
         for (const auto& job : waiting)
             job->advance();
@@ -316,24 +316,25 @@
         const auto waitingFor = job.waitingFor();
         if (!waitingFor || !settings_.policy.refusesHopeless)
             return;
-        const ServiceName& service = job.terms().service;
-        const Milliseconds left = job.terms().firstEventBy.remaining(now());
+        const ServiceName& service = job.spec().service;
+        const Milliseconds left = job.spec().firstEventBy.remaining(now());
         if (!waitingFor->target.adapter.value().empty())
             return;
         auto known = engines.find(service);
         if (known == engines.end())
             known = engines.emplace(service, upstreams_.engines(service, now())).first;
-        const auto soonest = loads_.soonest(service, known->second, *waitingFor, now());
-        if (!soonest && !loads_.hasLoader(service, waitingFor->target.model) && job.waited(now()) > agentPatience)
+        const auto timeUntilLoaded = loads_.timeUntilLoaded(service, known->second, *waitingFor, now());
+        if (!timeUntilLoaded && !loads_.hasLoader(service, waitingFor->target.model)
+            && job.waited(now()) > agentConnectTimeout)
             return job.refuseAsHopeless(left);
-        if (!soonest || *soonest + fastestAnswer <= left)
+        if (!timeUntilLoaded || *timeUntilLoaded + minAnswerTime <= left)
             return;
         if (settings_.policy.countsReturning)
-            loads_.keepFor(service, *waitingFor, job.terms().deadline);
-        job.refuseAsHopeless(*soonest);
+            loads_.expectRetry(service, *waitingFor, job.spec().deadline);
+        job.refuseAsHopeless(*timeUntilLoaded);
     }
 
-    void planSoon(Milliseconds within)
+    void schedulePlan(Milliseconds within)
     {
         const Deadline at = Deadline::after(now(), within);
         if (planTimer_ && planAt_ <= at)
@@ -345,33 +346,33 @@
         });
     }
 
-    void leaveSilent()
+    void failOverIfSilent()
     {
-        if (!upstreams_.mayHaveSilent(now()))
+        if (!upstreams_.mayAnyBeSilent(now()))
             return;
         const auto jobs = jobs_;
         for (const auto& job : jobs)
-            job->leaveSilent();
+            job->failOverIfSilent();
     }
 
     void plan()
     {
         planTimer_.reset();
-        upstreams_.forgetLosses(now());
-        leaveSilent();
+        upstreams_.expireUnreachable(now());
+        failOverIfSilent();
         if (routes_)
             loads_.plan(
                 *routes_->configuration(), [this](const ServiceName& service) { return waitingFor(service); },
                 settings_.policy, now());
         retryWaiting();
-        planSoon(planEach);
+        schedulePlan(planInterval);
     }
 
-    std::vector<WaitingFor> waitingFor(const ServiceName& service) const
+    std::vector<WaitingRequests> waitingFor(const ServiceName& service) const
     {
-        std::vector<WaitingFor> waiting;
+        std::vector<WaitingRequests> waiting;
         for (const auto& job : jobs_) {
-            if (job->terms().service != service)
+            if (job->spec().service != service)
                 continue;
             if (const auto one = job->waitingFor())
                 waiting.push_back(*one);
@@ -383,13 +384,13 @@
     ForwarderSettings settings_;
     /// Set once this process is to end.
     std::optional<framework::ServiceEnd> end_;
-    std::unique_ptr<framework::Timer> startTimer_;
+    std::unique_ptr<framework::Timer> startByTimer_;
     UpstreamTable upstreams_;
     std::unique_ptr<catalog::RouteTable> routes_;
     Jobs jobs_;
     std::unordered_map<framework::ModelName, Jobs> jobsByModel_;
     std::map<ServiceName, policy::RetryBudget> budgets_;
-    LoadRequests loads_;
+    DemandPublisher loads_;
     /// At the engines that hold a model, by the priority of those that queue.
     std::map<std::pair<framework::ModelName, std::uint32_t>, policy::StandingQueue> queues_;
     std::unique_ptr<framework::Timer> planTimer_;
--- a/src/forwarding/internal/ijobhost.h
+++ b/src/forwarding/internal/ijobhost.h
@@ -15,7 +15,7 @@
 namespace lagoon::forwarding {
 
 class RequestJob;
-struct JobTerms;
+struct JobSpec;
 
 /// What a request needs of the forwarder that keeps it. Traffic thread only.
 class IJobHost {
@@ -29,11 +29,11 @@
     virtual framework::SteadyTime now() const = 0;
 
     /// Spends one of the service's repeats; false: none is left.
-    [[nodiscard]] virtual bool spendRepeat(const framework::ServiceName&) = 0;
+    [[nodiscard]] virtual bool spendRetry(const framework::ServiceName&) = 0;
     /// A request found this shortest time to its first event, among the engines that hold its model.
-    virtual void didFindQueue(const JobTerms&, framework::Milliseconds expected) = 0;
+    virtual void didEstimateFirstEvent(const JobSpec&, framework::Milliseconds expected) = 0;
     /// Whether a request that finds it is to be refused rather than queued.
-    virtual bool isOverloaded(const JobTerms&, framework::Milliseconds expected) const = 0;
+    virtual bool isOverloaded(const JobSpec&, framework::Milliseconds expected) const = 0;
     /// A model's request was served within this time from its last sending.
     virtual void didRun(framework::Milliseconds took) = 0;
     /// What runs or waits for models has changed.
--- a/src/forwarding/internal/upstreamuse.cpp
+++ b/src/forwarding/internal/inflightguard.cpp
@@ -1,10 +1,10 @@
-#include "forwarding/internal/upstreamuse.h"
+#include "forwarding/internal/inflightguard.h"
 
 #include <utility>
 
 namespace lagoon::forwarding {
 
-UpstreamUse::UpstreamUse(
+InFlightGuard::InFlightGuard(
     UpstreamPointer upstream, catalog::ModelTarget target, std::uint32_t priority, std::uint64_t newTokens)
     : upstream_(std::move(upstream))
     , target_(std::move(target))
@@ -18,17 +18,17 @@
         ++upstream_->inFlightByTarget[target_];
 }
 
-UpstreamUse::~UpstreamUse()
+InFlightGuard::~InFlightGuard()
 {
     didStart();
     if (--upstream_->inFlight == 0)
-        upstream_->liveness.didSettle();
+        upstream_->liveness.didBecomeIdle();
     const auto target = upstream_->inFlightByTarget.find(target_);
     if (target != upstream_->inFlightByTarget.end() && --target->second == 0)
         upstream_->inFlightByTarget.erase(target);
 }
 
-void UpstreamUse::didStart()
+void InFlightGuard::didStart()
 {
     if (!std::exchange(isStarting_, false))
         return;
--- a/src/forwarding/internal/upstreamuse.h
+++ b/src/forwarding/internal/inflightguard.h
@@ -8,12 +8,12 @@
 namespace lagoon::forwarding {
 
 /// One request's part in the counts of a server, for as long as it is under way there.
-class UpstreamUse {
+class InFlightGuard {
 public:
-    UpstreamUse(UpstreamPointer, catalog::ModelTarget, std::uint32_t priority, std::uint64_t newTokens);
-    ~UpstreamUse();
-    UpstreamUse(const UpstreamUse&) = delete;
-    UpstreamUse& operator=(const UpstreamUse&) = delete;
+    InFlightGuard(UpstreamPointer, catalog::ModelTarget, std::uint32_t priority, std::uint64_t newTokens);
+    ~InFlightGuard();
+    InFlightGuard(const InFlightGuard&) = delete;
+    InFlightGuard& operator=(const InFlightGuard&) = delete;
 
     /// The answer has begun: the prompt has been read.
     void didStart();
--- a/src/forwarding/internal/modeldemand.cpp
+++ b/src/forwarding/internal/modeldemand.cpp
@@ -10,20 +10,20 @@
 
 /// Demand moves from model to model within some five seconds, and a further copy takes as long to load: an average that
 /// follows no faster asks for it when the requests are late already. A shorter one would see chance.
-constexpr double fadeSeconds = 3;
+constexpr double decaySeconds = 3;
 
 /// What is left of a model's average by then is an eighth.
-constexpr framework::Milliseconds forgottenAfter { 6000 };
+constexpr framework::Milliseconds averageTtl { 6000 };
 /// An average of less time than this says more of chance than of demand.
-constexpr double leastSeconds = 1;
+constexpr double minWindowSeconds = 1;
 /// Callers who go on asking while a process starts are heard within this.
-constexpr framework::Milliseconds quietStart { 1500 };
+constexpr framework::Milliseconds startupWindow { 1500 };
 /// Until then the average holds four fifths of what it will.
-constexpr framework::Milliseconds listening { 5000 };
+constexpr framework::Milliseconds warmUp { 5000 };
 
-double faded(double value, framework::SteadyTime since, framework::SteadyTime now)
+double decayed(double value, framework::SteadyTime since, framework::SteadyTime now)
 {
-    return value * std::exp(-std::max(0.0, Seconds(now - since).count()) / fadeSeconds);
+    return value * std::exp(-std::max(0.0, Seconds(now - since).count()) / decaySeconds);
 }
 
 } // namespace
@@ -33,7 +33,7 @@
     if (!firstArrival_)
         firstArrival_ = now;
     Average& average = averages_[model];
-    average.perSecond = faded(average.perSecond, average.at, now) + Seconds(work).count() / fadeSeconds;
+    average.perSecond = decayed(average.perSecond, average.at, now) + Seconds(work).count() / decaySeconds;
     average.at = now;
 }
 
@@ -44,13 +44,13 @@
         return 0;
     // The average has been filling since the first arrival only. Taken as it is, a router that has just started knows
     // a third of the demand after a second, and the copies that a busy model needs are loaded seconds too late.
-    const double listened = std::max(leastSeconds, Seconds(now - *firstArrival_).count());
-    return faded(found->second.perSecond, found->second.at, now) / (1 - std::exp(-listened / fadeSeconds));
+    const double observed = std::max(minWindowSeconds, Seconds(now - *firstArrival_).count());
+    return decayed(found->second.perSecond, found->second.at, now) / (1 - std::exp(-observed / decaySeconds));
 }
 
 void ModelDemand::forgetOld(framework::SteadyTime now)
 {
-    std::erase_if(averages_, [now](const auto& entry) { return now - entry.second.at > forgottenAfter; });
+    std::erase_if(averages_, [now](const auto& entry) { return now - entry.second.at > averageTtl; });
 }
 
 std::map<framework::ModelName, double> ModelDemand::recent(framework::SteadyTime now) const
@@ -63,10 +63,10 @@
 
 bool ModelDemand::isKnown(framework::SteadyTime now) const
 {
-    if (now - startedAt_ < quietStart)
+    if (now - startedAt_ < startupWindow)
         return false;
-    const bool startedUnderLoad = firstArrival_ && *firstArrival_ - startedAt_ < quietStart;
-    return !startedUnderLoad || now - startedAt_ >= listening;
+    const bool startedUnderLoad = firstArrival_ && *firstArrival_ - startedAt_ < startupWindow;
+    return !startedUnderLoad || now - startedAt_ >= warmUp;
 }
 
 } // namespace lagoon::forwarding
--- a/src/forwarding/internal/suspicion.cpp
+++ b/src/forwarding/internal/outlierdetector.cpp
@@ -1,4 +1,4 @@
-#include "forwarding/suspicion.h"
+#include "forwarding/outlierdetector.h"
 
 #include <algorithm>
 
@@ -10,21 +10,21 @@
 
 /// A server that fails once may have had bad luck, and is only passed by for as long as the others take over what it
 /// had; one that goes on failing costs a request each time it is tried.
-constexpr Milliseconds firstPause { 300 };
-constexpr Milliseconds longestPause { 5000 };
+constexpr Milliseconds minEjectionTime { 300 };
+constexpr Milliseconds maxEjectionTime { 5000 };
 
 } // namespace
 
-void Suspicion::didServe()
+void OutlierDetector::didServe()
 {
     failures_ = 0;
-    until_ = framework::Deadline();
+    ejectedUntil_ = framework::Deadline();
 }
 
-void Suspicion::didFail(framework::SteadyTime now)
+void OutlierDetector::didFail(framework::SteadyTime now)
 {
     const std::uint32_t doublings = std::min<std::uint32_t>(failures_, 5);
-    until_ = framework::Deadline::after(now, std::min(longestPause, firstPause * (1 << doublings)));
+    ejectedUntil_ = framework::Deadline::after(now, std::min(maxEjectionTime, minEjectionTime * (1 << doublings)));
     ++failures_;
 }
 
--- a/src/forwarding/internal/promptcache.cpp
+++ b/src/forwarding/internal/promptcache.cpp
@@ -18,7 +18,7 @@
     return chain;
 }
 
-std::uint32_t PromptCache::kept(const PromptChain& chain) const
+std::uint32_t PromptCache::cachedTokens(const PromptChain& chain) const
 {
     std::uint32_t tokens = 0;
     for (const PromptLink& link : chain) {
@@ -34,14 +34,14 @@
     for (const PromptLink& link : chain) {
         const auto [entry, isNew] = entries_.try_emplace(link.hash);
         if (!isNew) {
-            order_.splice(order_.begin(), order_, entry->second.place);
+            order_.splice(order_.begin(), order_, entry->second.position);
             continue;
         }
         order_.push_front(link.hash);
         entry->second = { link.tokens, order_.begin() };
         used_ += link.tokens;
     }
-    while (used_ > room_.value() && !order_.empty()) {
+    while (used_ > capacity_.value() && !order_.empty()) {
         const auto oldest = entries_.find(order_.back());
         used_ -= oldest->second.tokens;
         entries_.erase(oldest);
--- a/src/forwarding/internal/replicaindex.cpp
+++ b/src/forwarding/internal/replicaindex.cpp
@@ -15,13 +15,13 @@
 const ReplicaIndex::Engines none;
 
 /// Orders are kept for the models that a router has to place, not for all.
-constexpr std::size_t mostOrders = 256;
+constexpr std::size_t maxCachedOrders = 256;
 
 void insertSorted(ReplicaIndex::Engines& engines, const Endpoint& engine)
 {
-    const auto place = std::lower_bound(engines.begin(), engines.end(), engine);
-    if (place == engines.end() || *place != engine)
-        engines.insert(place, engine);
+    const auto position = std::lower_bound(engines.begin(), engines.end(), engine);
+    if (position == engines.end() || *position != engine)
+        engines.insert(position, engine);
 }
 
 } // namespace
@@ -88,7 +88,7 @@
 
 const ReplicaIndex::Order& ReplicaIndex::order(const ModelName& model) const
 {
-    if (orders_.size() >= mostOrders && !orders_.contains(model))
+    if (orders_.size() >= maxCachedOrders && !orders_.contains(model))
         orders_.clear();
     Order& order = orders_[model];
     if (!order.empty() || contents_.empty())
@@ -103,12 +103,12 @@
     return order;
 }
 
-std::size_t ReplicaIndex::rank(const ModelName& model, const Endpoint& engine, std::size_t most) const
+std::size_t ReplicaIndex::rank(const ModelName& model, const Endpoint& engine, std::size_t limit) const
 {
     const Order& engines = order(model);
-    const auto end = engines.begin() + static_cast<std::ptrdiff_t>(std::min(most, engines.size()));
-    const auto place = std::find_if(engines.begin(), end, [&](const Endpoint* other) { return *other == engine; });
-    return static_cast<std::size_t>(place - engines.begin());
+    const auto end = engines.begin() + static_cast<std::ptrdiff_t>(std::min(limit, engines.size()));
+    const auto position = std::find_if(engines.begin(), end, [&](const Endpoint* other) { return *other == engine; });
+    return static_cast<std::size_t>(position - engines.begin());
 }
 
 } // namespace lagoon::forwarding
--- a/src/forwarding/internal/requestjob.cpp
+++ b/src/forwarding/internal/requestjob.cpp
@@ -18,43 +18,43 @@
 using framework::Milliseconds;
 
 /// Servers that can't be reached before a request is given up: by then it isn't the server.
-constexpr std::uint32_t mostUnreached = 3;
+constexpr std::uint32_t maxConnectFailures = 3;
 /// Less time than this isn't worth sending a request once more for.
-constexpr Milliseconds leastTimeToRepeat { 60 };
+constexpr Milliseconds minTimeToRetry { 60 };
 /// Bytes that a caller may leave unread before its server is read no further.
-constexpr std::size_t unreadBytes = 256 * 1024;
+constexpr std::size_t maxUnreadBytes = 256 * 1024;
 /// When to come back after a server had no place, or a connection failed: mostly things are better by then. Drawn from
 /// this to twice of it, so that callers who were refused together don't return together.
-constexpr Milliseconds soonAgain { 250 };
+constexpr Milliseconds minRetryAfter { 250 };
 /// When to come back if no server is known: that takes the platform a second or two.
-constexpr Milliseconds laterAgain { 1000 };
+constexpr Milliseconds retryAfterWithoutServer { 1000 };
 /// Requests of urgency 0 to 3 as the engines count: 0 first, and 5 for whoever says nothing.
-constexpr std::uint32_t mostUrgent = 3;
-constexpr std::uint32_t leastUrgent = 9;
+constexpr std::uint32_t highestEnginePriority = 3;
+constexpr std::uint32_t lowestEnginePriority = 9;
 
-Milliseconds jittered(Milliseconds least)
+Milliseconds jittered(Milliseconds base)
 {
-    return least + Milliseconds(static_cast<std::int64_t>(framework::randomFraction() * least.count()));
+    return base + Milliseconds(static_cast<std::int64_t>(framework::randomFraction() * base.count()));
 }
 
 /// Whether another server may do better: not if the time is up, or if the request itself is at fault.
-bool isWorthRepeating(unsigned serverStatus) { return serverStatus >= 500 && serverStatus != 504; }
+bool isWorthRetrying(unsigned serverStatus) { return serverStatus >= 500 && serverStatus != 504; }
 
-std::string_view rejectionText(AnswerMeaning meaning)
+std::string_view rejectionText(AnswerClass answerClass)
 {
-    if (meaning == AnswerMeaning::OtherInstance)
+    if (answerClass == AnswerClass::OtherInstance)
         return "another server has the address";
-    return meaning == AnswerMeaning::NotLoaded ? "server lacks the model" : "server has no place";
+    return answerClass == AnswerClass::NotLoaded ? "server lacks the model" : "server has no place";
 }
 
 } // namespace
 
-RequestJob::RequestJob(IJobHost& host, std::shared_ptr<http::IExchange> exchange, JobTerms terms)
+RequestJob::RequestJob(IJobHost& host, std::shared_ptr<http::IExchange> exchange, JobSpec spec)
     : host_(host)
     , exchange_(std::move(exchange))
-    , terms_(std::move(terms))
-    , prompt_(promptChain(terms_.facts))
-    , events_(terms_.facts.lastEvent)
+    , spec_(std::move(spec))
+    , prompt_(promptChain(spec_.facts))
+    , events_(spec_.facts.lastEvent)
 {
 }
 
@@ -72,7 +72,7 @@
 
 void RequestJob::armDeadline()
 {
-    deadlineTimer_ = host_.thread().runAt(terms_.deadline, [weak = weak_from_this()] {
+    deadlineTimer_ = host_.thread().runAt(spec_.deadline, [weak = weak_from_this()] {
         if (const auto self = weak.lock())
             self->didPassDeadline();
     });
@@ -83,12 +83,12 @@
 /// forecasts, so that a wait that can't end well ends at once, and in the time that a server is given.
 void RequestJob::endService(const framework::ServiceEnd& end)
 {
-    if (isEnded_ || terms_.deadline <= end.answerBy)
+    if (isEnded_ || spec_.deadline <= end.answerBy)
         return;
-    isCutShort_ = true;
+    isCutByShutdown_ = true;
     startBy_ = end.startBy;
-    terms_.deadline = end.answerBy;
-    terms_.firstEventBy = std::min(terms_.firstEventBy, end.startBy);
+    spec_.deadline = end.answerBy;
+    spec_.firstEventBy = std::min(spec_.firstEventBy, end.startBy);
     if (deadlineTimer_)
         armDeadline();
 }
@@ -101,25 +101,26 @@
 {
     if (isEnded_)
         return;
-    isCutShort_ = true;
+    isCutByShutdown_ = true;
     didPassDeadline();
 }
 
-ModelTarget RequestJob::target() const { return { terms_.facts.model, terms_.facts.adapter }; }
+ModelTarget RequestJob::target() const { return { spec_.facts.model, spec_.facts.adapter }; }
 
-bool RequestJob::mayRepeat() const
+bool RequestJob::mayRetry() const
 {
-    return terms_.route->kind == RouteKind::Idempotent || (isStream() && terms_.route->isResumable);
+    return spec_.route->kind == RouteKind::Idempotent || (isStream() && spec_.route->isResumable);
 }
 
-std::optional<WaitingFor> RequestJob::waitingFor() const
+std::optional<WaitingRequests> RequestJob::waitingFor() const
 {
     if (!isWaiting() || !waitsForLoad_)
         return std::nullopt;
-    WaitingFor waiting { target(), 1, terms_.firstEventBy, exchange_->receivedAt(), 0, adapterAt_ };
+    WaitingRequests waiting { target(), 1, spec_.firstEventBy, exchange_->receivedAt(), 0, adapterAt_ };
     if (adapterAt_.value().empty())
         waiting.target.adapter = framework::AdapterName();
-    waiting.priority = static_cast<std::uint8_t>(leastUrgent - std::min(leastUrgent, terms_.route->priority));
+    waiting.priority
+        = static_cast<std::uint8_t>(lowestEnginePriority - std::min(lowestEnginePriority, spec_.route->priority));
     return waiting;
 }
 
@@ -127,38 +128,38 @@
 {
     if (!isWaiting())
         return;
-    const auto keepsItself = shared_from_this();
+    const auto keepAlive = shared_from_this();
     if (isTooLateToStart())
-        return refuse(503, "no server in time, this router ends", jittered(soonAgain));
+        return refuse(503, "no server in time, this router ends", jittered(minRetryAfter));
     // Whose time is up before it could be sent surely hasn't run, and with no time left no server could answer it.
-    if (terms_.deadline.hasPassed(host_.now()))
+    if (spec_.deadline.hasPassed(host_.now()))
         return didPassDeadline();
-    const UpstreamSearch search = findUpstream(host_, terms_, prompt_, tried_);
+    const UpstreamSearch search = findUpstream(host_, spec_, prompt_, tried_);
     adapterAt_ = search.adapterAt;
     waitsForLoad_ = search.reason == NoUpstream::NotLoaded || search.reason == NoUpstream::AdapterNotLoaded;
     if (search.chosen) {
-        if (!endIfCallerLeft())
+        if (!endIfCallerDisconnected())
             return send(*search.chosen);
         return search.chosen->connection->abandon();
     }
     if (search.reason == NoUpstream::NoneLeft)
-        return refuse(503, lastCause_, jittered(soonAgain));
+        return refuse(503, lastCause_, jittered(minRetryAfter));
     if (search.reason == NoUpstream::Overloaded)
         return refuseAsOverloaded(search.expected);
     if (search.reason == NoUpstream::NoneReady)
-        return refuse(503, "no server is ready", jittered(laterAgain));
+        return refuse(503, "no server is ready", jittered(retryAfterWithoutServer));
 }
 
 http::Request RequestJob::forwardedRequest(const UpstreamRecord& upstream) const
 {
-    ForwardingTerms terms;
-    terms.timeLeft = std::max(Milliseconds(1), terms_.deadline.remaining(host_.now()));
-    terms.instance = upstream.facts.instance;
+    ForwardingOptions options;
+    options.timeLeft = std::max(Milliseconds(1), spec_.deadline.remaining(host_.now()));
+    options.instance = upstream.facts.instance;
     if (isForModel())
-        terms.priority = std::min(leastUrgent, mostUrgent + terms_.route->priority);
+        options.priority = std::min(lowestEnginePriority, highestEnginePriority + spec_.route->priority);
     if (isStream())
-        terms.resumeAfter = events_.last();
-    return host_.dialect().forwarded(exchange_->request(), terms);
+        options.resumeAfter = events_.last();
+    return host_.dialect().forwarded(exchange_->request(), options);
 }
 
 void RequestJob::send(const ChosenUpstream& chosen)
@@ -168,9 +169,10 @@
     sentAt_ = host_.now();
     tried_.sentTo.insert(upstream.facts.run());
     lastServer_ = upstream.facts.instance.value();
-    logDecision(sentLine(terms_, chosen, sends_, host_.now()));
-    auto use = std::make_unique<UpstreamUse>(chosen.upstream, target(), terms_.route->priority, chosen.newTokens);
-    attempt_ = std::make_shared<UpstreamAttempt>(weak_from_this(), host_.dialect(), std::move(use), chosen.connection);
+    logDecision(sentLine(spec_, chosen, sends_, host_.now()));
+    auto guard = std::make_unique<InFlightGuard>(chosen.upstream, target(), spec_.route->priority, chosen.newTokens);
+    attempt_
+        = std::make_shared<UpstreamAttempt>(weak_from_this(), host_.dialect(), std::move(guard), chosen.connection);
     if (isForModel())
         upstream.liveness.didSend(host_.now(), chosen.expected);
     // What the engine has read of a prompt is kept for the next one that begins alike.
@@ -183,34 +185,34 @@
 {
     const char* const sentState = firstByteAt_ ? "streaming" : "sent";
     logDecision(LogLine("unanswered")
-                    .text("id", terms_.facts.attempt)
-                    .text("route", terms_.route->name.value())
+                    .text("id", spec_.facts.attempt)
+                    .text("route", spec_.route->name.value())
                     .text("state", attempt_ ? sentState : "waiting")
                     .flag("waits_for_load", isWaiting() && waitsForLoad_)
-                    .text("model", terms_.facts.model.value())
+                    .text("model", spec_.facts.model.value())
                     .text("server", lastServer_)
                     .number("waited_ms", waited(host_.now()).count()));
 }
 
 /// Of engines only, as for what is sent.
-void RequestJob::didHear(UpstreamRecord& upstream)
+void RequestJob::didSeeActivity(UpstreamRecord& upstream)
 {
     if (isForModel())
-        upstream.liveness.didHear(host_.now(), upstream.inFlight);
+        upstream.liveness.didSeeActivity(host_.now(), upstream.inFlight);
 }
 
-void RequestJob::leaveSilent()
+void RequestJob::failOverIfSilent()
 {
-    if (!attempt_ || !mayRepeat() || !host_.upstreams().isSilent(attempt_->use().upstream(), host_.now()))
+    if (!attempt_ || !mayRetry() || !host_.upstreams().isSilent(attempt_->guard().upstream(), host_.now()))
         return;
-    const bool hasTime = terms_.deadline.remaining(host_.now()) >= leastTimeToRepeat;
-    if (!hasTime || tried_.sentTo.size() >= terms_.route->mostServers || !isHeldElsewhere())
+    const bool hasTime = spec_.deadline.remaining(host_.now()) >= minTimeToRetry;
+    if (!hasTime || tried_.sentTo.size() >= spec_.route->mostServers || !hasAlternativeServer())
         return;
-    if (!host_.spendRepeat(terms_.service))
+    if (!host_.spendRetry(spec_.service))
         return;
-    const auto keepsItself = shared_from_this();
+    const auto keepAlive = shared_from_this();
     logDecision(LogLine("silent_server_left")
-                    .text("id", terms_.facts.attempt)
+                    .text("id", spec_.facts.attempt)
                     .text("server", lastServer_)
                     .flag("stream_begun", hasStreamBegun_));
     abandonAttempt();
@@ -220,26 +222,26 @@
     advance();
 }
 
-bool RequestJob::isHeldElsewhere() const
+bool RequestJob::hasAlternativeServer() const
 {
     const std::vector<UpstreamPointer> serving = isForModel()
-        ? host_.upstreams().serving(terms_.service, terms_.facts.model)
-        : host_.upstreams().ready(terms_.service);
+        ? host_.upstreams().serving(spec_.service, spec_.facts.model)
+        : host_.upstreams().ready(spec_.service);
     return std::any_of(serving.begin(), serving.end(), [&](const UpstreamPointer& other) {
-        return other.get() != &attempt_->use().upstream() && !tried_.has(*other)
+        return other.get() != &attempt_->guard().upstream() && !tried_.has(*other)
             && !host_.upstreams().isSuspect(*other, host_.now()) && !host_.upstreams().isSilent(*other, host_.now())
-            && host_.upstreams().holds(*other, target(), host_.now());
+            && host_.upstreams().hasLoaded(*other, target(), host_.now());
     });
 }
 
 void RequestJob::abandonAttempt()
 {
-    const UpstreamPointer upstream = attempt_->use().pointer();
+    const UpstreamPointer upstream = attempt_->guard().pointer();
     const bool isSilent = upstream->liveness.isSilent(host_.now());
     attempt_->abandon();
     attempt_.reset();
     if (isSilent)
-        upstream->liveness.didGiveUp(host_.now());
+        upstream->liveness.didAbandon(host_.now());
 }
 
 void RequestJob::didBeginStream(const http::ResponseHead& head)
@@ -257,24 +259,24 @@
 
 void RequestJob::didReceiveEvents(std::string_view bytes)
 {
-    const std::string events = events_.take(bytes);
+    const std::string events = events_.feed(bytes);
     if (!events.empty()) {
         if (!firstByteAt_)
             firstByteAt_ = host_.now();
-        attempt_->use().didStart();
+        attempt_->guard().didStart();
         exchange_->sendPiece(events);
     }
     if (events_.state() == EventSplitter::State::Broken) {
         attempt_->abandon();
         return didBreak("events out of order", true);
     }
-    if (exchange_->unsentBytes() > unreadBytes)
+    if (exchange_->unsentBytes() > maxUnreadBytes)
         attempt_->pause();
 }
 
 void RequestJob::didEndStream()
 {
-    if (events_.holdsPart())
+    if (events_.hasPartialEvent())
         return didBreak("stream ended within an event", true);
     attempt_.reset();
     if (isForModel())
@@ -286,78 +288,78 @@
 void RequestJob::didAnswer(const http::ResponseHead& head, std::string body)
 {
     firstByteAt_ = host_.now();
-    passOn(head, std::move(body), "served");
+    relayAnswer(head, std::move(body), "served");
 }
 
 void RequestJob::didFailAtServer(const http::ResponseHead& head, std::string body)
 {
     if (hasStreamBegun_)
         return didBreak("server failed the resumed stream", true);
-    if (!mayRepeat() || !isWorthRepeating(head.status))
-        return passOn(head, std::move(body), "failed_by_server");
+    if (!mayRetry() || !isWorthRetrying(head.status))
+        return relayAnswer(head, std::move(body), "failed_by_server");
     mayHaveRun_ = true;
     failure_ = ServerFailure { head, std::move(body) };
-    sendOnceMore("server failed it (" + std::to_string(head.status) + ")", 502);
+    retryOrRefuse("server failed it (" + std::to_string(head.status) + ")", 502);
 }
 
-void RequestJob::passOn(const http::ResponseHead& head, std::string body, const char* outcome)
+void RequestJob::relayAnswer(const http::ResponseHead& head, std::string body, const char* outcome)
 {
     attempt_.reset();
     exchange_->answer(head, std::move(body));
     end(outcome, head.status, {});
 }
 
-void RequestJob::didReject(AnswerMeaning meaning, unsigned status)
+void RequestJob::didReject(AnswerClass answerClass, unsigned status)
 {
-    UpstreamRecord& upstream = attempt_->use().upstream();
-    upstream.isGone = upstream.isGone || meaning == AnswerMeaning::OtherInstance;
-    upstream.suspicion.didFail(host_.now());
-    if (meaning == AnswerMeaning::NotLoaded)
-        host_.upstreams().didLack(upstream, target());
-    sendOnceMore(std::string(rejectionText(meaning)) + " (" + std::to_string(status) + ")", 503);
+    UpstreamRecord& upstream = attempt_->guard().upstream();
+    upstream.isReplaced = upstream.isReplaced || answerClass == AnswerClass::OtherInstance;
+    upstream.outlierDetector.didFail(host_.now());
+    if (answerClass == AnswerClass::NotLoaded)
+        host_.upstreams().didReportNotLoaded(upstream, target());
+    retryOrRefuse(std::string(rejectionText(answerClass)) + " (" + std::to_string(status) + ")", 503);
 }
 
 void RequestJob::didBreak(const std::string& cause, bool mayHaveRun)
 {
-    UpstreamRecord& upstream = attempt_->use().upstream();
-    upstream.suspicion.didFail(host_.now());
+    UpstreamRecord& upstream = attempt_->guard().upstream();
+    upstream.outlierDetector.didFail(host_.now());
     if (!mayHaveRun) {
         tried_.avoided.insert(upstream.facts.run());
         tried_.sentTo.erase(upstream.facts.run());
         if (isForModel())
-            host_.upstreams().didLose(upstream, host_.now());
+            host_.upstreams().didFailToConnect(upstream, host_.now());
         attempt_.reset();
         lastCause_ = cause;
-        if (++unreached_ < mostUnreached && !terms_.deadline.hasPassed(host_.now()))
+        if (++connectFailures_ < maxConnectFailures && !spec_.deadline.hasPassed(host_.now()))
             return advance();
-        return refuse(503, cause, jittered(soonAgain));
+        return refuse(503, cause, jittered(minRetryAfter));
     }
     // A stream that began may only go on where it ended; the part of an event that was held is made anew.
     events_ = EventSplitter(events_.last());
     mayHaveRun_ = true;
-    sendOnceMore(cause, 502);
+    retryOrRefuse(cause, 502);
 }
 
-void RequestJob::sendOnceMore(const std::string& cause, unsigned statusIfNot)
+void RequestJob::retryOrRefuse(const std::string& cause, unsigned refusalStatus)
 {
-    const auto keepsItself = shared_from_this();
+    const auto keepAlive = shared_from_this();
     attempt_.reset();
     lastCause_ = cause;
-    const bool mayRun = !mayHaveRun_ || mayRepeat();
-    const bool hasTime = terms_.deadline.remaining(host_.now()) >= leastTimeToRepeat;
-    const bool hasServerLeft = tried_.sentTo.size() < terms_.route->mostServers;
-    const bool isRepeated = mayRun && hasTime && hasServerLeft && host_.spendRepeat(terms_.service);
+    const bool mayRun = !mayHaveRun_ || mayRetry();
+    const bool hasTime = spec_.deadline.remaining(host_.now()) >= minTimeToRetry;
+    const bool hasServerLeft = tried_.sentTo.size() < spec_.route->mostServers;
+    const bool isRetried = mayRun && hasTime && hasServerLeft && host_.spendRetry(spec_.service);
     logDecision(LogLine("attempt_failed")
-                    .text("id", terms_.facts.attempt)
+                    .text("id", spec_.facts.attempt)
                     .text("server", lastServer_)
                     .text("cause", cause)
                     .flag("may_have_run", mayHaveRun_)
                     .flag("time_left", hasTime)
                     .flag("server_left", hasServerLeft)
-                    .flag("repeated", isRepeated));
-    if (isRepeated)
+                    .flag("repeated", isRetried));
+    if (isRetried)
         return advance();
-    refuse(statusIfNot, cause, jittered(soonAgain));
+    refuse(refusalStatus, cause, jittered(minRetryAfter));
 }
 
 /// Ends it with this system's own answer. Guards against a promise that isn't true: a status that says "not run" is
@@ -368,24 +370,24 @@
         return breakOff(cause);
     // A server's own failure says more than that no other server did better.
     if (failure_)
-        return passOn(failure_->head, std::move(failure_->body), "failed_by_server");
-    const unsigned honest = mayHaveRun_ && status == 503 ? 502 : status;
-    exchange_->answer(host_.dialect().refusal(honest, honest == 503 ? retryAfter : std::nullopt), {});
-    end("refused", honest, cause);
+        return relayAnswer(failure_->head, std::move(failure_->body), "failed_by_server");
+    const unsigned reportedStatus = mayHaveRun_ && status == 503 ? 502 : status;
+    exchange_->answer(host_.dialect().refusal(reportedStatus, reportedStatus == 503 ? retryAfter : std::nullopt), {});
+    end("refused", reportedStatus, cause);
 }
 
-void RequestJob::refuseAsHopeless(Milliseconds soonest)
+void RequestJob::refuseAsHopeless(Milliseconds timeUntilLoaded)
 {
     // At another router it can wait for the same load, so it is to come back there at once.
-    refuse(503, "model not there before the deadline, soonest in " + std::to_string(soonest.count()) + " ms",
-        jittered(isCutShort_ ? soonAgain : std::max(soonAgain, soonest)));
+    refuse(503, "model not there before the deadline, soonest in " + std::to_string(timeUntilLoaded.count()) + " ms",
+        jittered(isCutByShutdown_ ? minRetryAfter : std::max(minRetryAfter, timeUntilLoaded)));
 }
 
 void RequestJob::refuseAsOverloaded(Milliseconds expected)
 {
-    const Milliseconds tooLong = expected - terms_.route->targetLatency;
+    const Milliseconds tooLong = expected - spec_.route->targetLatency;
     refuse(503, "engines overloaded, first event expected in " + std::to_string(expected.count()) + " ms",
-        jittered(std::max(soonAgain, tooLong)));
+        jittered(std::max(minRetryAfter, tooLong)));
 }
 
 void RequestJob::breakOff(const std::string& cause)
@@ -399,13 +401,13 @@
     const bool isUnderWay = attempt_ != nullptr;
     if (isUnderWay) {
         if (!isForModel())
-            attempt_->use().upstream().suspicion.didFail(host_.now());
+            attempt_->guard().upstream().outlierDetector.didFail(host_.now());
         abandonAttempt();
         mayHaveRun_ = true;
     }
     const std::string cause = isUnderWay ? "no whole answer in time" : "no server in time";
-    refuse(mayHaveRun_ ? 504 : 503, isCutShort_ ? cause + ", this router ends" : cause,
-        jittered(isCutShort_ ? soonAgain : laterAgain));
+    refuse(mayHaveRun_ ? 504 : 503, isCutByShutdown_ ? cause + ", this router ends" : cause,
+        jittered(isCutByShutdown_ ? minRetryAfter : retryAfterWithoutServer));
 }
 
 void RequestJob::didLoseCaller()
@@ -415,23 +417,23 @@
     end("caller_gone", 0, {});
 }
 
-bool RequestJob::endIfCallerLeft()
+bool RequestJob::endIfCallerDisconnected()
 {
     if (!exchange_->hasCallerLeft())
         return false;
-    const auto keepsItself = shared_from_this();
+    const auto keepAlive = shared_from_this();
     didLoseCaller();
     exchange_->breakOff();
     return true;
 }
 
-void RequestJob::goElsewhereIfServerLeft()
+void RequestJob::failOverIfServerRemoved()
 {
-    const UpstreamRecord& upstream = attempt_->use().upstream();
+    const UpstreamRecord& upstream = attempt_->guard().upstream();
     if (host_.upstreams().isInService(upstream))
         return;
-    const auto keepsItself = shared_from_this();
-    logDecision(LogLine("server_left_unsent").text("id", terms_.facts.attempt).text("server", lastServer_));
+    const auto keepAlive = shared_from_this();
+    logDecision(LogLine("server_left_unsent").text("id", spec_.facts.attempt).text("server", lastServer_));
     lastCause_ = "server left before it was sent to";
     tried_.avoided.insert(upstream.facts.run());
     tried_.sentTo.erase(upstream.facts.run());
@@ -441,14 +443,14 @@
 
 void RequestJob::end(const char* outcome, unsigned status, const std::string& cause)
 {
-    const auto keepsItself = shared_from_this();
+    const auto keepAlive = shared_from_this();
     isEnded_ = true;
     deadlineTimer_.reset();
     RequestEnd summary { outcome, status, cause, sends_, lastServer_, waited(host_.now()), {} };
     if (firstByteAt_)
         summary.untilFirstByte = waited(*firstByteAt_);
-    logDecision(endedLine(terms_, summary));
-    const std::string service = terms_.service.value();
+    logDecision(endedLine(spec_, summary));
+    const std::string service = spec_.service.value();
     host_.metrics().count("lagoon_forwarded_total", { { "service", service }, { "outcome", outcome } });
     if (firstByteAt_)
         host_.metrics().observeSeconds("lagoon_forwarded_first_byte_seconds",
--- a/src/forwarding/internal/requestjob.h
+++ b/src/forwarding/internal/requestjob.h
@@ -17,7 +17,7 @@
 class UpstreamAttempt;
 
 /// A request's facts and the operator's decisions on it; fixed when it comes.
-struct JobTerms {
+struct JobSpec {
     /// Keeps `route` alive.
     catalog::ConfigurationPointer configuration;
     const catalog::Route* route = nullptr;
@@ -35,7 +35,7 @@
 /// is sent once more if the operator's limits allow it.
 class RequestJob final : public std::enable_shared_from_this<RequestJob> {
 public:
-    RequestJob(IJobHost&, std::shared_ptr<http::IExchange>, JobTerms);
+    RequestJob(IJobHost&, std::shared_ptr<http::IExchange>, JobSpec);
     ~RequestJob();
     RequestJob(const RequestJob&) = delete;
     RequestJob& operator=(const RequestJob&) = delete;
@@ -49,14 +49,14 @@
     void advance();
     /// Goes on at another server, if it may, when its own has fallen silent: its caller leaves within seconds, and a VM
     /// may stand still for longer.
-    void leaveSilent();
+    void failOverIfSilent();
     bool isWaiting() const { return !isEnded_ && !attempt_; }
     /// The model or adapter for which it waits; nothing if it waits for something else.
-    std::optional<WaitingFor> waitingFor() const;
-    /// Ends it as not run: it can't be served before its deadline. `soonest` is when it could have been.
-    void refuseAsHopeless(framework::Milliseconds soonest);
+    std::optional<WaitingRequests> waitingFor() const;
+    /// Ends it as not run: it can't be served before its deadline. `timeUntilLoaded` is when it could have been.
+    void refuseAsHopeless(framework::Milliseconds timeUntilLoaded);
 
-    const JobTerms& terms() const { return terms_; }
+    const JobSpec& spec() const { return spec_; }
     framework::Milliseconds waited(framework::SteadyTime now) const
     {
         return std::chrono::duration_cast<framework::Milliseconds>(now - exchange_->receivedAt());
@@ -67,31 +67,31 @@
     // From the attempt under way.
     /// Guards against a request that reaches a server after its caller has left: a busy event loop may be a second
     /// behind with what callers do.
-    bool endIfCallerLeft();
+    bool endIfCallerDisconnected();
     /// Guards against a request that reaches a server after it has left: a connection may take a second to stand.
-    void goElsewhereIfServerLeft();
-    void didHear(UpstreamRecord&);
+    void failOverIfServerRemoved();
+    void didSeeActivity(UpstreamRecord&);
     void didBeginStream(const http::ResponseHead&);
     void didReceiveEvents(std::string_view bytes);
     void didEndStream();
     void didAnswer(const http::ResponseHead&, std::string body);
     void didFailAtServer(const http::ResponseHead&, std::string body);
-    void didReject(AnswerMeaning, unsigned status);
+    void didReject(AnswerClass, unsigned status);
     /// Without a whole answer. `mayHaveRun` false: it surely hasn't arrived.
     void didBreak(const std::string& cause, bool mayHaveRun);
 
 private:
-    bool isStream() const { return terms_.route->kind == catalog::RouteKind::Streaming; }
-    bool isForModel() const { return !terms_.facts.model.value().empty(); }
-    bool mayRepeat() const;
+    bool isStream() const { return spec_.route->kind == catalog::RouteKind::Streaming; }
+    bool isForModel() const { return !spec_.facts.model.value().empty(); }
+    bool mayRetry() const;
     catalog::ModelTarget target() const;
     void send(const ChosenUpstream&);
     http::Request forwardedRequest(const UpstreamRecord&) const;
-    void sendOnceMore(const std::string& cause, unsigned statusIfNot);
-    void passOn(const http::ResponseHead&, std::string body, const char* outcome);
+    void retryOrRefuse(const std::string& cause, unsigned refusalStatus);
+    void relayAnswer(const http::ResponseHead&, std::string body, const char* outcome);
     void refuse(unsigned status, const std::string& cause, std::optional<framework::Milliseconds> retryAfter);
     void refuseAsOverloaded(framework::Milliseconds expected);
-    bool isHeldElsewhere() const;
+    bool hasAlternativeServer() const;
     void abandonAttempt();
     void breakOff(const std::string& cause);
     void armDeadline();
@@ -108,21 +108,21 @@
 
     IJobHost& host_;
     std::shared_ptr<http::IExchange> exchange_;
-    JobTerms terms_;
+    JobSpec spec_;
     PromptChain prompt_;
     std::unique_ptr<framework::Timer> deadlineTimer_;
     std::shared_ptr<UpstreamAttempt> attempt_;
-    ServersTried tried_;
+    TriedServers tried_;
     std::uint32_t sends_ = 0;
     framework::SteadyTime sentAt_ {};
-    std::uint32_t unreached_ = 0;
+    std::uint32_t connectFailures_ = 0;
     bool mayHaveRun_ = false;
     std::optional<ServerFailure> failure_;
     bool hasStreamBegun_ = false;
     bool isEnded_ = false;
     bool waitsForLoad_ = false;
     /// The process ends before the request's own deadline.
-    bool isCutShort_ = false;
+    bool isCutByShutdown_ = false;
     /// Set then: what no server has by this time is refused.
     std::optional<framework::Deadline> startBy_;
     /// Where an adapter is to be loaded for it.
--- a/src/forwarding/internal/requestlog.cpp
+++ b/src/forwarding/internal/requestlog.cpp
@@ -6,21 +6,21 @@
 
 using framework::LogLine;
 
-LogLine sentLine(const JobTerms& terms, const ChosenUpstream& chosen, std::uint32_t sends, framework::SteadyTime now)
+LogLine sentLine(const JobSpec& spec, const ChosenUpstream& chosen, std::uint32_t sends, framework::SteadyTime now)
 {
     LogLine line("sent");
-    line.text("id", terms.facts.attempt)
-        .text("route", terms.route->name.value())
-        .number("configuration", terms.configuration->version.value())
+    line.text("id", spec.facts.attempt)
+        .text("route", spec.route->name.value())
+        .number("configuration", spec.configuration->version.value())
         .number("send", sends)
         .text("server", chosen.upstream->facts.instance.value())
         .text("at", chosen.upstream->facts.endpoint.value())
         .number("candidates", chosen.candidates)
         .number("in_flight", chosen.upstream->inFlight)
-        .number("left_ms", terms.deadline.remaining(now).count());
-    if (!terms.facts.model.value().empty())
-        line.text("model", terms.facts.model.value())
-            .text("adapter", terms.facts.adapter.value())
+        .number("left_ms", spec.deadline.remaining(now).count());
+    if (!spec.facts.model.value().empty())
+        line.text("model", spec.facts.model.value())
+            .text("adapter", spec.facts.adapter.value())
             .number("new_tokens", chosen.newTokens)
             .number("expected_ms", chosen.expected.count());
     if (chosen.stateAge)
@@ -30,12 +30,12 @@
     return line;
 }
 
-LogLine endedLine(const JobTerms& terms, const RequestEnd& end)
+LogLine endedLine(const JobSpec& spec, const RequestEnd& end)
 {
     LogLine line("ended");
-    line.text("id", terms.facts.attempt)
-        .text("route", terms.route->name.value())
-        .text("service", terms.service.value())
+    line.text("id", spec.facts.attempt)
+        .text("route", spec.route->name.value())
+        .text("service", spec.service.value())
         .text("outcome", end.outcome)
         .number("status", end.status)
         .number("sends", end.sends)
@@ -43,8 +43,8 @@
         .number("total_ms", end.total.count());
     if (end.untilFirstByte)
         line.number("first_ms", end.untilFirstByte->count());
-    if (!terms.facts.model.value().empty())
-        line.text("model", terms.facts.model.value()).text("adapter", terms.facts.adapter.value());
+    if (!spec.facts.model.value().empty())
+        line.text("model", spec.facts.model.value()).text("adapter", spec.facts.adapter.value());
     if (!end.cause.empty())
         line.text("cause", end.cause);
     return line;
--- a/src/forwarding/internal/requestlog.h
+++ b/src/forwarding/internal/requestlog.h
@@ -22,7 +22,7 @@
 };
 
 /// The log's lines of one request; docs/OPERATIONS.md says how to read them.
-framework::LogLine sentLine(const JobTerms&, const ChosenUpstream&, std::uint32_t sends, framework::SteadyTime now);
-framework::LogLine endedLine(const JobTerms&, const RequestEnd&);
+framework::LogLine sentLine(const JobSpec&, const ChosenUpstream&, std::uint32_t sends, framework::SteadyTime now);
+framework::LogLine endedLine(const JobSpec&, const RequestEnd&);
 
 } // namespace lagoon::forwarding
--- a/src/forwarding/internal/serverchoice.cpp
+++ b/src/forwarding/internal/serverchoice.cpp
@@ -65,18 +65,18 @@
 std::optional<EngineChoice> chooseEngine(const std::vector<EngineView>& engines)
 {
     std::optional<std::size_t> best;
-    std::tuple<bool, bool, double> least;
+    std::tuple<bool, bool, double> leastCost;
     for (std::size_t index = 0; index < engines.size(); ++index) {
         const EngineView& engine = engines[index];
         const std::tuple cost(engine.wasTried, engine.isSuspect, expectedMilliseconds(engine));
-        if (best && least <= cost)
+        if (best && leastCost <= cost)
             continue;
         best = index;
-        least = cost;
+        leastCost = cost;
     }
     if (!best)
         return std::nullopt;
-    return EngineChoice { *best, Milliseconds(static_cast<std::int64_t>(std::get<2>(least))) };
+    return EngineChoice { *best, Milliseconds(static_cast<std::int64_t>(std::get<2>(leastCost))) };
 }
 
 } // namespace lagoon::forwarding
--- a/src/forwarding/internal/upstreamattempt.cpp
+++ b/src/forwarding/internal/upstreamattempt.cpp
@@ -8,17 +8,17 @@
 namespace {
 
 /// Answers that aren't streams are kept until they are whole, so that half of one is never passed on.
-constexpr std::size_t mostAnswerBytes = 64 * 1024 * 1024;
+constexpr std::size_t maxAnswerBytes = 64 * 1024 * 1024;
 
 bool isSuccess(unsigned status) { return status >= 200 && status < 300; }
 
 } // namespace
 
 UpstreamAttempt::UpstreamAttempt(std::weak_ptr<RequestJob> job, const IRequestDialect& dialect,
-    std::unique_ptr<UpstreamUse> use, std::shared_ptr<http::ClientConnection> connection)
+    std::unique_ptr<InFlightGuard> guard, std::shared_ptr<http::ClientConnection> connection)
     : job_(std::move(job))
     , dialect_(dialect)
-    , use_(std::move(use))
+    , guard_(std::move(guard))
     , connection_(std::move(connection))
 {
 }
@@ -33,14 +33,14 @@
 
 bool UpstreamAttempt::passesEvents(const RequestJob& job) const
 {
-    return meaning_ == AnswerMeaning::Served && job.terms().route->kind == catalog::RouteKind::Streaming;
+    return answerClass_ == AnswerClass::Served && job.spec().route->kind == catalog::RouteKind::Streaming;
 }
 
 void UpstreamAttempt::willSend()
 {
     const auto job = job_.lock();
-    if (job && !job->endIfCallerLeft())
-        job->goElsewhereIfServerLeft();
+    if (job && !job->endIfCallerDisconnected())
+        job->failOverIfServerRemoved();
 }
 
 bool UpstreamAttempt::didReceiveHead(const http::ResponseHead& head)
@@ -48,12 +48,12 @@
     const auto job = job_.lock();
     if (!job)
         return true;
-    job->didHear(use_->upstream());
-    meaning_ = dialect_.meaning(head, job->terms().facts, use_->upstream().facts.instance);
-    if (meaning_ == AnswerMeaning::Foreign) {
+    job->didSeeActivity(guard_->upstream());
+    answerClass_ = dialect_.classify(head, job->spec().facts, guard_->upstream().facts.instance);
+    if (answerClass_ == AnswerClass::Mismatched) {
         logDecision(framework::LogLine("foreign_answer_dropped")
-                        .text("id", job->terms().facts.attempt)
-                        .text("server", use_->upstream().facts.instance.value())
+                        .text("id", job->spec().facts.attempt)
+                        .text("server", guard_->upstream().facts.instance.value())
                         .number("status", head.status));
         return false;
     }
@@ -68,11 +68,11 @@
     const auto job = job_.lock();
     if (!job)
         return;
-    job->didHear(use_->upstream());
+    job->didSeeActivity(guard_->upstream());
     if (passesEvents(*job))
         return job->didReceiveEvents(piece);
     body_.append(piece);
-    if (body_.size() <= mostAnswerBytes)
+    if (body_.size() <= maxAnswerBytes)
         return;
     abandon();
     job->didBreak("answer too large to be kept", true);
@@ -83,18 +83,18 @@
     const auto job = job_.lock();
     if (!job)
         return;
-    switch (meaning_) {
-    case AnswerMeaning::Served:
-        use_->upstream().suspicion.didServe();
+    switch (answerClass_) {
+    case AnswerClass::Served:
+        guard_->upstream().outlierDetector.didServe();
         return passesEvents(*job) ? job->didEndStream() : job->didAnswer(head_, std::move(body_));
-    case AnswerMeaning::Failed:
+    case AnswerClass::Failed:
         return job->didFailAtServer(head_, std::move(body_));
-    case AnswerMeaning::NotRun:
-    case AnswerMeaning::NotLoaded:
-    case AnswerMeaning::OtherInstance:
-        return job->didReject(meaning_, head_.status);
-    case AnswerMeaning::Unproved:
-    case AnswerMeaning::Foreign:
+    case AnswerClass::NotRun:
+    case AnswerClass::NotLoaded:
+    case AnswerClass::OtherInstance:
+        return job->didReject(answerClass_, head_.status);
+    case AnswerClass::Unverified:
+    case AnswerClass::Mismatched:
         return job->didBreak(
             isSuccess(head_.status) ? "success without the server's mark" : "not the answer to this request", true);
     }
--- a/src/forwarding/internal/upstreamattempt.h
+++ b/src/forwarding/internal/upstreamattempt.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "forwarding/internal/upstreamuse.h"
+#include "forwarding/internal/inflightguard.h"
 #include "forwarding/irequestdialect.h"
 #include "http/clientconnection.h"
 
@@ -14,7 +14,7 @@
 /// One sending of a request to a server: reads the answer, and tells the request what it means.
 class UpstreamAttempt final : public http::IAnswerSink, public std::enable_shared_from_this<UpstreamAttempt> {
 public:
-    UpstreamAttempt(std::weak_ptr<RequestJob>, const IRequestDialect&, std::unique_ptr<UpstreamUse>,
+    UpstreamAttempt(std::weak_ptr<RequestJob>, const IRequestDialect&, std::unique_ptr<InFlightGuard>,
         std::shared_ptr<http::ClientConnection>);
 
     void send(const http::Request&);
@@ -22,7 +22,7 @@
     void abandon();
     void pause() { connection_->pause(); }
     void resume() { connection_->resume(); }
-    UpstreamUse& use() { return *use_; }
+    InFlightGuard& guard() { return *guard_; }
 
     void willSend() override;
     bool didReceiveHead(const http::ResponseHead&) override;
@@ -35,9 +35,9 @@
 
     std::weak_ptr<RequestJob> job_;
     const IRequestDialect& dialect_;
-    std::unique_ptr<UpstreamUse> use_;
+    std::unique_ptr<InFlightGuard> guard_;
     std::shared_ptr<http::ClientConnection> connection_;
-    AnswerMeaning meaning_ = AnswerMeaning::Foreign;
+    AnswerClass answerClass_ = AnswerClass::Mismatched;
     http::ResponseHead head_;
     std::string body_;
 };
--- a/src/forwarding/internal/upstreamchoice.cpp
+++ b/src/forwarding/internal/upstreamchoice.cpp
@@ -18,9 +18,9 @@
 constexpr std::size_t affinityParts = 2;
 
 std::vector<UpstreamPointer> allowed(
-    const std::vector<UpstreamPointer>& ready, const JobTerms& terms, const ServersTried& tried)
+    const std::vector<UpstreamPointer>& ready, const JobSpec& spec, const TriedServers& tried)
 {
-    if (tried.sentTo.size() < terms.route->mostServers)
+    if (tried.sentTo.size() < spec.route->mostServers)
         return ready;
     std::vector<UpstreamPointer> found;
     for (const UpstreamPointer& upstream : ready) {
@@ -49,7 +49,7 @@
     return policy::rendezvousOrder(key, std::move(names));
 }
 
-std::uint32_t placeOf(const std::vector<framework::VmName>& order, const UpstreamRecord& engine)
+std::uint32_t positionIn(const std::vector<framework::VmName>& order, const UpstreamRecord& engine)
 {
     const framework::VmName name(engine.facts.endpoint.value());
     return static_cast<std::uint32_t>(std::find(order.begin(), order.end(), name) - order.begin());
@@ -57,9 +57,9 @@
 
 class Search {
 public:
-    Search(IJobHost& host, const JobTerms& terms, const PromptChain& prompt, const ServersTried& tried)
+    Search(IJobHost& host, const JobSpec& spec, const PromptChain& prompt, const TriedServers& tried)
         : host_(host)
-        , terms_(terms)
+        , spec_(spec)
         , prompt_(prompt)
         , tried_(tried)
         , now_(host.now())
@@ -68,27 +68,27 @@
 
     UpstreamSearch run()
     {
-        if (!terms_.facts.model.value().empty())
+        if (!spec_.facts.model.value().empty())
             return runForModel();
-        const std::vector<UpstreamPointer> ready = host_.upstreams().ready(terms_.service);
+        const std::vector<UpstreamPointer> ready = host_.upstreams().ready(spec_.service);
         if (ready.empty())
             return failed(NoUpstream::NoneReady);
-        std::vector<UpstreamPointer> candidates = allowed(ready, terms_, tried_);
+        std::vector<UpstreamPointer> candidates = allowed(ready, spec_, tried_);
         if (candidates.empty())
             return failed(NoUpstream::NoneLeft);
-        return amongServers(std::move(candidates));
+        return searchServers(std::move(candidates));
     }
 
 private:
     UpstreamSearch runForModel()
     {
         const UpstreamTable& upstreams = host_.upstreams();
-        if (!upstreams.hasReady(terms_.service))
+        if (!upstreams.hasReady(spec_.service))
             return failed(NoUpstream::NoneReady);
-        const bool mayBeSentToNew = tried_.sentTo.size() < terms_.route->mostServers;
-        if (!mayBeSentToNew && allowed(upstreams.ready(terms_.service), terms_, tried_).empty())
+        const bool mayBeSentToNew = tried_.sentTo.size() < spec_.route->mostServers;
+        if (!mayBeSentToNew && allowed(upstreams.ready(spec_.service), spec_, tried_).empty())
             return failed(NoUpstream::NoneLeft);
-        return amongEngines(allowed(upstreams.serving(terms_.service, terms_.facts.model), terms_, tried_));
+        return searchEngines(allowed(upstreams.serving(spec_.service, spec_.facts.model), spec_, tried_));
     }
 
     static UpstreamSearch found(ChosenUpstream&& chosen)
@@ -112,7 +112,7 @@
         return search;
     }
 
-    UpstreamSearch amongServers(std::vector<UpstreamPointer> candidates)
+    UpstreamSearch searchServers(std::vector<UpstreamPointer> candidates)
     {
         while (!candidates.empty()) {
             std::vector<ServerView> views;
@@ -142,73 +142,73 @@
         return { server.facts.slots, server.inFlight, isSuspect(server), isInOwnDomain(server), tried_.has(server) };
     }
 
-    UpstreamSearch amongEngines(const std::vector<UpstreamPointer>& candidates)
+    UpstreamSearch searchEngines(const std::vector<UpstreamPointer>& candidates)
     {
-        const ModelTarget target { terms_.facts.model, terms_.facts.adapter };
-        const ModelTarget model { terms_.facts.model, {} };
-        std::vector<UpstreamPointer> holders;
+        const ModelTarget target { spec_.facts.model, spec_.facts.adapter };
+        const ModelTarget model { spec_.facts.model, {} };
+        std::vector<UpstreamPointer> loaded;
         std::vector<UpstreamPointer> withoutAdapter;
         for (const UpstreamPointer& engine : candidates) {
             if (isSilent(*engine) && !engine->liveness.mayProbe(now_))
                 continue;
-            if (host_.upstreams().holds(*engine, target, now_))
-                holders.push_back(engine);
-            else if (host_.upstreams().holds(*engine, model, now_))
+            if (host_.upstreams().hasLoaded(*engine, target, now_))
+                loaded.push_back(engine);
+            else if (host_.upstreams().hasLoaded(*engine, model, now_))
                 withoutAdapter.push_back(engine);
         }
-        if (holders.empty())
-            return withoutAdapter.empty() ? failed(NoUpstream::NotLoaded) : adapterWanted(withoutAdapter);
-        return amongHolders(std::move(holders));
+        if (loaded.empty())
+            return withoutAdapter.empty() ? failed(NoUpstream::NotLoaded) : adapterNotLoaded(withoutAdapter);
+        return chooseAmongLoaded(std::move(loaded));
     }
 
     /// Only an engine that an agent speaks for can be asked to load, and one that is loading a model takes no adapter
     /// until that has ended, which may be seconds.
-    UpstreamSearch adapterWanted(const std::vector<UpstreamPointer>& engines) const
+    UpstreamSearch adapterNotLoaded(const std::vector<UpstreamPointer>& engines) const
     {
         UpstreamSearch search = failed(NoUpstream::AdapterNotLoaded);
         std::vector<framework::VmName> names;
         std::vector<framework::VmName> loading;
-        std::vector<framework::VmName> notHeardYet;
+        std::vector<framework::VmName> unreported;
         for (const UpstreamPointer& engine : engines) {
             if (isSuspect(*engine) || host_.upstreams().hasLostAgent(*engine))
                 continue;
-            const HeardState* const heard = host_.upstreams().state(*engine, now_);
-            const bool isLoading = heard && !heard->state.loading.value().empty();
-            auto& list = !heard ? notHeardYet : isLoading ? loading : names;
+            const ReportedState* const report = host_.upstreams().state(*engine, now_);
+            const bool isLoading = report && !report->state.loading.value().empty();
+            auto& list = !report ? unreported : isLoading ? loading : names;
             list.emplace_back(engine->facts.endpoint.value());
         }
         if (names.empty())
             names = std::move(loading);
         if (names.empty())
-            names = std::move(notHeardYet);
+            names = std::move(unreported);
         if (names.empty())
             return failed(NoUpstream::NotLoaded);
-        const std::string key = terms_.facts.model.value() + '/' + terms_.facts.adapter.value();
+        const std::string key = spec_.facts.model.value() + '/' + spec_.facts.adapter.value();
         search.adapterAt = framework::Endpoint(policy::rendezvousOrder(key, std::move(names)).front().value());
         return search;
     }
 
-    UpstreamSearch amongHolders(std::vector<UpstreamPointer> holders)
+    UpstreamSearch chooseAmongLoaded(std::vector<UpstreamPointer> loaded)
     {
-        const std::size_t candidates = holders.size();
-        while (!holders.empty()) {
-            const std::vector<framework::VmName> order = affinityOrder(holders, prompt_);
+        const std::size_t candidates = loaded.size();
+        while (!loaded.empty()) {
+            const std::vector<framework::VmName> order = affinityOrder(loaded, prompt_);
             std::vector<EngineView> views;
-            for (const UpstreamPointer& engine : holders)
-                views.push_back(viewOf(*engine, placeOf(order, *engine)));
+            for (const UpstreamPointer& engine : loaded)
+                views.push_back(viewOf(*engine, positionIn(order, *engine)));
             const auto choice = chooseEngine(views);
             // What has been begun elsewhere isn't refused any more.
             const bool isNew = tried_.sentTo.empty();
             if (isNew)
-                host_.didFindQueue(terms_, choice->expected);
-            if (isNew && host_.isOverloaded(terms_, choice->expected))
+                host_.didEstimateFirstEvent(spec_, choice->expected);
+            if (isNew && host_.isOverloaded(spec_, choice->expected))
                 return overloaded(choice->expected);
-            if (auto chosen = connect(holders[choice->index], candidates)) {
+            if (auto chosen = connect(loaded[choice->index], candidates)) {
                 chosen->newTokens = views[choice->index].newTokens;
                 chosen->expected = choice->expected;
                 return found(std::move(*chosen));
             }
-            holders.erase(holders.begin() + static_cast<std::ptrdiff_t>(choice->index));
+            loaded.erase(loaded.begin() + static_cast<std::ptrdiff_t>(choice->index));
         }
         return failed(NoUpstream::AllConnectionsTaken);
     }
@@ -217,22 +217,22 @@
     {
         EngineView view;
         view.slots = engine.facts.slots;
-        if (const HeardState* const heard = host_.upstreams().state(engine, now_)) {
-            view.running = heard->state.running;
-            view.queued = heard->state.queued;
+        if (const ReportedState* const report = host_.upstreams().state(engine, now_)) {
+            view.running = report->state.running;
+            view.queued = report->state.queued;
             // The most urgent are let in at once, so what waits there is less urgent.
-            view.queuedAhead = terms_.route->priority == 0 ? 0 : heard->state.queued;
-            view.usedTokens = heard->state.usedMemory.value();
-            view.totalTokens = heard->state.memory.value();
+            view.queuedAhead = spec_.route->priority == 0 ? 0 : report->state.queued;
+            view.usedTokens = report->state.usedMemory.value();
+            view.totalTokens = report->state.memory.value();
         }
         view.ownStarting = engine.starting;
         for (const auto& [priority, tokens] : engine.startingTokens) {
             view.ownStartingTokens += tokens;
-            view.ownTokensAhead += priority <= terms_.route->priority ? tokens : 0;
+            view.ownTokensAhead += priority <= spec_.route->priority ? tokens : 0;
         }
-        const std::uint64_t prompt = terms_.facts.promptTokens.value();
-        view.newTokens = prompt - std::min<std::uint64_t>(prompt, engine.prompts.kept(prompt_));
-        view.memoryTokens = prompt + terms_.facts.mostOutputTokens.value();
+        const std::uint64_t prompt = spec_.facts.promptTokens.value();
+        view.newTokens = prompt - std::min<std::uint64_t>(prompt, engine.prompts.cachedTokens(prompt_));
+        view.memoryTokens = prompt + spec_.facts.maxOutputTokens.value();
         view.affinityRank = switches().followsPrompts ? affinityRank : 0;
         view.isSuspect = isSuspect(engine) || host_.upstreams().isPausing(engine, now_);
         view.isInOwnFailureDomain = isInOwnDomain(engine);
@@ -242,7 +242,7 @@
 
     std::optional<ChosenUpstream> connect(const UpstreamPointer& upstream, std::size_t candidates)
     {
-        auto connection = upstream->connections.take(reuseFor(*terms_.route), now_);
+        auto connection = upstream->connections.take(reuseFor(*spec_.route), now_);
         if (!connection)
             return std::nullopt;
         ChosenUpstream chosen;
@@ -250,23 +250,23 @@
         chosen.connection = std::move(connection);
         chosen.candidates = candidates;
         chosen.listAge = host_.upstreams().listAge(now_);
-        if (const HeardState* const heard = host_.upstreams().state(*upstream, now_))
-            chosen.stateAge = std::chrono::duration_cast<Milliseconds>(now_ - heard->at);
+        if (const ReportedState* const report = host_.upstreams().state(*upstream, now_))
+            chosen.stateAge = std::chrono::duration_cast<Milliseconds>(now_ - report->at);
         return chosen;
     }
 
     IJobHost& host_;
-    const JobTerms& terms_;
+    const JobSpec& spec_;
     const PromptChain& prompt_;
-    const ServersTried& tried_;
+    const TriedServers& tried_;
     framework::SteadyTime now_;
 };
 
 } // namespace
 
-UpstreamSearch findUpstream(IJobHost& host, const JobTerms& terms, const PromptChain& prompt, const ServersTried& tried)
+UpstreamSearch findUpstream(IJobHost& host, const JobSpec& spec, const PromptChain& prompt, const TriedServers& tried)
 {
-    return Search(host, terms, prompt, tried).run();
+    return Search(host, spec, prompt, tried).run();
 }
 
 } // namespace lagoon::forwarding
--- a/src/forwarding/internal/upstreamchoice.h
+++ b/src/forwarding/internal/upstreamchoice.h
@@ -10,7 +10,7 @@
 
 namespace lagoon::forwarding {
 
-struct JobTerms;
+struct JobSpec;
 
 /// A server for a request, and what decided for it.
 struct ChosenUpstream {
@@ -45,7 +45,7 @@
 };
 
 /// The servers that one request has tried.
-struct ServersTried {
+struct TriedServers {
     /// It was sent there, and may have reached them.
     std::set<catalog::UpstreamRun> sentTo;
     /// They couldn't be reached, or are no use for it.
@@ -59,6 +59,6 @@
 };
 
 /// Finds a server that can take the request now, and a connection to it.
-UpstreamSearch findUpstream(IJobHost&, const JobTerms&, const PromptChain&, const ServersTried&);
+UpstreamSearch findUpstream(IJobHost&, const JobSpec&, const PromptChain&, const TriedServers&);
 
 } // namespace lagoon::forwarding
--- a/src/forwarding/internal/upstreamtable.cpp
+++ b/src/forwarding/internal/upstreamtable.cpp
@@ -13,31 +13,31 @@
 using framework::SteadyTime;
 
 /// An agent speaks each second; one that has missed two is not to be relied on.
-constexpr Milliseconds stateHolds { 2500 };
+constexpr Milliseconds stateTtl { 2500 };
 /// An engine that is there after all is heard of again within a second.
-constexpr Milliseconds lostFor { 1500 };
+constexpr Milliseconds unreachableFor { 1500 };
 /// An agent that is back is subscribed to again after this at the latest.
-constexpr Milliseconds agentlessFor { 10000 };
+constexpr Milliseconds agentUnreachableFor { 10000 };
 /// Assumed while no agent has said how many there are: a part that is too small for a moment does less harm than one
 /// that is too large.
 constexpr std::uint32_t assumedRouters = 32;
 /// Connections to a server that a router may open in any case.
-constexpr std::size_t fewestConnections = 4;
+constexpr std::size_t minConnections = 4;
 /// Part of a server's connections that all routers together use: some are still closing when others open.
-constexpr double shareOfConnections = 0.85;
+constexpr double usableConnectionShare = 0.85;
 /// Prompt tokens of which it is assumed that an engine keeps them, until its agent has told its memory.
-const catalog::Tokens assumedPromptRoom(100000);
+const catalog::Tokens assumedPromptCapacity(100000);
 
 bool takesRequests(const UpstreamRecord& record)
 {
-    return record.facts.state == catalog::UpstreamState::Ready && !record.isGone;
+    return record.facts.state == catalog::UpstreamState::Ready && !record.isReplaced;
 }
 
 /// Guards against going by a former run, of which nothing holds: the list may lag behind an agent, and an agent's word
 /// may have been on its way when the list was read.
-bool isOfFormerRun(const std::optional<catalog::StartTime>& said, const Upstream& known)
+bool isOfFormerRun(const std::optional<catalog::StartTime>& reported, const Upstream& known)
 {
-    return said && known.started && *said < *known.started;
+    return reported && known.started && *reported < *known.started;
 }
 
 void removeTarget(std::vector<catalog::HeldModel>& held, const catalog::ModelTarget& target)
@@ -62,8 +62,8 @@
 
 UpstreamRecord::UpstreamRecord(boost::asio::io_context& context, const Upstream& upstream)
     : facts(upstream)
-    , connections(context, upstream.endpoint, http::ClientOptions {}, fewestConnections)
-    , prompts(assumedPromptRoom)
+    , connections(context, upstream.endpoint, http::ClientOptions {}, minConnections)
+    , prompts(assumedPromptCapacity)
 {
 }
 
@@ -72,7 +72,7 @@
     std::set<catalog::InstanceId> listed;
     for (const Upstream& upstream : upstreams) {
         listed.insert(upstream.instance);
-        put(upstream);
+        upsert(upstream);
     }
     std::erase_if(records_, [&](const auto& entry) {
         if (listed.contains(entry.first))
@@ -90,7 +90,7 @@
     return std::chrono::duration_cast<Milliseconds>(now - *listConfirmedAt_);
 }
 
-void UpstreamTable::put(const Upstream& upstream)
+void UpstreamTable::upsert(const Upstream& upstream)
 {
     UpstreamPointer& record = records_[upstream.instance];
     if (!record || !isSameServer(record->facts, upstream)) {
@@ -124,7 +124,7 @@
     if (indexed == records.byEndpoint.end() || indexed->second != record)
         return;
     records.byEndpoint.erase(indexed);
-    agentless_.erase(record->facts.endpoint);
+    unreachableAgents_.erase(record->facts.endpoint);
     records.replicas.remove(record->facts.endpoint);
 }
 
@@ -139,18 +139,18 @@
 
 ReplicaIndex::Contents UpstreamTable::contentsOf(const UpstreamRecord& record) const
 {
-    const HeardState* const said = heard(record);
-    const std::vector<catalog::HeldModel>& held = said ? said->state.held : record.facts.models;
-    const catalog::AtHand& cached = said ? said->state.atHand : record.facts.atHand;
+    const ReportedState* const reported = lastReport(record);
+    const std::vector<catalog::HeldModel>& held = reported ? reported->state.held : record.facts.models;
+    const catalog::AtHand& cached = reported ? reported->state.atHand : record.facts.atHand;
     const bool servesNothing
-        = record.facts.state != catalog::UpstreamState::Ready || lost_.contains(record.facts.endpoint);
+        = record.facts.state != catalog::UpstreamState::Ready || unreachable_.contains(record.facts.endpoint);
     ReplicaIndex::Contents contents;
     for (const catalog::HeldModel& model : held) {
-        const bool isServed = !servesNothing && !(said && said->state.isLeaving(model.model));
+        const bool isServed = !servesNothing && !(reported && reported->state.isLeaving(model.model));
         (isServed ? contents.loaded : contents.cached).push_back(model.model);
     }
-    if (said && !said->state.loading.value().empty())
-        contents.cached.push_back(said->state.loading);
+    if (reported && !reported->state.loading.value().empty())
+        contents.cached.push_back(reported->state.loading);
     contents.cached.insert(contents.cached.end(), cached.memory.begin(), cached.memory.end());
     contents.cached.insert(contents.cached.end(), cached.disk.begin(), cached.disk.end());
     return contents;
@@ -171,8 +171,8 @@
         const catalog::Service* const service = configuration_->find(record->facts.service);
         if (!service)
             continue;
-        const auto share = static_cast<std::size_t>(shareOfConnections * service->mostConnections / routers());
-        record->connections.setMost(std::max(fewestConnections, share));
+        const auto share = static_cast<std::size_t>(usableConnectionShare * service->mostConnections / routers());
+        record->connections.setMost(std::max(minConnections, share));
     }
 }
 
@@ -180,14 +180,14 @@
 {
     const std::uint32_t before = routers();
     const Endpoint engine = state.engine;
-    const bool isNewRun = noteStart(state);
+    const bool isNewRun = noteRestart(state);
     eraseState(engine);
     routerCounts_.insert(state.routers);
     states_[engine] = { std::move(state), now };
-    lost_.erase(engine);
-    agentless_.erase(engine);
+    unreachable_.erase(engine);
+    unreachableAgents_.erase(engine);
     if (const UpstreamPointer record = find(engine)) {
-        didHear(*record, now);
+        didSeeActivity(*record, now);
         refreshReplicas(*record);
     }
     if (isNewRun || routers() != before)
@@ -207,7 +207,7 @@
     routerCounts_.erase(routerCounts_.find(saidBefore));
     routerCounts_.insert(load.routers);
     if (const UpstreamPointer record = find(load.engine))
-        didHear(*record, now);
+        didSeeActivity(*record, now);
     if (routers() != before)
         limitConnections();
 }
@@ -222,30 +222,30 @@
     return nullptr;
 }
 
-void UpstreamTable::didHear(UpstreamRecord& record, SteadyTime now)
+void UpstreamTable::didSeeActivity(UpstreamRecord& record, SteadyTime now)
 {
-    record.liveness.didHear(now, record.inFlight);
-    record.lostUntil = framework::Deadline();
+    record.liveness.didSeeActivity(now, record.inFlight);
+    record.unreachableUntil = framework::Deadline();
 }
 
-void UpstreamTable::didLose(UpstreamRecord& record, SteadyTime now)
+void UpstreamTable::didFailToConnect(UpstreamRecord& record, SteadyTime now)
 {
-    record.lostUntil = framework::Deadline::after(now, lostFor);
-    lost_.insert(record.facts.endpoint);
+    record.unreachableUntil = framework::Deadline::after(now, unreachableFor);
+    unreachable_.insert(record.facts.endpoint);
     forgetState(record.facts.endpoint);
     refreshReplicas(record);
 }
 
-void UpstreamTable::forgetLosses(SteadyTime now)
+void UpstreamTable::expireUnreachable(SteadyTime now)
 {
-    std::erase_if(agentless_, [now](const auto& entry) { return entry.second.hasPassed(now); });
-    for (auto lost = lost_.begin(); lost != lost_.end();) {
-        const UpstreamPointer record = find(*lost);
-        if (record && !record->lostUntil.hasPassed(now)) {
-            ++lost;
+    std::erase_if(unreachableAgents_, [now](const auto& entry) { return entry.second.hasPassed(now); });
+    for (auto unreachable = unreachable_.begin(); unreachable != unreachable_.end();) {
+        const UpstreamPointer record = find(*unreachable);
+        if (record && !record->unreachableUntil.hasPassed(now)) {
+            ++unreachable;
             continue;
         }
-        lost = lost_.erase(lost);
+        unreachable = unreachable_.erase(unreachable);
         if (record)
             refreshReplicas(*record);
     }
@@ -253,7 +253,7 @@
 
 /// An agent sees its engine start again before the list shows it: until then, prompts that are no longer there would
 /// draw requests, and what was sent over an idle connection of the former run would be lost.
-bool UpstreamTable::noteStart(const catalog::EngineState& state)
+bool UpstreamTable::noteRestart(const catalog::EngineState& state)
 {
     const UpstreamPointer known = find(state.engine);
     if (!known || known->facts.started >= state.started)
@@ -288,14 +288,14 @@
 
 void UpstreamTable::didLoseAgent(const Endpoint& engine, SteadyTime now)
 {
-    agentless_[engine] = framework::Deadline::after(now, agentlessFor);
+    unreachableAgents_[engine] = framework::Deadline::after(now, agentUnreachableFor);
     forgetState(engine);
 }
 
 std::set<Endpoint> UpstreamTable::enginesWithoutAgent() const
 {
     std::set<Endpoint> engines;
-    for (const auto& [engine, until] : agentless_)
+    for (const auto& [engine, until] : unreachableAgents_)
         engines.insert(engine);
     return engines;
 }
@@ -349,7 +349,7 @@
     return records == services_.end() ? none : records->second.replicas;
 }
 
-const HeardState* UpstreamTable::heard(const UpstreamRecord& record) const
+const ReportedState* UpstreamTable::lastReport(const UpstreamRecord& record) const
 {
     const auto found = states_.find(record.facts.endpoint);
     if (found == states_.end() || isOfFormerRun(found->second.state.started, record.facts))
@@ -357,39 +357,39 @@
     return &found->second;
 }
 
-const HeardState* UpstreamTable::state(const UpstreamRecord& record, SteadyTime now) const
+const ReportedState* UpstreamTable::state(const UpstreamRecord& record, SteadyTime now) const
 {
-    const HeardState* const said = heard(record);
-    return said && now - said->at <= stateHolds ? said : nullptr;
+    const ReportedState* const reported = lastReport(record);
+    return reported && now - reported->at <= stateTtl ? reported : nullptr;
 }
 
-bool UpstreamTable::holds(const UpstreamRecord& record, const catalog::ModelTarget& target, SteadyTime now) const
+bool UpstreamTable::hasLoaded(const UpstreamRecord& record, const catalog::ModelTarget& target, SteadyTime now) const
 {
-    if (!record.lostUntil.hasPassed(now))
+    if (!record.unreachableUntil.hasPassed(now))
         return false;
     const auto isThis
         = [&](const catalog::HeldModel& held) { return held.model == target.model && held.has(target.adapter); };
-    if (const HeardState* const heard = state(record, now)) {
-        const catalog::HeldModel* const held = heard->state.find(target.model);
-        return held && !heard->state.isLeaving(target.model) && isThis(*held);
+    if (const ReportedState* const lastReport = state(record, now)) {
+        const catalog::HeldModel* const held = lastReport->state.find(target.model);
+        return held && !lastReport->state.isLeaving(target.model) && isThis(*held);
     }
     return std::any_of(record.facts.models.begin(), record.facts.models.end(), isThis);
 }
 
 /// Guards against sending a request to the same server until its repeats are spent: what its agent said last may be
 /// older than the refusal by up to a second.
-void UpstreamTable::didLack(UpstreamRecord& record, const catalog::ModelTarget& target)
+void UpstreamTable::didReportNotLoaded(UpstreamRecord& record, const catalog::ModelTarget& target)
 {
     removeTarget(record.facts.models, target);
-    const auto said = states_.find(record.facts.endpoint);
-    if (said != states_.end())
-        removeTarget(said->second.state.held, target);
+    const auto reported = states_.find(record.facts.endpoint);
+    if (reported != states_.end())
+        removeTarget(reported->second.state.held, target);
     refreshReplicas(record);
 }
 
 bool UpstreamTable::isSuspect(const UpstreamRecord& record, SteadyTime now) const
 {
-    return policy_.suspectsServers && record.suspicion.isSuspect(now);
+    return policy_.suspectsServers && record.outlierDetector.isSuspect(now);
 }
 
 bool UpstreamTable::isSilent(const UpstreamRecord& record, SteadyTime now) const
@@ -407,7 +407,7 @@
     return silent * 2 <= servers;
 }
 
-bool UpstreamTable::mayHaveSilent(SteadyTime now) const
+bool UpstreamTable::mayAnyBeSilent(SteadyTime now) const
 {
     return std::any_of(
         records_.begin(), records_.end(), [now](const auto& entry) { return entry.second->liveness.isSilent(now); });
@@ -424,14 +424,14 @@
     const auto records = services_.find(service);
     if (records == services_.end())
         return facts;
-    for (const auto& [endpoint, said] : states_) {
+    for (const auto& [endpoint, reported] : states_) {
         const auto record = records->second.byEndpoint.find(endpoint);
         if (record == records->second.byEndpoint.end() || !takesRequests(*record->second)
             || !state(*record->second, now))
             continue;
         if (isSuspect(*record->second, now) || isSilent(*record->second, now))
             continue;
-        facts.push_back({ endpoint, &said.state, said.at, record->second->inFlightByTarget });
+        facts.push_back({ endpoint, &reported.state, reported.at, record->second->inFlightByTarget });
     }
     std::sort(facts.begin(), facts.end(),
         [](const EngineFacts& left, const EngineFacts& right) { return left.engine < right.engine; });
@@ -440,8 +440,8 @@
 
 std::uint32_t UpstreamTable::routers() const
 {
-    const std::uint32_t most = routerCounts_.empty() ? 0 : *routerCounts_.rbegin();
-    return most == 0 ? assumedRouters : most;
+    const std::uint32_t maxRouters = routerCounts_.empty() ? 0 : *routerCounts_.rbegin();
+    return maxRouters == 0 ? assumedRouters : maxRouters;
 }
 
 } // namespace lagoon::forwarding
--- a/src/forwarding/liveness.h
+++ b/src/forwarding/liveness.h
@@ -16,13 +16,13 @@
 public:
     /// `expected`: until the first event of what is sent.
     void didSend(framework::SteadyTime now, framework::Milliseconds expected);
-    /// `owed`: requests that are under way there.
-    void didHear(framework::SteadyTime now, std::size_t owed);
+    /// `outstanding`: requests that are under way there.
+    void didSeeActivity(framework::SteadyTime now, std::size_t outstanding);
     /// It owes nothing any more.
-    void didSettle() { signBy_.reset(); }
+    void didBecomeIdle() { activityDeadline_.reset(); }
     /// What it owed was given up since it is silent: it stays so until it is heard.
-    void didGiveUp(framework::SteadyTime now) { signBy_ = framework::Deadline(now); }
-    bool isSilent(framework::SteadyTime now) const { return signBy_ && signBy_->hasPassed(now); }
+    void didAbandon(framework::SteadyTime now) { activityDeadline_ = framework::Deadline(now); }
+    bool isSilent(framework::SteadyTime now) const { return activityDeadline_ && activityDeadline_->hasPassed(now); }
     /// Whether it pauses for longer than it has lately. Others are better meanwhile: a busy model's callers send a
     /// dozen requests to an engine before it counts as silent.
     bool isPausing(framework::SteadyTime now) const;
@@ -31,11 +31,11 @@
 
 private:
     /// Silent from then on; nothing while it owes nothing.
-    std::optional<framework::Deadline> signBy_;
+    std::optional<framework::Deadline> activityDeadline_;
     /// Of its last sign, or when the first was due.
-    framework::SteadyTime pauseSince_ {};
+    framework::SteadyTime pauseStart_ {};
     /// Between two signs while it owed answers, in milliseconds; fades with each sign.
-    double longestPause_ = 0;
+    double maxPause_ = 0;
     std::optional<framework::Deadline> probeAt_;
 };
 
--- a/src/forwarding/promptcache.h
+++ b/src/forwarding/promptcache.h
@@ -25,23 +25,23 @@
 /// longest ago, so this does too.
 class PromptCache {
 public:
-    explicit PromptCache(catalog::Tokens room)
-        : room_(room)
+    explicit PromptCache(catalog::Tokens capacity)
+        : capacity_(capacity)
     {
     }
 
     /// Tokens of the chain's beginning that are kept.
-    std::uint32_t kept(const PromptChain&) const;
+    std::uint32_t cachedTokens(const PromptChain&) const;
     void didSend(const PromptChain&);
     void clear();
 
 private:
     struct Entry {
         std::uint32_t tokens = 0;
-        std::list<std::uint64_t>::iterator place;
+        std::list<std::uint64_t>::iterator position;
     };
 
-    catalog::Tokens room_;
+    catalog::Tokens capacity_;
     std::uint64_t used_ = 0;
     /// Last used first.
     std::list<std::uint64_t> order_;
--- a/src/forwarding/replicaindex.h
+++ b/src/forwarding/replicaindex.h
@@ -38,8 +38,8 @@
     /// until the next call or change.
     const Order& order(const framework::ModelName&) const;
 
-    /// The engine's place in that order, from 0; `most` for all that come later.
-    std::size_t rank(const framework::ModelName&, const framework::Endpoint&, std::size_t most) const;
+    /// The engine's place in that order, from 0; `limit` for all that come later.
+    std::size_t rank(const framework::ModelName&, const framework::Endpoint&, std::size_t limit) const;
 
     std::size_t size() const { return contents_.size(); }
     const std::map<framework::Endpoint, Contents>& engines() const { return contents_; }
--- a/src/forwarding/tests/choices_test.cpp
+++ b/src/forwarding/tests/choices_test.cpp
@@ -1,7 +1,7 @@
 #include "forwarding/modeldemand.h"
+#include "forwarding/outlierdetector.h"
 #include "forwarding/promptcache.h"
 #include "forwarding/serverchoice.h"
-#include "forwarding/suspicion.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -80,27 +80,27 @@
 
 BOOST_AUTO_TEST_CASE(aServerThatFailsIsPassedByForLongerEachTime)
 {
-    Suspicion suspicion;
-    BOOST_TEST(!suspicion.isSuspect(start));
-    suspicion.didFail(start);
-    BOOST_TEST(suspicion.isSuspect(start + Milliseconds(299)));
-    BOOST_TEST(!suspicion.isSuspect(start + Milliseconds(300)));
-    suspicion.didFail(start);
-    BOOST_TEST(suspicion.isSuspect(start + Milliseconds(599)));
+    OutlierDetector outlierDetector;
+    BOOST_TEST(!outlierDetector.isSuspect(start));
+    outlierDetector.didFail(start);
+    BOOST_TEST(outlierDetector.isSuspect(start + Milliseconds(299)));
+    BOOST_TEST(!outlierDetector.isSuspect(start + Milliseconds(300)));
+    outlierDetector.didFail(start);
+    BOOST_TEST(outlierDetector.isSuspect(start + Milliseconds(599)));
     for (int failure = 0; failure < 20; ++failure)
-        suspicion.didFail(start);
-    BOOST_TEST(!suspicion.isSuspect(start + Milliseconds(5000)));
-    suspicion.didServe();
-    BOOST_TEST(!suspicion.isSuspect(start));
+        outlierDetector.didFail(start);
+    BOOST_TEST(!outlierDetector.isSuspect(start + Milliseconds(5000)));
+    outlierDetector.didServe();
+    BOOST_TEST(!outlierDetector.isSuspect(start));
 }
 
 BOOST_AUTO_TEST_CASE(onlyAPromptsBeginningIsKept)
 {
     PromptCache cache(catalog::Tokens(10000));
     cache.didSend(promptChain(facts("m", { { "a", 100 }, { "b", 200 }, { "c", 300 } })));
-    BOOST_TEST(cache.kept(promptChain(facts("m", { { "a", 100 }, { "b", 200 }, { "d", 300 } }))) == 300U);
-    BOOST_TEST(cache.kept(promptChain(facts("m", { { "b", 200 } }))) == 0U);
-    BOOST_TEST(cache.kept(promptChain(facts("other", { { "a", 100 } }))) == 0U);
+    BOOST_TEST(cache.cachedTokens(promptChain(facts("m", { { "a", 100 }, { "b", 200 }, { "d", 300 } }))) == 300U);
+    BOOST_TEST(cache.cachedTokens(promptChain(facts("m", { { "b", 200 } }))) == 0U);
+    BOOST_TEST(cache.cachedTokens(promptChain(facts("other", { { "a", 100 } }))) == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(whatWasUsedLongestAgoIsForgotten)
@@ -112,8 +112,8 @@
     cache.didSend(old);
     cache.didSend(recent);
     cache.didSend(promptChain(facts("m", { { "c", 400 } })));
-    BOOST_TEST(cache.kept(old) == 0U);
-    BOOST_TEST(cache.kept(recent) == 300U);
+    BOOST_TEST(cache.cachedTokens(old) == 0U);
+    BOOST_TEST(cache.cachedTokens(recent) == 300U);
 }
 
 BOOST_AUTO_TEST_CASE(demandIsTheWorkOfTheLastSeconds)
--- a/src/forwarding/tests/wantedplanner_test.cpp
+++ b/src/forwarding/tests/demandplanner_test.cpp
@@ -1,4 +1,4 @@
-#include "forwarding/wantedplanner.h"
+#include "forwarding/demandplanner.h"
 
 #include <boost/test/unit_test.hpp>
 #include <list>
@@ -79,17 +79,17 @@
     catalog::EngineProfile profile;
     ReplicaIndex replicas;
     std::list<EngineState> states;
-    std::vector<WaitingFor> waiting;
+    std::vector<WaitingRequests> waiting;
     std::map<ModelName, double> work;
     bool isDemandKnown = true;
     Milliseconds runTime { 0 };
     SteadyTime now { std::chrono::hours(1) };
-    WantedPlanner planner;
+    DemandPlanner planner;
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(WantedPlanners, Fixture)
+BOOST_FIXTURE_TEST_SUITE(DemandPlanners, Fixture)
 
 BOOST_AUTO_TEST_CASE(theEngineWithTheWeightsAtHandIsAsked)
 {
@@ -166,7 +166,7 @@
         engine(name, {});
     wait("e");
     const auto first = asked("e");
-    WantedPlanner other;
+    DemandPlanner other;
     std::vector<std::string> second;
     for (const auto& [endpoint, list] : other.plan(input()).wanted) {
         for (const Wanted& wanted : list) {
@@ -269,11 +269,11 @@
     engine("1", {}).expected.push_back({ ModelName("e"), Milliseconds(900) });
     engine("2", {}).expected.push_back({ ModelName("e"), catalog::cannotPlace });
     PlannerInput made = input();
-    WaitingFor waitingFor;
+    WaitingRequests waitingFor;
     waitingFor.target.model = ModelName("e");
-    BOOST_TEST(planner.soonest(made.engines, waitingFor, now + Milliseconds(100))->count() == 800);
+    BOOST_TEST(planner.timeUntilLoaded(made.engines, waitingFor, now + Milliseconds(100))->count() == 800);
     waitingFor.target.model = ModelName("f");
-    BOOST_TEST(!planner.soonest(made.engines, waitingFor, now));
+    BOOST_TEST(!planner.timeUntilLoaded(made.engines, waitingFor, now));
 }
 
 // A caller was told that a model wouldn't be there for six seconds. It was there; only an adapter was to be loaded,
@@ -282,10 +282,10 @@
 {
     engine("1", { "e" });
     engine("2", {}).expected.push_back({ ModelName("e"), Milliseconds(6000) });
-    WaitingFor waitingFor;
+    WaitingRequests waitingFor;
     waitingFor.target = { ModelName("e"), framework::AdapterName("a1") };
     waitingFor.at = Endpoint("1");
-    BOOST_TEST(!planner.soonest(input().engines, waitingFor, now));
+    BOOST_TEST(!planner.timeUntilLoaded(input().engines, waitingFor, now));
 }
 
 // All engines of a service were replaced by empty ones within ten seconds, and 30 models had to come from a store that
@@ -302,9 +302,9 @@
     engine("5", {});
     wait("e");
     BOOST_TEST(asked("e").empty());
-    const auto soonest = planner.soonest(input().engines, waiting.front(), now + Milliseconds(500));
-    BOOST_REQUIRE(soonest);
-    BOOST_TEST(soonest->count() == 2000 + 6000 - 500);
+    const auto timeUntilLoaded = planner.timeUntilLoaded(input().engines, waiting.front(), now + Milliseconds(500));
+    BOOST_REQUIRE(timeUntilLoaded);
+    BOOST_TEST(timeUntilLoaded->count() == 2000 + 6000 - 500);
 }
 
 // The store had one place left. It went to the model whose name came first, for one caller, and five others who waited
@@ -429,7 +429,7 @@
     std::set<Endpoint> unreachable;
     bool mayWait = true;
     SteadyTime now { std::chrono::hours(1) };
-    WantedPlanner planner;
+    DemandPlanner planner;
 };
 
 std::vector<std::string> loaders(const LoadPlan& plan, const std::string& model)
@@ -446,7 +446,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(WantedPlannersOfLargeFleets)
+BOOST_AUTO_TEST_SUITE(DemandPlannersOfLargeFleets)
 
 // Guards against control whose cost grows with the number of engines and models.
 BOOST_AUTO_TEST_CASE(costWhatTheRoutersOwnRequestsCost)
@@ -459,7 +459,7 @@
         (void)fleet.plan();
         const LoadPlan plan = fleet.plan();
         subscriptions.push_back(plan.subscriptions.size());
-        placements.push_back(fleet.planner.placementsWeighed());
+        placements.push_back(fleet.planner.placementsEvaluated());
     }
     BOOST_TEST(subscriptions[1] <= 80u);
     BOOST_TEST(placements[1] <= 80u);
@@ -541,9 +541,9 @@
     Fleet idle(100);
     idle.profile.models = {};
     PlannerInput input { idle.profile, idle.replicas, {}, {}, {}, true, idle.now, Milliseconds(500) };
-    const auto subscriptions = WantedPlanner().plan(input).subscriptions;
+    const auto subscriptions = DemandPlanner().plan(input).subscriptions;
     BOOST_TEST(subscriptions.size() == 3u);
-    BOOST_TEST((WantedPlanner().plan(input).subscriptions == subscriptions));
+    BOOST_TEST((DemandPlanner().plan(input).subscriptions == subscriptions));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/forwarding/tests/loadrequests_test.cpp
+++ b/src/forwarding/tests/demandpublisher_test.cpp
@@ -1,4 +1,4 @@
-#include "forwarding/internal/loadrequests.h"
+#include "forwarding/internal/demandpublisher.h"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/test/unit_test.hpp>
@@ -48,7 +48,7 @@
         RequestFacts facts;
         facts.model = chat;
         facts.promptTokens = catalog::Tokens(700);
-        facts.mostOutputTokens = catalog::Tokens(950);
+        facts.maxOutputTokens = catalog::Tokens(950);
         for (Milliseconds at(0); at < lasts; at += Milliseconds(1000 / perSecond)) {
             requests.didArrive(service, facts, now);
             now += Milliseconds(1000 / perSecond);
@@ -56,11 +56,11 @@
         table.setState(heldState(), now);
     }
 
-    double workTold()
+    double publishedWork()
     {
         requests.plan(
-            configuration, [](const ServiceName&) { return std::vector<WaitingFor>(); }, {}, now);
-        for (const catalog::Wanted& wanted : told.at(endpoint)) {
+            configuration, [](const ServiceName&) { return std::vector<WaitingRequests>(); }, {}, now);
+        for (const catalog::Wanted& wanted : published.at(endpoint)) {
             if (wanted.target.model == chat)
                 return wanted.work;
         }
@@ -70,9 +70,9 @@
     boost::asio::io_context context;
     UpstreamTable table { context };
     catalog::Configuration configuration;
-    std::map<Endpoint, catalog::WantedList> told;
+    std::map<Endpoint, catalog::WantedList> published;
     SteadyTime now { std::chrono::hours(1) };
-    LoadRequests requests { table, [this](const auto& plan) { told = plan.wanted; }, now };
+    DemandPublisher requests { table, [this](const auto& plan) { published = plan.wanted; }, now };
 };
 
 } // namespace
@@ -85,26 +85,26 @@
 BOOST_AUTO_TEST_CASE(isTheReadingOfItsPromptsAndTheSlotsThatItTakes)
 {
     offer(20, Milliseconds(10000));
-    BOOST_TEST(workTold() > 0.3);
-    BOOST_TEST(workTold() < 0.45);
+    BOOST_TEST(publishedWork() > 0.3);
+    BOOST_TEST(publishedWork() < 0.45);
     table.ready(service).at(0)->inFlightByTarget[{ chat, {} }] = 24;
     table.ready(service).at(0)->inFlightByTarget[{ chat, framework::AdapterName("a1") }] = 24;
-    BOOST_TEST(workTold() > 0.8);
-    BOOST_TEST(workTold() < 0.95);
+    BOOST_TEST(publishedWork() > 0.8);
+    BOOST_TEST(publishedWork() < 0.95);
 }
 
 // Reviews of 9,300 tokens fill an engine's memory when 28 of its 64 slots are taken.
 BOOST_AUTO_TEST_CASE(countsMemoryWhereThatIsScarcerThanSlots)
 {
     table.ready(service).at(0)->inFlightByTarget[{ chat, {} }] = 48;
-    const double bySlots = workTold();
+    const double bySlots = publishedWork();
     catalog::EngineState state = heldState();
     state.running = 48;
     state.memory = catalog::Tokens(100000);
     state.usedMemory = catalog::Tokens(96000);
     table.setState(state, now);
     BOOST_TEST(bySlots < 0.55);
-    BOOST_TEST(workTold() > 0.9);
+    BOOST_TEST(publishedWork() > 0.9);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/forwarding/tests/eventsplitter_test.cpp
+++ b/src/forwarding/tests/eventsplitter_test.cpp
@@ -18,21 +18,21 @@
     const std::string both = event(4) + event(5);
     for (std::size_t cut = 0; cut <= both.size(); ++cut) {
         EventSplitter one(std::nullopt);
-        const std::string first = one.take(both.substr(0, cut));
+        const std::string first = one.feed(both.substr(0, cut));
         BOOST_TEST((first.empty() || first == event(4) || first == both));
-        BOOST_TEST(first + one.take(both.substr(cut)) == both);
-        BOOST_TEST(!one.holdsPart());
+        BOOST_TEST(first + one.feed(both.substr(cut)) == both);
+        BOOST_TEST(!one.hasPartialEvent());
         BOOST_TEST(*one.last() == 5U);
     }
-    BOOST_TEST(splitter.take("id: 1\ndata: ha").empty());
-    BOOST_TEST(splitter.holdsPart());
+    BOOST_TEST(splitter.feed("id: 1\ndata: ha").empty());
+    BOOST_TEST(splitter.hasPartialEvent());
 }
 
 BOOST_AUTO_TEST_CASE(carriageReturnsEndEventsToo)
 {
     EventSplitter splitter(std::nullopt);
     const std::string one = "id: 1\r\ndata: x\r\n\r\n";
-    BOOST_TEST(splitter.take(one) == one);
+    BOOST_TEST(splitter.feed(one) == one);
     BOOST_TEST(*splitter.last() == 1U);
 }
 
@@ -41,10 +41,10 @@
 BOOST_AUTO_TEST_CASE(anEventThatComesTwiceOrIsMissingBreaksTheStream)
 {
     EventSplitter twice(7);
-    BOOST_TEST(twice.take(event(7)).empty());
+    BOOST_TEST(twice.feed(event(7)).empty());
     BOOST_TEST((twice.state() == EventSplitter::State::Broken));
     EventSplitter missing(7);
-    BOOST_TEST(missing.take(event(8) + event(10)) == event(8));
+    BOOST_TEST(missing.feed(event(8) + event(10)) == event(8));
     BOOST_TEST((missing.state() == EventSplitter::State::Broken));
     BOOST_TEST(*missing.last() == 8U);
 }
@@ -52,7 +52,7 @@
 BOOST_AUTO_TEST_CASE(eventsWithoutIdsPass)
 {
     EventSplitter splitter(3);
-    BOOST_TEST(splitter.take("data: x\n\n: comment\n\n") == "data: x\n\n: comment\n\n");
+    BOOST_TEST(splitter.feed("data: x\n\n: comment\n\n") == "data: x\n\n: comment\n\n");
     BOOST_TEST(*splitter.last() == 3U);
 }
 
@@ -60,7 +60,7 @@
 {
     EventSplitter splitter(std::nullopt);
     for (int part = 0; part < 40; ++part)
-        (void)splitter.take(std::string(64 * 1024, 'x'));
+        (void)splitter.feed(std::string(64 * 1024, 'x'));
     BOOST_TEST((splitter.state() == EventSplitter::State::Broken));
 }
 
--- a/src/forwarding/tests/returningcallers_test.cpp
+++ b/src/forwarding/tests/expectedretries_test.cpp
@@ -1,4 +1,4 @@
-#include "forwarding/returningcallers.h"
+#include "forwarding/expectedretries.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -16,7 +16,7 @@
 const ServiceName service("engines");
 const ModelName model("chat");
 
-WaitingFor oneCaller(framework::SteadyTime since)
+WaitingRequests oneCaller(framework::SteadyTime since)
 {
     return { { model, {} }, 1, Deadline::after(since, Milliseconds(2000)), since, 9, {} };
 }
@@ -37,7 +37,7 @@
         return expected.empty() ? 0 : expected.front().waiting;
     }
 
-    ReturningCallers callers;
+    ExpectedRetries callers;
 };
 
 } // namespace
@@ -67,9 +67,9 @@
 BOOST_AUTO_TEST_CASE(whoHasLeftIsNotExpectedAnyMore)
 {
     refuse({ 0, 1000 });
-    callers.forgetLeft(start + Milliseconds(4500));
+    callers.dropExpired(start + Milliseconds(4500));
     BOOST_TEST(count() == 1u);
-    callers.forgetLeft(start + Milliseconds(5000));
+    callers.dropExpired(start + Milliseconds(5000));
     BOOST_TEST(count() == 0u);
 }
 
--- a/src/forwarding/tests/forwarder_test.cpp
+++ b/src/forwarding/tests/forwarder_test.cpp
@@ -28,10 +28,10 @@
         facts.promptTokens = catalog::Tokens(100);
         return facts;
     }
-    http::Request forwarded(const http::Request& request, const ForwardingTerms&) const override { return request; }
-    AnswerMeaning meaning(const http::ResponseHead&, const RequestFacts&, const catalog::InstanceId&) const override
+    http::Request forwarded(const http::Request& request, const ForwardingOptions&) const override { return request; }
+    AnswerClass classify(const http::ResponseHead&, const RequestFacts&, const catalog::InstanceId&) const override
     {
-        return AnswerMeaning::Served;
+        return AnswerClass::Served;
     }
     http::ResponseHead refusal(unsigned status, std::optional<Milliseconds> retryAfter) const override
     {
@@ -43,9 +43,9 @@
 };
 
 /// Keeps the answer.
-class KeptExchange final : public http::IExchange {
+class RecordingExchange final : public http::IExchange {
 public:
-    KeptExchange()
+    RecordingExchange()
     {
         request_.target = "/model/1";
         request_.headers.add("Host", "callers");
@@ -63,7 +63,7 @@
     void setDrainedHandler(std::function<void()>) override { }
 
     /// Before the event loop has come to it.
-    void leave() { hasLeft_ = true; }
+    void disconnect() { hasLeft_ = true; }
     bool isAnswered() const { return head_.has_value(); }
     unsigned status() const { return head_ ? head_->status : 0; }
     Milliseconds retryAfter() const
@@ -130,9 +130,9 @@
     }
 
     /// A request that comes while the engine's agent expects the model within the time.
-    std::shared_ptr<KeptExchange> requestThatWaits(Milliseconds loadedWithin)
+    std::shared_ptr<RecordingExchange> sendWaitingRequest(Milliseconds loadedWithin)
     {
-        auto exchange = std::make_shared<KeptExchange>();
+        auto exchange = std::make_shared<RecordingExchange>();
         onTraffic([&] {
             catalog::EngineState state;
             state.engine = engine().endpoint;
@@ -143,14 +143,14 @@
         return exchange;
     }
 
-    void waitUntilAnswered(const KeptExchange& exchange)
+    void waitUntilAnswered(const RecordingExchange& exchange)
     {
         bool isAnswered = false;
         while (!isAnswered)
             onTraffic([&] { isAnswered = exchange.isAnswered(); });
     }
 
-    void endWithin(Milliseconds startWithin, Milliseconds answerWithin)
+    void shutDownWithin(Milliseconds startWithin, Milliseconds answerWithin)
     {
         onTraffic([&] {
             framework::ServiceEnd end;
@@ -159,7 +159,7 @@
             forwarder.endService(end);
         });
     }
-    void endWithin(Milliseconds startWithin) { endWithin(startWithin, 2 * startWithin); }
+    void shutDownWithin(Milliseconds startWithin) { shutDownWithin(startWithin, 2 * startWithin); }
 
     framework::SystemClock clock;
     framework::EventThread traffic;
@@ -173,7 +173,7 @@
 
 BOOST_AUTO_TEST_CASE(aRequestWaitsForItsModelsLoad)
 {
-    const auto exchange = requestThatWaits(Milliseconds(6000));
+    const auto exchange = sendWaitingRequest(Milliseconds(6000));
     BOOST_TEST(!exchange->isAnswered());
 }
 
@@ -181,24 +181,24 @@
 // time were gone when it refused, and another router could have had the review waiting from the beginning.
 BOOST_AUTO_TEST_CASE(aWaitThatWouldEndAfterItIsRefusedAtOnce)
 {
-    const auto exchange = requestThatWaits(Milliseconds(6000));
-    endWithin(Milliseconds(4000));
+    const auto exchange = sendWaitingRequest(Milliseconds(6000));
+    shutDownWithin(Milliseconds(4000));
     BOOST_REQUIRE(exchange->status() == 503u);
     BOOST_TEST(exchange->retryAfter().count() < 1000);
 }
 
 BOOST_AUTO_TEST_CASE(aRequestThatComesLaterAndCouldNotBeServedIsRefusedToo)
 {
-    endWithin(Milliseconds(4000));
-    const auto exchange = requestThatWaits(Milliseconds(6000));
+    shutDownWithin(Milliseconds(4000));
+    const auto exchange = sendWaitingRequest(Milliseconds(6000));
     waitUntilAnswered(*exchange);
     BOOST_TEST(exchange->status() == 503u);
 }
 
 BOOST_AUTO_TEST_CASE(aWaitThatEndsBeforeItGoesOn)
 {
-    const auto exchange = requestThatWaits(Milliseconds(1000));
-    endWithin(Milliseconds(4000));
+    const auto exchange = sendWaitingRequest(Milliseconds(1000));
+    shutDownWithin(Milliseconds(4000));
     BOOST_TEST(!exchange->isAnswered());
 }
 
@@ -206,8 +206,8 @@
 // were left, and was cut behind its first word. Another router would have brought all of it.
 BOOST_AUTO_TEST_CASE(whatNoServerHasHalfWayIsRefused)
 {
-    const auto exchange = requestThatWaits(Milliseconds(1000));
-    endWithin(Milliseconds(0), Milliseconds(8000));
+    const auto exchange = sendWaitingRequest(Milliseconds(1000));
+    shutDownWithin(Milliseconds(0), Milliseconds(8000));
     waitUntilAnswered(*exchange);
     BOOST_TEST(exchange->status() == 503u);
     BOOST_TEST(exchange->retryAfter().count() < 1000);
@@ -217,8 +217,8 @@
 // the timers that would have refused the requests that waited.
 BOOST_AUTO_TEST_CASE(whoeverStillWaitsAtTheVeryEndIsRefused)
 {
-    const auto exchange = requestThatWaits(Milliseconds(1000));
-    endWithin(Milliseconds(4000));
+    const auto exchange = sendWaitingRequest(Milliseconds(1000));
+    shutDownWithin(Milliseconds(4000));
     onTraffic([this] {
         forwarder.answerNow();
         BOOST_TEST(forwarder.requests() == 0u);
@@ -230,8 +230,8 @@
 // Guards against sending a request to a server after its caller has left, while the event loop is behind.
 BOOST_AUTO_TEST_CASE(aRequestWhoseCallerLeftUnnoticedIsNotSent)
 {
-    const auto exchange = std::make_shared<KeptExchange>();
-    exchange->leave();
+    const auto exchange = std::make_shared<RecordingExchange>();
+    exchange->disconnect();
     onTraffic([&] {
         catalog::EngineState state;
         state.engine = engine().endpoint;
@@ -250,7 +250,7 @@
     tcp::acceptor acceptor(context, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
     catalog::Upstream server = engine();
     server.endpoint = Endpoint("127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()));
-    const auto exchange = std::make_shared<KeptExchange>();
+    const auto exchange = std::make_shared<RecordingExchange>();
     onTraffic([&] {
         catalog::EngineState state;
         state.engine = server.endpoint;
--- a/src/forwarding/tests/liveness_test.cpp
+++ b/src/forwarding/tests/liveness_test.cpp
@@ -60,7 +60,7 @@
     Liveness liveness;
     liveness.didSend(start, Milliseconds(60));
     for (int each = 1; each < 20; ++each)
-        liveness.didHear(after(each * 200), 3);
+        liveness.didSeeActivity(after(each * 200), 3);
     BOOST_TEST(!liveness.isSilent(after(4000)));
     BOOST_TEST(liveness.isSilent(after(4300)));
 }
@@ -83,7 +83,7 @@
     Liveness liveness;
     liveness.didSend(start, Milliseconds(60));
     for (int each = 1; each < 20; ++each)
-        liveness.didHear(after(each * 30), 3);
+        liveness.didSeeActivity(after(each * 30), 3);
     BOOST_TEST(!liveness.isPausing(after(570 + 90)));
     BOOST_TEST(liveness.isPausing(after(570 + 120)));
 }
@@ -94,7 +94,7 @@
     Liveness liveness;
     liveness.didSend(start, Milliseconds(60));
     for (int each = 1; each < 200; ++each)
-        liveness.didHear(after(each % 20 == 0 ? each * 30 + 110 : each * 30), 3);
+        liveness.didSeeActivity(after(each % 20 == 0 ? each * 30 + 110 : each * 30), 3);
     const int last = 199 * 30;
     BOOST_TEST(!liveness.isPausing(after(last + 150)));
     BOOST_TEST(liveness.isPausing(after(last + 400)));
@@ -104,8 +104,8 @@
 {
     Liveness liveness;
     liveness.didSend(start, Milliseconds(60));
-    liveness.didHear(after(100), 1);
-    liveness.didSettle();
+    liveness.didSeeActivity(after(100), 1);
+    liveness.didBecomeIdle();
     BOOST_TEST(!liveness.isSilent(after(10000)));
 }
 
@@ -113,10 +113,10 @@
 {
     Liveness liveness;
     liveness.didSend(start, Milliseconds(60));
-    liveness.didSettle();
-    liveness.didGiveUp(after(600));
+    liveness.didBecomeIdle();
+    liveness.didAbandon(after(600));
     BOOST_TEST(liveness.isSilent(after(5000)));
-    liveness.didHear(after(6000), 0);
+    liveness.didSeeActivity(after(6000), 0);
     BOOST_TEST(!liveness.isSilent(after(9000)));
 }
 
@@ -137,8 +137,8 @@
     Engines engines(3);
     engines.engine(0).liveness.didSend(start, Milliseconds(60));
     BOOST_TEST(engines.table.isSilent(engines.engine(0), after(1000)));
-    BOOST_TEST(engines.table.mayHaveSilent(after(1000)));
-    BOOST_TEST(!engines.table.mayHaveSilent(after(100)));
+    BOOST_TEST(engines.table.mayAnyBeSilent(after(1000)));
+    BOOST_TEST(!engines.table.mayAnyBeSilent(after(100)));
     BOOST_TEST(!engines.table.isSilent(engines.engine(1), after(1000)));
 }
 
--- a/src/forwarding/tests/upstreamtable_test.cpp
+++ b/src/forwarding/tests/upstreamtable_test.cpp
@@ -55,11 +55,11 @@
     void use()
     {
         only().prompts.didSend(prompt);
-        only().suspicion.didFail(now);
+        only().outlierDetector.didFail(now);
     }
 
-    bool isUsed() { return only().prompts.kept(prompt) > 0 && only().suspicion.isSuspect(now); }
-    bool isAnew() { return only().prompts.kept(prompt) == 0 && !only().suspicion.isSuspect(now); }
+    bool isUsed() { return only().prompts.cachedTokens(prompt) > 0 && only().outlierDetector.isSuspect(now); }
+    bool isReset() { return only().prompts.cachedTokens(prompt) == 0 && !only().outlierDetector.isSuspect(now); }
 
     /// Returns how many connections the table hands out for an engine with a limit of 100 after a load changes the
     /// number of routers.
@@ -69,10 +69,10 @@
         configuration->services.push_back({ service, 100, catalog::EngineProfile() });
         table.setConfiguration(configuration);
         table.setUpstreams({ upstream(0) });
-        EngineState told = state(0, true);
-        told.routers = routersBefore;
-        table.setState(told, now);
-        catalog::EngineLoad load = catalog::loadOf(told);
+        EngineState reportedState = state(0, true);
+        reportedState.routers = routersBefore;
+        table.setState(reportedState, now);
+        catalog::EngineLoad load = catalog::loadOf(reportedState);
         load.routers = routersAfter;
         table.setLoad(load, now);
         std::vector<std::shared_ptr<http::ClientConnection>> taken;
@@ -101,14 +101,14 @@
     table.setUpstreams({ upstream(100) });
     BOOST_TEST(isUsed());
     table.setUpstreams({ upstream(200) });
-    BOOST_TEST(isAnew());
+    BOOST_TEST(isReset());
     BOOST_TEST(only().facts.started->value() == 200U);
 }
 
 BOOST_AUTO_TEST_CASE(aServerThatWasTakenForGoneIsThereAgainAfterItsRestart)
 {
     table.setUpstreams({ upstream(100) });
-    only().isGone = true;
+    only().isReplaced = true;
     BOOST_TEST(table.ready(service).empty());
     table.setUpstreams({ upstream(200) });
     BOOST_TEST(table.ready(service).size() == 1U);
@@ -120,7 +120,7 @@
     table.setUpstreams({ upstream(0) });
     use();
     table.setUpstreams({ upstream(0, Endpoint("10.0.0.2:80")) });
-    BOOST_TEST(isAnew());
+    BOOST_TEST(isReset());
 }
 
 // A router read of a restart in the list, then got a word that the engine's agent had sent before it, and for a second
@@ -130,10 +130,10 @@
     table.setUpstreams({ upstream(200) });
     table.setState(state(100, true), now);
     BOOST_TEST(!table.state(only(), now));
-    BOOST_TEST(!table.holds(only(), target, now));
+    BOOST_TEST(!table.hasLoaded(only(), target, now));
     BOOST_TEST(table.engines(service, now).empty());
     table.setState(state(200, true), now);
-    BOOST_TEST(table.holds(only(), target, now));
+    BOOST_TEST(table.hasLoaded(only(), target, now));
 }
 
 // An agent, which asks its engine several times a second, mostly sees a restart before the list shows it.
@@ -145,8 +145,8 @@
     table.setState(state(100, true), now);
     BOOST_TEST(isUsed());
     table.setState(state(200, false), now);
-    BOOST_TEST(isAnew());
-    BOOST_TEST(!table.holds(only(), target, now));
+    BOOST_TEST(isReset());
+    BOOST_TEST(!table.hasLoaded(only(), target, now));
     use();
     // The list still shows the former run, then the same as the agent.
     table.setUpstreams({ upstream(100) });
@@ -162,15 +162,15 @@
     Upstream listed = upstream(100);
     listed.models.push_back({ target.model, 1, {}, 0 });
     table.setUpstreams({ listed });
-    BOOST_TEST(table.holds(only(), target, now));
+    BOOST_TEST(table.hasLoaded(only(), target, now));
     table.setState(state(200, false), now);
     now += std::chrono::seconds(10);
-    BOOST_TEST(!table.holds(only(), target, now));
+    BOOST_TEST(!table.hasLoaded(only(), target, now));
     table.setUpstreams({ listed });
-    BOOST_TEST(!table.holds(only(), target, now));
+    BOOST_TEST(!table.hasLoaded(only(), target, now));
     listed.started = StartTime(200);
     table.setUpstreams({ listed });
-    BOOST_TEST(table.holds(only(), target, now));
+    BOOST_TEST(table.hasLoaded(only(), target, now));
 }
 
 // A restarted engine refused a request for a model that it no longer had. Until its agent's next word the router sent
@@ -181,24 +181,24 @@
     listed.models.push_back({ target.model, 1, {}, 0 });
     table.setUpstreams({ listed });
     table.setState(state(100, true), now);
-    table.didLack(only(), target);
-    BOOST_TEST(!table.holds(only(), target, now));
-    BOOST_TEST(!table.holds(only(), target, now + std::chrono::seconds(10)));
+    table.didReportNotLoaded(only(), target);
+    BOOST_TEST(!table.hasLoaded(only(), target, now));
+    BOOST_TEST(!table.hasLoaded(only(), target, now + std::chrono::seconds(10)));
     table.setState(state(100, true), now);
-    BOOST_TEST(table.holds(only(), target, now));
+    BOOST_TEST(table.hasLoaded(only(), target, now));
 }
 
 BOOST_AUTO_TEST_CASE(aMissingAdapterLeavesItsModel)
 {
     const ModelTarget adapter { target.model, framework::AdapterName("a1") };
-    EngineState told = state(0, true);
-    told.held[0].adapters.push_back(adapter.adapter);
+    EngineState reportedState = state(0, true);
+    reportedState.held[0].adapters.push_back(adapter.adapter);
     table.setUpstreams({ upstream(0) });
-    table.setState(told, now);
-    BOOST_TEST(table.holds(only(), adapter, now));
-    table.didLack(only(), adapter);
-    BOOST_TEST(!table.holds(only(), adapter, now));
-    BOOST_TEST(table.holds(only(), target, now));
+    table.setState(reportedState, now);
+    BOOST_TEST(table.hasLoaded(only(), adapter, now));
+    table.didReportNotLoaded(only(), adapter);
+    BOOST_TEST(!table.hasLoaded(only(), adapter, now));
+    BOOST_TEST(table.hasLoaded(only(), target, now));
 }
 
 BOOST_AUTO_TEST_CASE(serversThatDoNotSayTheirStartAreKnownByTheirId)
@@ -208,7 +208,7 @@
     use();
     table.setUpstreams({ upstream(0) });
     BOOST_TEST(isUsed());
-    BOOST_TEST(table.holds(only(), target, now));
+    BOOST_TEST(table.hasLoaded(only(), target, now));
 }
 
 // An engine crashed. For two and a half seconds its agent's last word held, so each chat for its model was sent there,
@@ -217,12 +217,12 @@
 {
     table.setUpstreams({ upstream(0) });
     table.setState(state(0, true), now);
-    BOOST_REQUIRE(table.holds(only(), target, now));
-    table.didLose(only(), now);
-    BOOST_TEST(!table.holds(only(), target, now));
+    BOOST_REQUIRE(table.hasLoaded(only(), target, now));
+    table.didFailToConnect(only(), now);
+    BOOST_TEST(!table.hasLoaded(only(), target, now));
     BOOST_TEST(table.engines(service, now).empty());
     table.setState(state(0, true), now);
-    BOOST_TEST(table.holds(only(), target, now));
+    BOOST_TEST(table.hasLoaded(only(), target, now));
     BOOST_TEST(table.engines(service, now).size() == 1u);
 }
 
@@ -231,11 +231,11 @@
     Upstream listed = upstream(0);
     listed.models.push_back({ target.model, 1, {}, 0, 0 });
     table.setUpstreams({ listed });
-    table.didLose(only(), now);
-    BOOST_TEST(!table.holds(only(), target, now + Milliseconds(1000)));
+    table.didFailToConnect(only(), now);
+    BOOST_TEST(!table.hasLoaded(only(), target, now + Milliseconds(1000)));
     table.setUpstreams({ listed });
-    BOOST_TEST(!table.holds(only(), target, now + Milliseconds(1000)));
-    BOOST_TEST(table.holds(only(), target, now + Milliseconds(1500)));
+    BOOST_TEST(!table.hasLoaded(only(), target, now + Milliseconds(1000)));
+    BOOST_TEST(table.hasLoaded(only(), target, now + Milliseconds(1500)));
 }
 
 // Guards against a model that isn't found at an engine whose agent this router doesn't subscribe to.
@@ -260,27 +260,27 @@
     Upstream listed = upstream(0);
     listed.models.push_back({ target.model, 1, {}, 0, 0 });
     table.setUpstreams({ listed });
-    table.didLose(only(), now);
+    table.didFailToConnect(only(), now);
     BOOST_TEST(table.serving(service, target.model).empty());
-    table.forgetLosses(now + Milliseconds(1000));
+    table.expireUnreachable(now + Milliseconds(1000));
     BOOST_TEST(table.serving(service, target.model).empty());
-    table.forgetLosses(now + Milliseconds(1600));
+    table.expireUnreachable(now + Milliseconds(1600));
     BOOST_TEST(table.serving(service, target.model).size() == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(aLoadUpdatesTheFiguresOfItsState)
 {
     table.setUpstreams({ upstream(0) });
-    EngineState told = state(0, true);
-    told.routers = 3;
-    table.setState(told, now);
-    catalog::EngineLoad load = catalog::loadOf(told);
+    EngineState reportedState = state(0, true);
+    reportedState.routers = 3;
+    table.setState(reportedState, now);
+    catalog::EngineLoad load = catalog::loadOf(reportedState);
     load.running = 9;
     load.routers = 5;
     table.setLoad(load, now + Milliseconds(2000));
-    const HeardState* const heard = table.state(only(), now + Milliseconds(4000));
-    BOOST_REQUIRE(heard);
-    BOOST_TEST(heard->state.running == 9u);
+    const ReportedState* const report = table.state(only(), now + Milliseconds(4000));
+    BOOST_REQUIRE(report);
+    BOOST_TEST(report->state.running == 9u);
     BOOST_TEST(table.routers() == 5u);
 }
 
@@ -304,9 +304,9 @@
     table.setUpstreams({ listed });
     const UpstreamPointer record = table.ready(service).at(0);
     table.setUpstreams({});
-    table.didLack(*record, target);
+    table.didReportNotLoaded(*record, target);
     BOOST_TEST(table.replicas(service).size() == 0u);
-    table.didLose(*record, now);
+    table.didFailToConnect(*record, now);
     BOOST_TEST(table.replicas(service).size() == 0u);
     BOOST_TEST(table.serving(service, ModelName("other")).empty());
 }
--- a/src/forwarding/types/requestfacts.h
+++ b/src/forwarding/types/requestfacts.h
@@ -27,7 +27,7 @@
     framework::ModelName model;
     framework::AdapterName adapter;
     catalog::Tokens promptTokens;
-    catalog::Tokens mostOutputTokens;
+    catalog::Tokens maxOutputTokens;
     std::vector<PromptPart> prompt;
     /// The last event that the caller already has.
     std::optional<std::uint64_t> lastEvent;
