--- a/src/forwarding/demandplanner.h
+++ b/src/forwarding/demandplanner.h
@@ -20,80 +20,82 @@
 
 namespace lagoon::forwarding {
 
-/// An engine whose agent can be asked to load.
+/// The last reported state of an engine whose agent can be asked to load models.
 struct EngineFacts {
     framework::Endpoint engine;
     const catalog::EngineState* state = nullptr;
     framework::SteadyTime stateAt {};
-    /// This router's requests under way there.
+    /// This router's requests in flight at the engine, by target.
     std::map<catalog::ModelTarget, std::uint32_t> inFlight;
 };
 
-/// Requests that wait for a model or adapter.
+/// Requests that wait for a model or adapter to be loaded.
 struct WaitingRequests {
     catalog::ModelTarget target;
+    /// The number of requests.
     std::uint32_t waiting = 0;
+    /// The earliest time by which one of them needs its first event.
     framework::Deadline earliest;
     framework::SteadyTime since {};
     std::uint8_t priority = 0;
-    /// For an adapter: the engine that is to load it, which has the model.
+    /// For an adapter: the engine that is to load it, which has the model loaded. Empty for a model.
     framework::Endpoint at;
 };
 
 struct PlannerInput {
     const catalog::EngineProfile& profile;
-    /// Over all engines of the service.
+    /// Covers all engines of the service.
     const ReplicaIndex& replicas;
-    /// Those that this router subscribes to and has heard.
+    /// The engines that this router subscribes to and has received a state from.
     std::vector<EngineFacts> engines;
     std::vector<WaitingRequests> waiting;
-    /// This router's work by model, as parts of an engine's time.
+    /// This router's work by model, as a fraction of one engine's time.
     std::map<framework::ModelName, double> work;
-    /// Whether a model that nobody has asked for is really not in demand.
+    /// Whether the absence of requests for a model means that it is not in demand (see `ModelDemand::isKnown`).
     bool isDemandKnown = false;
     framework::SteadyTime now {};
-    /// What a request takes at an engine, lately.
+    /// The recent mean time that a request takes at an engine.
     framework::Milliseconds runTime { 0 };
     policy::PolicySwitches policy {};
-    /// Engines whose agents couldn't be reached lately.
+    /// Engines whose agents could not be reached recently.
     std::set<framework::Endpoint> unreachable {};
 };
 
-/// Engines that may be asked for one model.
+/// How many engines are candidates for loading one model.
 struct CandidateCounts {
-    /// Of those that have its weights cached.
+    /// The maximum number of candidates among the engines that have the model's weights cached.
     std::size_t cached = 0;
-    /// Of its rendezvous order.
+    /// The maximum number of candidates from the front of the model's rendezvous order.
     std::size_t preferred = 0;
 };
 
 struct LoadPlan {
-    /// Published to the agents of the engines that have been heard.
+    /// The demand to publish to the agents of the engines that have reported a state.
     std::map<framework::Endpoint, catalog::WantedList> wanted;
-    /// Engines whose agents this router is to hear.
+    /// The engines to whose agents this router is to subscribe.
     std::set<framework::Endpoint> subscriptions;
 };
 
-/// Decides which engines' agents this router subscribes to, and which of them it asks for what. All routers choose
-/// among the same candidates for a model, so that they mostly name the same engine without talking to each other; when
-/// they differ for a moment, a model is loaded twice, which costs a load and no promise.
+/// Decides which engines' agents this router subscribes to, and which engine is asked to load which model. All routers
+/// choose among the same candidates for a model, so they mostly choose the same engine without communicating with each
+/// other. When they differ for a moment, a model is loaded twice: this costs a load but breaks no promise to a caller.
 ///
-/// A router subscribes to the engines that serve the models that its callers ask for, and to the candidates for the
-/// models that are to be loaded: its cost grows with its own requests, not with the number of engines.
+/// A router subscribes to the engines that serve the models that its callers request, and to the candidates for the
+/// models that are to be loaded. Its cost therefore grows with its own requests, not with the number of engines.
 class DemandPlanner {
 public:
     DemandPlanner();
 
     LoadPlan plan(const PlannerInput&);
 
-    /// When what is waited for will be at an engine, from now: as agents have said, or by its place among the loads
-    /// that wait for the weight store. Nothing if neither is known, or for an adapter: those take milliseconds, and
-    /// what agents say is of models.
+    /// Returns the time until the awaited model is loaded on an engine, as agents report it or by its position among
+    /// the loads that wait for the weight store. Returns std::nullopt if neither is known, and always for an adapter:
+    /// adapters load within milliseconds, and agents report load times of models only.
     std::optional<framework::Milliseconds> timeUntilLoaded(
         const std::vector<EngineFacts>&, const WaitingRequests&, framework::SteadyTime now) const;
-    /// Whether an engine has been found to load the model.
+    /// Whether an engine has been chosen to load the model.
     bool hasLoader(const framework::ModelName& model) const { return choices_.contains(model); }
-    /// Placements that the last plan weighed, for tests of its cost.
+    /// The number of placements that the last plan evaluated; lets tests bound the cost of a plan.
     std::size_t placementsEvaluated() const { return placementsEvaluated_; }
 
 private:
@@ -133,24 +135,24 @@
 
     std::map<framework::Endpoint, catalog::WantedList> lists_;
     std::map<framework::ModelName, Choice> choices_;
-    /// Engines that were asked for further copies in the last plan.
+    /// The engines that the last plan asked for further copies of a model.
     std::map<framework::ModelName, std::set<framework::Endpoint>> copyLoaders_;
     std::unique_ptr<policy::ILoadOrder> loadOrder_;
     policy::StorePlaces storePlaces_;
-    /// Loads from the store that are under way or asked for in this plan.
+    /// Loads from the weight store that are in progress or requested by this plan.
     policy::StoreQueue storeQueue_ { 1, {} };
-    /// Models whose loads wait for the store, and when they will be there.
+    /// Models whose loads wait for a slot of the weight store, and when they are expected to be loaded.
     std::map<framework::ModelName, framework::Deadline> deferredLoads_;
-    /// Of held models, over all routers.
+    /// The work of each loaded model over all routers, as a fraction of one engine's time.
     std::map<framework::ModelName, double> fleetWork_;
-    /// When an agent last said that it can't place a model.
+    /// When an agent last reported that it can't place a model.
     std::map<std::pair<framework::ModelName, framework::Endpoint>, framework::SteadyTime> refusals_;
-    /// Of this plan's input.
+    /// Points into the input of the current plan.
     std::unordered_map<framework::Endpoint, const EngineFacts*> facts_;
-    /// Candidates for models that were to be placed, and when they last were.
+    /// The candidate engines of the models to be placed, and when each was last a candidate.
     std::map<framework::Endpoint, framework::SteadyTime> candidates_;
     std::size_t placementsEvaluated_ = 0;
-    /// Models that too few engines have cached, as of this time.
+    /// Models that too few engines have cached, as of `uncachedAt_`.
     std::vector<framework::ModelName> uncached_;
     std::optional<framework::SteadyTime> uncachedAt_;
 };
--- a/src/forwarding/enginespeed.h
+++ b/src/forwarding/enginespeed.h
@@ -2,8 +2,7 @@
 
 namespace lagoon::forwarding {
 
-/// Prompt tokens that an engine reads in a millisecond. Only its proportion to the other costs matters for what is
-/// decided by it.
+/// Prompt tokens that an engine processes per millisecond. Decisions depend only on its ratio to the other costs.
 inline constexpr double promptTokensPerMillisecond = 38.4;
 
 } // namespace lagoon::forwarding
--- a/src/forwarding/eventsplitter.h
+++ b/src/forwarding/eventsplitter.h
@@ -7,13 +7,13 @@
 
 namespace lagoon::forwarding {
 
-/// Cuts a stream of server-sent events between events and checks that their ids go on one by one.
+/// Splits a stream of server-sent events into whole events and checks that their ids are consecutive.
 ///
-/// Guards against half an event reaching a caller: a server that crashes may stop in the middle of one, and another
-/// server can only go on behind a whole one.
+/// Prevents a caller from receiving a partial event: a server that crashes may stop in the middle of an event, and
+/// another server can resume the stream only after a whole one.
 class EventSplitter {
 public:
-    /// `last` is the id of the event before, if it is known.
+    /// `last` is the id of the preceding event, if it is known.
     explicit EventSplitter(std::optional<std::uint64_t> last)
         : last_(last)
     {
@@ -21,15 +21,15 @@
 
     enum class State : std::uint8_t {
         InOrder,
-        Broken, ///< an id was missing, came twice, or an event is longer than any should be
+        Broken, ///< an id was missing or came twice, or an event exceeds the size limit
     };
 
-    /// Takes bytes and returns the whole events that are there now, as they came.
+    /// Appends bytes of the stream and returns the whole events received so far that it hasn't returned yet, unchanged.
     std::string feed(std::string_view bytes);
     State state() const { return state_; }
     /// The id of the last whole event.
     std::optional<std::uint64_t> last() const { return last_; }
-    /// Whether bytes of an event that hasn't ended are held.
+    /// Whether bytes of an incomplete event are buffered.
     bool hasPartialEvent() const { return !buffer_.empty(); }
 
 private:
--- a/src/forwarding/expectedretries.h
+++ b/src/forwarding/expectedretries.h
@@ -11,27 +11,28 @@
 
 namespace lagoon::forwarding {
 
-/// Callers that were refused as their model's load would end too late for them, and were told when to come back. They
-/// go on counting as waiting for the load. Without I/O or clock.
+/// Callers that were refused with a Retry-After because their model would be loaded too late for them. They still count
+/// as waiting for the load until they retry. Does no I/O and reads no clock.
 ///
-/// Guards against a load that never comes: callers who leave after two seconds are all refused at once while a load is
-/// six away, so nobody waits for the model, and loads for which one patient caller waits go before it again and again.
+/// Prevents a load from being postponed forever: callers that wait at most 2 s are all refused at once while the load
+/// takes 6 s, so no request waits for the model, and loads for which a single patient caller waits take precedence
+/// again and again.
 class ExpectedRetries {
 public:
-    /// `callerDeadline`: when the caller gives up for good.
+    /// `callerDeadline` is the time at which the caller stops retrying.
     void didRefuse(const framework::ServiceName&, const WaitingRequests&, framework::Deadline callerDeadline);
-    /// A caller came; where some are expected back, it is taken for one of them.
+    /// A caller arrived; if retries are expected, it counts as one of them.
     void didArrive(const framework::ServiceName&, const framework::ModelName&);
-    /// The model is there.
+    /// Drops the expected retries for the model because it is loaded.
     void forget(const framework::ServiceName&, const framework::ModelName&);
     void dropExpired(framework::SteadyTime now);
-    /// One entry for each model of the service that some are expected back for.
+    /// Returns one entry for each model of the service for which retries are expected.
     std::vector<WaitingRequests> expected(const framework::ServiceName&) const;
 
 private:
     struct Entry {
         WaitingRequests waiting;
-        /// One for each caller, the first first.
+        /// One deadline for each caller, in ascending order.
         std::vector<framework::Deadline> callerDeadlines;
     };
 
--- a/src/forwarding/forwarder.h
+++ b/src/forwarding/forwarder.h
@@ -18,11 +18,11 @@
 
 namespace lagoon::forwarding {
 
-/// Takes callers' requests straight to the servers of their routes' services, and keeps each until its one final
-/// answer. For deployments whose servers say themselves what they didn't run and drop the work of a connection that
-/// closes; others are reached through their agents (see router/).
+/// Forwards callers' requests directly to the servers of their routes' services, and keeps each request until it has
+/// its one final answer. For deployments whose servers report which requests they did not run, and drop the work of a
+/// connection that closes; other servers are reached through their agents (see router/).
 ///
-/// Belongs to the traffic thread but where said.
+/// Belongs to the traffic thread unless stated otherwise.
 class Forwarder final : public http::IExchangeHandler {
 public:
     struct Context {
@@ -30,7 +30,7 @@
         const framework::IClock& clock;
         const IRequestDialect& dialect;
         std::shared_ptr<framework::Metrics> metrics;
-        /// Subscribes to the engines' agents and publishes to them; called on the traffic thread.
+        /// Subscribes to the engines' agents and publishes demand to them; called on the traffic thread.
         std::function<void(const LoadPlan&)> publish;
     };
 
@@ -41,28 +41,29 @@
 
     void handle(const std::shared_ptr<http::IExchange>&) override;
 
-    /// Begins to tell agents what is wanted.
+    /// Begins to publish demand to the agents.
     void start();
     void setSettings(const ForwarderSettings&);
     void setConfiguration(catalog::ConfigurationPointer);
     void setUpstreams(const std::vector<catalog::Upstream>&);
-    /// The list of upstreams was current as of this time.
+    /// Confirms that the list of upstreams was current as of this time.
     void didConfirmUpstreams(framework::SteadyTime);
     void setEngineState(catalog::EngineState);
-    /// The rest of the engine's state is as it was set last.
+    /// Updates the load figures of an engine; the rest of its state stays as it was last set.
     void setEngineLoad(const catalog::EngineLoad&);
-    /// This router doesn't subscribe to the engine any more.
+    /// Drops the engine's state because this router no longer subscribes to it.
     void forgetEngine(const framework::Endpoint&);
     /// The engine's agent can't be reached.
     void didLoseAgent(const framework::Endpoint&);
-    /// This process ends: from now on each request has its final answer by then, also those that come later, and what
-    /// no server has by `startBy` is refused.
+    /// This process shuts down: each request, also one that arrives later, gets its final answer by `answerBy`, and
+    /// requests that no server has by `startBy` are refused.
     void endService(const framework::ServiceEnd&);
-    /// Gives each request that has no final answer yet the one that it would get at the end.
+    /// Ends each pending request at once with the answer that it would get at the shutdown deadline.
     void answerNow();
-    /// Requests without a final answer.
+    /// The number of requests without a final answer.
     std::size_t requests() const;
-    /// A line for each of them: where it is, and for how long. For the end of the process.
+    /// Logs one line for each pending request, with its state and how long it has waited. Called at the end of the
+    /// process.
     void logUnanswered() const;
 
 private:
--- a/src/forwarding/forwardersettings.h
+++ b/src/forwarding/forwardersettings.h
@@ -6,10 +6,10 @@
 
 namespace lagoon::forwarding {
 
-/// What the operators bound for all routers together.
+/// Limits that the operators set for all routers together, and this router's failure domain.
 struct ForwarderSettings {
     framework::FailureDomainName failureDomain;
-    /// Repeats that a service may get, as a share of its requests and in all beyond that, over all routers.
+    /// Retry budget of a service over all routers: a share of its requests, plus a fixed reserve.
     double retryShare = 0.2;
     double retryReserve = 50;
     policy::PolicySwitches policy;
--- a/src/forwarding/internal/demandplanner.cpp
+++ b/src/forwarding/internal/demandplanner.cpp
@@ -24,37 +24,38 @@
 using framework::Milliseconds;
 using framework::ModelName;
 
-/// What it is worth to keep one rare model where it is, against the time of a load: those who ask for it next wait for
-/// its load instead.
+/// The value of keeping one rare model loaded, in load time: the next callers that request it would have to wait for
+/// its load.
 constexpr Milliseconds timePerEvictionCost { 400 };
-/// A model with so many adapters serves as many groups of callers, and grows busy more often than one with none. It is
-/// kept at hand on a second engine, since a copy from the store takes longer than its callers wait.
+/// A model with at least this many adapters serves as many groups of callers and becomes busy more often than one
+/// without. It is kept cached on a second engine, because loading a copy from the weight store takes longer than its
+/// callers wait.
 constexpr std::uint32_t minAdaptersForStandby = 8;
 constexpr std::size_t standbyEngines = 2;
-/// Among engines that could load as soon as each other, the same one at all routers.
+/// Makes all routers choose the same engine among those that could load the model equally soon.
 constexpr Milliseconds timePerRank { 60 };
-/// An engine that has been asked is left for another only if that one is so much sooner: a load that has been asked for
-/// is often under way already.
+/// An engine that has been asked to load is replaced by another one only if that would be faster by this much: a
+/// requested load is often already in progress.
 constexpr Milliseconds minSwitchGain { 700 };
-/// For an agent to hear and answer before its silence counts as a refusal.
+/// The time for an agent to receive a request and report on it; after that its silence counts as a refusal.
 constexpr Milliseconds agentAnswerTimeout { 400 };
-/// For a new subscription to bring its engine's state.
+/// The time for a new subscription to deliver the engine's state.
 constexpr Milliseconds subscriptionTimeout { 150 };
-/// What is placed changes from plan to plan; a link costs more to open than to keep for a while.
+/// The models to be placed change from plan to plan; opening a connection costs more than keeping one for a while.
 constexpr Milliseconds candidateRetention { 5000 };
-/// Nobody waits for what is fetched ahead, and looking for it costs a look at each model.
+/// No request waits for a prefetch, and searching for uncached models visits every model.
 constexpr Milliseconds uncachedTtl { 500 };
-/// How long an agent that couldn't place a model isn't asked again: what holds its places changes within seconds, and
-/// what it says of a model ends as soon as it isn't asked any more.
+/// How long an agent that couldn't place a model isn't asked again: what occupies its slots changes within seconds, and
+/// it stops reporting on a model as soon as the model is no longer requested.
 constexpr Milliseconds refusalTtl { 1500 };
-/// A service of so few engines is subscribed to as a whole.
+/// A router subscribes to all engines of a service that has at most this many.
 constexpr std::size_t smallFleet = 64;
-/// For a model that requests wait for.
+/// Candidates for a model that requests wait for.
 constexpr CandidateCounts waitedCandidates { 8, 8 };
-/// For a further copy of a busy model, beside one preferred engine for each copy that is missing.
+/// Candidates for a further copy of a busy model; one more preferred engine is added for each missing copy.
 constexpr CandidateCounts copyCandidates { 2, 1 };
 constexpr CandidateCounts prefetchCandidates { 0, 2 };
-/// Every router subscribes to the first engines of one fixed order, so that their agents count all routers.
+/// Every router subscribes to the first engines of one fixed order, so that their agents can count all routers.
 const ModelName countingKey("count of routers");
 constexpr std::size_t countingEngines = 3;
 
@@ -92,7 +93,8 @@
     return { std::move(lists_), subscriptions(input) };
 }
 
-/// How busy models are comes from the agents, which hear it from all routers: one router alone sees too few requests.
+/// The agents report how busy models are because they receive the work from all routers; a single router sees too few
+/// requests.
 void DemandPlanner::collectFleetWork(const PlannerInput& input)
 {
     fleetWork_.clear();
@@ -115,8 +117,8 @@
     return static_cast<std::uint32_t>(input.replicas.loadedAt(model).size());
 }
 
-/// Engines that may be asked to load the model. One that refused lately, or whose agent can't be reached, is replaced
-/// by the next of the order.
+/// Returns the engines that may be asked to load the model. An engine that refused recently, or whose agent can't be
+/// reached, is replaced by the next one of the order.
 std::vector<Endpoint> DemandPlanner::candidatesFor(
     const PlannerInput& input, const ModelName& model, const CandidateCounts& limit)
 {
@@ -197,8 +199,8 @@
     return engine.state->loading != model.name && catalog::loadTime(model, engine.state->atHand) >= model.loadFromStore;
 }
 
-/// Whether the load may be asked for: from the store only while it serves no more than it can at full speed. Beyond
-/// that all loads slow down together, and each of them comes too late.
+/// Whether the load may be requested. Loads from the weight store are limited to the number that it serves at full
+/// speed: beyond that all loads slow down together and each of them finishes too late.
 bool DemandPlanner::takeStoreSlot(const PlannerInput& input, const Endpoint& engine, const ModelProfile& model)
 {
     if (!input.policy.sharesWeightStore || !needsStore(*factsOf(engine), model))
@@ -209,11 +211,11 @@
     return true;
 }
 
-/// Time until the model would be there, and what else its load costs in terms of time; `cannotPlace` if there's no
-/// room.
+/// Returns the time until the model would be loaded, plus the other costs of the load expressed as time; `cannotPlace`
+/// if the engine can't free enough memory.
 ///
-/// Guards against asking the engine at which the model is just making way: it has the weights at hand, so it seems the
-/// soonest, but it loads nothing that it still holds, and callers wait until that has ended.
+/// Excludes an engine that is just unloading the model: it has the weights cached and so appears to be the fastest, but
+/// it can't load a model that is still loaded, and callers would wait until the unloading has ended.
 Milliseconds DemandPlanner::placementCost(
     const PlannerInput& input, const EngineFacts& engine, const ModelProfile& model, bool hasWaitingRequests)
 {
@@ -232,8 +234,8 @@
             static_cast<std::int64_t>(eviction->evictionCost * static_cast<double>(timePerEvictionCost.count())));
 }
 
-/// Guards against asking two agents in turn, each of which says no, while a third has room: an agent's answer is only
-/// there for as long as it is asked.
+/// Prevents a planner from alternating between two agents that both refuse while a third engine has enough memory: an
+/// agent reports its refusal only while it is asked.
 void DemandPlanner::recordRefusals(const PlannerInput& input)
 {
     std::erase_if(refusals_, [&](const auto& entry) { return input.now - entry.second > refusalTtl; });
@@ -250,7 +252,7 @@
     return refusals_.contains({ model, engine });
 }
 
-/// Agents have to know what their engines' models are worth before they unload one.
+/// Agents have to know the demand for their engines' loaded models before they unload one.
 void DemandPlanner::planLoaded(const PlannerInput& input)
 {
     for (const EngineFacts& engine : input.engines) {
@@ -289,8 +291,9 @@
     std::erase_if(choices_, [&](const auto& entry) { return !waitedFor.contains(entry.first); });
 }
 
-/// The store's few places go to those first for whom most callers wait, and who can still be in time: with places given
-/// in any order a model that many wait for stands behind one whose caller has left before it is there.
+/// The few slots of the weight store go to the loads with the most waiting requests that can still be served in time.
+/// In any other order, a model with many waiting requests could queue behind one whose caller disconnects before it is
+/// loaded.
 std::vector<WaitingRequests> DemandPlanner::inLoadOrder(const PlannerInput& input) const
 {
     std::vector<policy::PendingLoad> loads;
@@ -325,7 +328,7 @@
         return nullptr;
     const auto costAt = [&](const EngineFacts& engine) { return placementCost(input, engine, *model, true); };
     const EngineFacts* best = nullptr;
-    Milliseconds least(0);
+    Milliseconds lowest(0);
     bool isStateMissing = false;
     for (const Endpoint& candidate : candidatesFor(input, model->name, waitedCandidates)) {
         const EngineFacts* const engine = factsOf(candidate);
@@ -334,16 +337,16 @@
             continue;
         }
         const Milliseconds cost = costAt(*engine);
-        if (best && cost >= least)
+        if (best && cost >= lowest)
             continue;
         best = engine;
-        least = cost;
+        lowest = cost;
     }
     if (!best) {
         choices_.erase(model->name);
         return nullptr;
     }
-    // Routers that hear different engines would name different ones.
+    // Routers that know the states of different engines would choose different ones.
     if (isStateMissing && input.now - waiting.since < subscriptionTimeout && !choices_.contains(model->name))
         return nullptr;
     Choice& choice = choices_[model->name];
@@ -351,15 +354,16 @@
         const bool isSilent
             = !expectedLoadTime(*before, model->name, input.now) && input.now - choice.since > agentAnswerTimeout;
         const Milliseconds gain = input.policy.keepsToLoader ? minSwitchGain : Milliseconds(0);
-        if (!isSilent && costAt(*before) <= least + gain)
+        if (!isSilent && costAt(*before) <= lowest + gain)
             return &choice.engine;
     }
     choice = { best->engine, input.now };
     return &choice.engine;
 }
 
-/// Busy models need more than one engine. An engine that has been asked is left for another only for the gain at which
-/// a waited load would be: it may have to let requests end first, and begins anew each time that it is asked again.
+/// Busy models need more than one engine. An engine that has been asked to load a copy is replaced only for the same
+/// gain as for a model with waiting requests: it may have to let requests end first, and starts over each time it is
+/// asked again.
 void DemandPlanner::planCopies(const PlannerInput& input)
 {
     auto askedBefore = std::exchange(copyLoaders_, {});
@@ -373,7 +377,7 @@
             continue;
         const std::vector<Endpoint> candidates
             = candidatesFor(input, name, { copyCandidates.cached, copyCandidates.preferred + missing });
-        // All that are missing at once: a load may take many seconds.
+        // All missing copies are requested at once because a load may take many seconds.
         for (const Endpoint& engine : cheapestFor(input, *model, candidates, missing, askedBefore[name])) {
             if (!takeStoreSlot(input, engine, *model))
                 break;
@@ -386,7 +390,7 @@
     }
 }
 
-/// Candidates without the model, those first where it costs least to place it.
+/// Returns the candidates that don't have the model loaded, in ascending order of placement cost.
 std::vector<Endpoint> DemandPlanner::cheapestFor(const PlannerInput& input, const ModelProfile& model,
     const std::vector<Endpoint>& candidates, std::size_t limit, const std::set<Endpoint>& askedBefore)
 {
@@ -409,11 +413,12 @@
     return cheapest;
 }
 
-/// A model that no engine has at hand costs its first caller a load from the store, mostly longer than callers find
-/// acceptable. So each is fetched once while nobody waits for it, a few at a time, and some a second time.
+/// A model that no engine has cached costs its first caller a load from the weight store, which usually takes longer
+/// than callers accept. Each such model is therefore prefetched while no request waits for it, a few at a time, and
+/// some on a second engine.
 ///
-/// Guards against fetching ahead before demand is known: after a loss of power everywhere an engine is busy for the
-/// time of a load with a model that nobody asks for, and has the only copy on disk of the one that all ask for.
+/// Prevents prefetching before demand is known: after a power loss of all machines, an engine would be busy loading a
+/// model that nobody requests while it has the only copy on disk of the model that everybody requests.
 void DemandPlanner::planPrefetch(const PlannerInput& input)
 {
     if (!input.isDemandKnown)
@@ -447,7 +452,7 @@
     return input.replicas.availableAt(model.name).size() >= (hasStandby ? standbyEngines : 1);
 }
 
-/// Models that too few engines have cached, those first that none has.
+/// Returns the models that too few engines have cached, starting with those that no engine has.
 const std::vector<ModelName>& DemandPlanner::uncached(const PlannerInput& input)
 {
     if (uncachedAt_ && input.now - *uncachedAt_ < uncachedTtl)
@@ -496,16 +501,16 @@
 std::optional<Milliseconds> DemandPlanner::timeUntilLoaded(
     const std::vector<EngineFacts>& engines, const WaitingRequests& waiting, framework::SteadyTime now) const
 {
-    std::optional<Milliseconds> least;
+    std::optional<Milliseconds> lowest;
     if (!waiting.target.adapter.value().empty())
-        return least;
+        return lowest;
     for (const EngineFacts& engine : engines) {
         const auto expected = expectedLoadTime(engine, waiting.target.model, now);
-        if (expected && *expected < catalog::cannotPlace && (!least || *expected < *least))
-            least = expected;
+        if (expected && *expected < catalog::cannotPlace && (!lowest || *expected < *lowest))
+            lowest = expected;
     }
     const auto held = deferredLoads_.find(waiting.target.model);
-    return least || held == deferredLoads_.end() ? least : std::optional(held->second.remaining(now));
+    return lowest || held == deferredLoads_.end() ? lowest : std::optional(held->second.remaining(now));
 }
 
 } // namespace lagoon::forwarding
--- a/src/forwarding/internal/demandpublisher.cpp
+++ b/src/forwarding/internal/demandpublisher.cpp
@@ -17,12 +17,13 @@
 using framework::ServiceName;
 using framework::SteadyTime;
 
-/// Until some requests have been served.
+/// Assumed until some requests have been served.
 constexpr Milliseconds assumedRunTime { 500 };
-/// Part of the shared parts of a prompt that an engine reads anew, on average.
+/// The fraction of a prompt's shared parts that an engine processes again, on average.
 constexpr double rereadShare = 0.25;
 
-/// Reading a prompt holds up all others there. Writing an answer takes a slot, which is counted while it is taken.
+/// Returns the time that an engine takes to process the prompt, which blocks all other requests there. Generating the
+/// answer only takes a slot, which is counted while it is in use.
 Milliseconds readingTime(const RequestFacts& facts)
 {
     const std::uint64_t own = facts.prompt.empty() ? facts.promptTokens.value() : facts.prompt.back().tokens;
@@ -58,7 +59,7 @@
     const std::vector<EngineFacts>& engines, const WaitingRequests& waiting, SteadyTime now) const
 {
     const auto planner = planners_.find(service);
-    // Before the first plan it is what the agents say.
+    // Before the first plan only the agents' reports are known.
     return planner == planners_.end() ? DemandPlanner().timeUntilLoaded(engines, waiting, now)
                                       : planner->second.timeUntilLoaded(engines, waiting, now);
 }
@@ -100,7 +101,8 @@
     return planner != planners_.end() && planner->second.hasLoader(model);
 }
 
-/// Guards against a second load, elsewhere, of a model that is there by now for those who come expectedRetry.
+/// Prevents a model that has been loaded meanwhile from being loaded a second time on another engine for callers that
+/// are expected to retry.
 void DemandPublisher::forgetLoaded(const ServiceName& service, SteadyTime now)
 {
     for (const WaitingRequests& expectedRetry : expectedRetries_.expected(service)) {
@@ -138,7 +140,7 @@
     return all;
 }
 
-/// One line for each load that this router begins to ask for.
+/// Logs one line for each load that this router begins to request.
 void DemandPublisher::logNewLoads(
     const ServiceName& service, const std::map<Endpoint, catalog::WantedList>& plan, std::size_t agents)
 {
--- a/src/forwarding/internal/demandpublisher.h
+++ b/src/forwarding/internal/demandpublisher.h
@@ -18,27 +18,27 @@
 
 namespace lagoon::forwarding {
 
-/// Which models this router's callers ask for, and what its engines' agents are asked for because of it. Traffic thread
-/// only.
+/// Tracks which models this router's callers request, plans the resulting loads for each engine service and publishes
+/// them to the engines' agents. Traffic thread only.
 class DemandPublisher {
 public:
-    /// Called at each plan, with the plans of all engine services together.
+    /// Called for each plan, with the plans of all engine services combined.
     using Publish = std::function<void(const LoadPlan&)>;
-    /// A service's requests that wait for a load, one entry each.
+    /// Returns a service's requests that wait for a load, one entry for each.
     using ListWaitingRequests = std::function<std::vector<WaitingRequests>(const framework::ServiceName&)>;
 
     DemandPublisher(const UpstreamTable&, Publish, framework::SteadyTime startedAt);
 
     void didArrive(const framework::ServiceName&, const RequestFacts&, framework::SteadyTime now);
-    /// A request for a model was served within this time from its sending.
+    /// A request for a model was served within this time after it was sent.
     void didRun(framework::Milliseconds took) { runTime_.add(took); }
-    /// The caller was told when to come back: until it leaves for good the load goes on being asked for, or the caller
-    /// would find the same and be refused again.
+    /// The caller was refused with a Retry-After. The load stays requested until the caller's deadline; otherwise the
+    /// caller would find the model not loaded again and be refused again.
     void expectRetry(const framework::ServiceName&, const WaitingRequests&, framework::Deadline callerDeadline);
-    /// As `DemandPlanner::timeUntilLoaded`.
+    /// See `DemandPlanner::timeUntilLoaded`.
     std::optional<framework::Milliseconds> timeUntilLoaded(const framework::ServiceName&,
         const std::vector<EngineFacts>&, const WaitingRequests&, framework::SteadyTime now) const;
-    /// Whether an engine has been found to load the model.
+    /// Whether an engine has been chosen to load the model.
     bool hasLoader(const framework::ServiceName&, const framework::ModelName&) const;
     void plan(const catalog::Configuration&, const ListWaitingRequests&, const policy::PolicySwitches&,
         framework::SteadyTime now);
@@ -60,7 +60,7 @@
     std::map<framework::ServiceName, DemandPlanner> planners_;
     ExpectedRetries expectedRetries_;
     policy::MeanDuration runTime_;
-    /// The loads that are asked for now.
+    /// The loads that are currently requested, by service.
     std::map<framework::ServiceName, RequestedLoads> requestedLoads_;
 };
 
--- a/src/forwarding/internal/enginefacts.cpp
+++ b/src/forwarding/internal/enginefacts.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// What one of the engine's requests takes of its slots or of its memory.
+/// Returns the fraction of the engine's slots or memory that one of its requests occupies, whichever is larger.
 double shareOfRequest(const EngineState& state, std::uint32_t slots)
 {
     const double ofSlots = 1.0 / std::max<std::uint32_t>(1, slots);
--- a/src/forwarding/internal/eventsplitter.cpp
+++ b/src/forwarding/internal/eventsplitter.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-/// An event holds a few tokens of text.
+/// A normal event holds a few tokens of text.
 constexpr std::size_t maxEventBytes = 1024 * 1024;
 
-/// Where the event that begins the text ends, behind its empty line; npos if it isn't whole.
+/// Returns the end of the first event in the text, after its empty line; npos if the event is incomplete.
 std::size_t eventEnd(std::string_view text)
 {
     const std::size_t plain = text.find("\n\n");
--- a/src/forwarding/internal/evictioncost.cpp
+++ b/src/forwarding/internal/evictioncost.cpp
@@ -16,14 +16,15 @@
 using catalog::ModelProfile;
 using framework::ModelName;
 
-/// A rare model that no other engine has at hand is missed more: the engine may not have room for it when it is asked
-/// for.
+/// Evicting the only cached copy of a rare model costs more: the engine may not have enough memory for the model when
+/// it is requested again.
 constexpr double onlyCopyCost = 1;
 constexpr double otherCopyCost = 0.5;
-/// And one that is asked for more often: this for each part of an engine's time.
+/// Models that are requested more often cost more to evict; this is the cost for work that takes all of an engine's
+/// time.
 constexpr double costPerWork = 20;
-/// A busy model may lose one of several copies to a model that callers wait for, where the other way is a load from the
-/// store: its requests go to the other copies until another is made.
+/// A busy model may lose one of several copies to a model that requests wait for if the alternative is a load from the
+/// weight store: its requests go to the other copies until another one is loaded.
 constexpr double busyCopyCost = 5;
 
 std::uint64_t usedWeights(const catalog::EngineProfile& profile, const EngineState& state)
@@ -37,7 +38,7 @@
 
 } // namespace
 
-/// What is lost if the held model makes way; nothing if it must not.
+/// Returns what is lost if the loaded model is evicted; std::nullopt if it must not be evicted.
 std::optional<double> EvictionCost::costOf(
     const EngineFacts& engine, const ModelName& held, bool hasWaitingRequests) const
 {
@@ -53,7 +54,8 @@
     return (isElsewhere ? otherCopyCost : onlyCopyCost) + costPerWork * work;
 }
 
-/// Of making room for a model of this size; nothing if there can't be any. What isn't in use goes first.
+/// Returns the cost of freeing enough memory for the model; std::nullopt if that is impossible. Evicts idle models
+/// first.
 std::optional<EvictionEstimate> EvictionCost::estimate(
     const EngineFacts& engine, const ModelProfile& model, bool hasWaitingRequests) const
 {
--- a/src/forwarding/internal/evictioncost.h
+++ b/src/forwarding/internal/evictioncost.h
@@ -8,26 +8,27 @@
 
 namespace lagoon::forwarding {
 
-/// What it costs to make room for a model.
+/// The result of evicting models to free memory for another one.
 struct EvictionEstimate {
     double evictionCost = 0;
-    /// Whether requests have to end first.
+    /// Whether requests have to end before the models can be evicted.
     bool isInUse = false;
 };
 
-/// What callers lose if an engine drops models to make room for another one: 0 for nothing, 1 for the only copy of a
+/// Estimates what callers lose if an engine evicts models to load another one: 0 for nothing, 1 for the only copy of a
 /// rare model.
 class EvictionCost {
 public:
-    /// `work` is of each held model, over all routers. Both must outlive this.
+    /// `work` is the work of each loaded model over all routers. Both arguments must outlive this object.
     EvictionCost(const PlannerInput& input, const std::map<framework::ModelName, double>& work)
         : input_(input)
         , work_(work)
     {
     }
 
-    /// Of making room for the model; nothing if there can't be any. `hasWaitingRequests`: callers wait for it, which is
-    /// worth more than a further copy of a busy one.
+    /// Estimates the cost of freeing enough memory for the model; std::nullopt if that is impossible.
+    /// `hasWaitingRequests` states that requests wait for the model, which justifies more evictions than a further copy
+    /// of a busy model.
     std::optional<EvictionEstimate> estimate(
         const EngineFacts&, const catalog::ModelProfile&, bool hasWaitingRequests) const;
 
--- a/src/forwarding/internal/forwarder.cpp
+++ b/src/forwarding/internal/forwarder.cpp
@@ -24,20 +24,20 @@
 using framework::Milliseconds;
 using framework::ServiceName;
 
-/// Agents hear of changed demand this soon; what changes meanwhile goes with it.
+/// Changed demand is published to the agents within this time; later changes in that time are included.
 constexpr Milliseconds urgentPlanDelay { 15 };
-/// Of what no request waits for.
+/// The same for changes that no request waits for.
 constexpr Milliseconds backgroundPlanDelay { 100 };
-/// And without a change, since averages move.
+/// The interval of plans without a change, because the averages of demand change over time.
 constexpr Milliseconds planInterval { 500 };
-/// To come back while this process knows no configuration yet: it reads one within about a second of its start.
+/// Retry-After while this process has no configuration yet: it reads one within about a second of its start.
 constexpr Milliseconds retryAfterUnconfigured { 500 };
-/// A model's request isn't answered faster than this once the model is there.
+/// The shortest time in which a request for a model is answered once the model is loaded.
 constexpr Milliseconds minAnswerTime { 60 };
-/// How long a request waits for an agent to be linked before it is refused: links take a few network delays.
+/// How long a request waits for a connection to an agent before it is refused: connecting takes a few network delays.
 constexpr Milliseconds agentConnectTimeout { 600 };
-/// Part of the operators' reserve of repeats that all routers together plan with: one that has just started has a full
-/// share again, and may not know yet how many others there are.
+/// The fraction of the operators' retry reserve that all routers together plan with. A router that has just started has
+/// a full share again and may not know yet how many routers there are.
 constexpr double plannedReserveShare = 0.6;
 const catalog::RouteTarget& drawTarget(const catalog::Route& route)
 {
@@ -132,7 +132,7 @@
         for (const auto& job : jobs_)
             job->endService(end);
         retryWaiting();
-        // What still waits then is too late to start.
+        // Requests that still wait at that time are too late to start.
         startByTimer_ = context_.traffic.runAt(end.startBy, [weak = weak_from_this()] {
             if (const auto self = weak.lock())
                 self->retryWaiting();
@@ -173,7 +173,7 @@
     bool isOverloaded(const JobSpec& spec, Milliseconds expected) const override
     {
         const Milliseconds target = spec.route->targetLatency;
-        // Without a target there is nothing by which a queue could be too long.
+        // Without a target latency no queue counts as too long.
         if (target.count() <= 0 || expected <= target || !settings_.policy.refusesOverload)
             return false;
         const auto queue = queues_.find({ spec.facts.model, spec.route->priority });
@@ -192,7 +192,7 @@
         schedulePlan(backgroundPlanDelay);
         if (std::exchange(isRetryPosted_, true))
             return;
-        // Not from here: the request that ended is still on the stack.
+        // Posted because the request that ended is still on the stack.
         context_.traffic.post([weak = weak_from_this()] {
             if (const auto self = weak.lock())
                 self->retryWaiting();
@@ -219,10 +219,10 @@
         spec.configuration = routes_->configuration();
         spec.route = &route;
         spec.service = drawTarget(route).service;
-        const Milliseconds patience = std::min(route.timeout, facts.timeLeft.value_or(route.timeout));
-        spec.deadline = Deadline::after(exchange->receivedAt(), patience);
-        const Milliseconds untilFirst = route.patience.count() > 0 ? route.patience : patience;
-        spec.firstEventBy = Deadline::after(exchange->receivedAt(), std::min(patience, untilFirst));
+        const Milliseconds callerTimeout = std::min(route.timeout, facts.timeLeft.value_or(route.timeout));
+        spec.deadline = Deadline::after(exchange->receivedAt(), callerTimeout);
+        const Milliseconds untilFirst = route.patience.count() > 0 ? route.patience : callerTimeout;
+        spec.firstEventBy = Deadline::after(exchange->receivedAt(), std::min(callerTimeout, untilFirst));
         loads_.didArrive(spec.service, facts, now());
         spec.facts = std::move(facts);
         budget(spec.service).earn();
@@ -237,9 +237,10 @@
             schedulePlan(Milliseconds(0));
     }
 
-    /// Each router spends by its own requests and its part of the reserve, so that all together keep to the operators'
-    /// bound without talking. Guards against routers that have all just started: how many there are is known only once
-    /// an agent has been heard, and until then each takes a small part.
+    /// Each router spends retries in proportion to its own requests plus its share of the reserve, so that all routers
+    /// together keep to the operators' limit without communicating. The number of routers is known only after an agent
+    /// has reported; until then each router takes a small share, so that routers that have all just started don't
+    /// exceed the limit.
     policy::RetryBudget& budget(const ServiceName& service)
     {
         const double reserve = std::max(1.0, plannedReserveShare * settings_.retryReserve / upstreams_.routers());
@@ -256,7 +257,7 @@
     }
 
     using Jobs = std::set<std::shared_ptr<RequestJob>>;
-    /// Engines that agents speak for, by service; gathered once for all requests that are looked at together.
+    /// Engines with an agent, by service; collected once for all requests that are checked together.
     using EnginesByService = std::map<ServiceName, std::vector<EngineFacts>>;
 
     static std::vector<framework::ModelName> modelsOf(const catalog::EngineState& state)
@@ -275,8 +276,8 @@
         retry(jobs_);
     }
 
-    /// Those that an engine's state may concern, so that its cost doesn't grow with the number of requests. Returns
-    /// whether there were any.
+    /// Retries only the requests that the engine's state may affect, so that the cost doesn't grow with the total
+    /// number of requests. Returns whether there were any.
     bool retryWaitingFor(const std::vector<framework::ModelName>& models)
     {
         Jobs concerned;
@@ -309,8 +310,8 @@
         return !waiting.empty();
     }
 
-    /// A request that waits for a model is refused once even the soonest end of its load is too late, or when there is
-    /// nobody who could load it.
+    /// Refuses a request that waits for a model if the model will be loaded too late even in the best case, or if no
+    /// engine can load it.
     void refuseIfHopeless(RequestJob& job, EnginesByService& engines)
     {
         const auto waitingFor = job.waitingFor();
@@ -382,7 +383,7 @@
 
     Context context_;
     ForwarderSettings settings_;
-    /// Set once this process is to end.
+    /// Set when this process begins to shut down.
     std::optional<framework::ServiceEnd> end_;
     std::unique_ptr<framework::Timer> startByTimer_;
     UpstreamTable upstreams_;
@@ -391,7 +392,7 @@
     std::unordered_map<framework::ModelName, Jobs> jobsByModel_;
     std::map<ServiceName, policy::RetryBudget> budgets_;
     DemandPublisher loads_;
-    /// At the engines that hold a model, by the priority of those that queue.
+    /// Queues at the engines that have a model loaded, by model and the priority of the queued requests.
     std::map<std::pair<framework::ModelName, std::uint32_t>, policy::StandingQueue> queues_;
     std::unique_ptr<framework::Timer> planTimer_;
     Deadline planAt_;
--- a/src/forwarding/internal/ijobhost.h
+++ b/src/forwarding/internal/ijobhost.h
@@ -17,7 +17,7 @@
 class RequestJob;
 struct JobSpec;
 
-/// What a request needs of the forwarder that keeps it. Traffic thread only.
+/// The services of the forwarder that a request uses. Traffic thread only.
 class IJobHost {
 public:
     virtual ~IJobHost() = default;
@@ -28,15 +28,15 @@
     virtual framework::Metrics& metrics() = 0;
     virtual framework::SteadyTime now() const = 0;
 
-    /// Spends one of the service's repeats; false: none is left.
+    /// Spends one retry of the service's budget; returns false if none is left.
     [[nodiscard]] virtual bool spendRetry(const framework::ServiceName&) = 0;
-    /// A request found this shortest time to its first event, among the engines that hold its model.
+    /// A request estimated the shortest time to its first event among the engines that have its model loaded.
     virtual void didEstimateFirstEvent(const JobSpec&, framework::Milliseconds expected) = 0;
-    /// Whether a request that finds it is to be refused rather than queued.
+    /// Whether a request with this estimate is to be refused rather than queued.
     virtual bool isOverloaded(const JobSpec&, framework::Milliseconds expected) const = 0;
-    /// A model's request was served within this time from its last sending.
+    /// A request for a model was served within this time after it was last sent.
     virtual void didRun(framework::Milliseconds took) = 0;
-    /// What runs or waits for models has changed.
+    /// The requests in flight or waiting for models have changed.
     virtual void demandChanged() = 0;
     /// The request has its final answer.
     virtual void didEnd(const std::shared_ptr<RequestJob>&) = 0;
--- a/src/forwarding/internal/inflightguard.h
+++ b/src/forwarding/internal/inflightguard.h
@@ -7,7 +7,7 @@
 
 namespace lagoon::forwarding {
 
-/// One request's part in the counts of a server, for as long as it is under way there.
+/// Counts one request in the load figures of a server while it is in flight there.
 class InFlightGuard {
 public:
     InFlightGuard(UpstreamPointer, catalog::ModelTarget, std::uint32_t priority, std::uint64_t newTokens);
@@ -15,7 +15,7 @@
     InFlightGuard(const InFlightGuard&) = delete;
     InFlightGuard& operator=(const InFlightGuard&) = delete;
 
-    /// The answer has begun: the prompt has been read.
+    /// The answer has begun, so the engine has processed the prompt.
     void didStart();
     UpstreamRecord& upstream() { return *upstream_; }
     const UpstreamPointer& pointer() const { return upstream_; }
--- a/src/forwarding/internal/liveness.cpp
+++ b/src/forwarding/internal/liveness.cpp
@@ -9,18 +9,18 @@
 using framework::Deadline;
 using framework::Milliseconds;
 
-/// Several times the longest pause between the events of a sound engine's streams.
+/// Several times the longest pause between the stream events of a healthy engine.
 constexpr Milliseconds silenceTimeout { 400 };
-/// However long the engine's queue is thought to be.
+/// Upper bound for the expected queueing time, however long the engine's queue is estimated to be.
 constexpr Milliseconds maxQueueTime { 1100 };
-/// Seldom, since each probe may be one more request that is read when its caller has left.
+/// Probes are rare because each may be one more request that is processed after its caller has disconnected.
 constexpr Milliseconds probeInterval { 5000 };
 
-/// An engine's pauses are as long as the pieces in which it reads prompts: up to a few of the longest that it made
-/// lately mean nothing.
+/// A healthy engine pauses for as long as it takes to process one chunk of a prompt. Pauses of up to a few times the
+/// longest recent one are therefore normal.
 constexpr double pauseFactor = 2.5;
 constexpr Milliseconds minPause { 100 };
-/// A pause is forgotten within about two hundred signs, which a busy engine gives in a second.
+/// A pause is forgotten within about two hundred activities, which a busy engine produces in a second.
 constexpr double maxPauseDecay = 0.99;
 
 } // namespace
--- a/src/forwarding/internal/modeldemand.cpp
+++ b/src/forwarding/internal/modeldemand.cpp
@@ -8,17 +8,17 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/// Demand moves from model to model within some five seconds, and a further copy takes as long to load: an average that
-/// follows no faster asks for it when the requests are late already. A shorter one would see chance.
+/// Demand moves between models within some 5 s, and loading a further copy takes as long: a slower average would
+/// request the copy when requests are already late. A faster one would follow random fluctuations.
 constexpr double decaySeconds = 3;
 
-/// What is left of a model's average by then is an eighth.
+/// By then a model's average has decayed to an eighth.
 constexpr framework::Milliseconds averageTtl { 6000 };
-/// An average of less time than this says more of chance than of demand.
+/// An average over a shorter time reflects chance rather than demand.
 constexpr double minWindowSeconds = 1;
-/// Callers who go on asking while a process starts are heard within this.
+/// Callers that are already sending requests when a process starts are observed within this time.
 constexpr framework::Milliseconds startupWindow { 1500 };
-/// Until then the average holds four fifths of what it will.
+/// By then the average has reached four fifths of its final value.
 constexpr framework::Milliseconds warmUp { 5000 };
 
 double decayed(double value, framework::SteadyTime since, framework::SteadyTime now)
@@ -42,8 +42,9 @@
     const auto found = averages_.find(model);
     if (found == averages_.end())
         return 0;
-    // The average has been filling since the first arrival only. Taken as it is, a router that has just started knows
-    // a third of the demand after a second, and the copies that a busy model needs are loaded seconds too late.
+    // The average has been accumulating only since the first arrival. Without this correction, a router that has just
+    // started would know a third of the demand after a second, and the copies that a busy model needs would be loaded
+    // seconds too late.
     const double observed = std::max(minWindowSeconds, Seconds(now - *firstArrival_).count());
     return decayed(found->second.perSecond, found->second.at, now) / (1 - std::exp(-observed / decaySeconds));
 }
--- a/src/forwarding/internal/outlierdetector.cpp
+++ b/src/forwarding/internal/outlierdetector.cpp
@@ -8,8 +8,8 @@
 
 using framework::Milliseconds;
 
-/// A server that fails once may have had bad luck, and is only passed by for as long as the others take over what it
-/// had; one that goes on failing costs a request each time it is tried.
+/// A single failure may be accidental, so the server is excluded only until the others have taken over its requests. A
+/// server that keeps failing costs a request each time it is tried, so the time doubles up to the maximum.
 constexpr Milliseconds minEjectionTime { 300 };
 constexpr Milliseconds maxEjectionTime { 5000 };
 
--- a/src/forwarding/internal/replicaindex.cpp
+++ b/src/forwarding/internal/replicaindex.cpp
@@ -14,7 +14,7 @@
 
 const ReplicaIndex::Engines none;
 
-/// Orders are kept for the models that a router has to place, not for all.
+/// Orders are cached only for the models that a router has to place, not for all models.
 constexpr std::size_t maxCachedOrders = 256;
 
 void insertSorted(ReplicaIndex::Engines& engines, const Endpoint& engine)
--- a/src/forwarding/internal/requestjob.cpp
+++ b/src/forwarding/internal/requestjob.cpp
@@ -17,18 +17,20 @@
 using framework::LogLine;
 using framework::Milliseconds;
 
-/// Servers that can't be reached before a request is given up: by then it isn't the server.
+/// A request is refused after this many failed connections: by then the server is probably not the cause.
 constexpr std::uint32_t maxConnectFailures = 3;
-/// Less time than this isn't worth sending a request once more for.
+/// A request is not retried with less time left than this.
 constexpr Milliseconds minTimeToRetry { 60 };
-/// Bytes that a caller may leave unread before its server is read no further.
+/// If a caller has more unread bytes than this, reading from its server is paused.
 constexpr std::size_t maxUnreadBytes = 256 * 1024;
-/// When to come back after a server had no place, or a connection failed: mostly things are better by then. Drawn from
-/// this to twice of it, so that callers who were refused together don't return together.
+/// Retry-After for a request that failed because a server had no free slot or a connection failed; most such conditions
+/// have passed by then. The value is drawn between this and twice this, so that callers that were refused together
+/// don't retry together.
 constexpr Milliseconds minRetryAfter { 250 };
-/// When to come back if no server is known: that takes the platform a second or two.
+/// Retry-After if no server is known: the platform takes a second or two to provide one.
 constexpr Milliseconds retryAfterWithoutServer { 1000 };
-/// Requests of urgency 0 to 3 as the engines count: 0 first, and 5 for whoever says nothing.
+/// Engine priority of the most urgent routes: engines count from 0, treat 0 to 3 as urgent, and assume 5 for requests
+/// without a priority.
 constexpr std::uint32_t highestEnginePriority = 3;
 constexpr std::uint32_t lowestEnginePriority = 9;
 
@@ -37,7 +39,7 @@
     return base + Milliseconds(static_cast<std::int64_t>(framework::randomFraction() * base.count()));
 }
 
-/// Whether another server may do better: not if the time is up, or if the request itself is at fault.
+/// Whether another server may succeed: not if the time is up, or if the request itself is at fault.
 bool isWorthRetrying(unsigned serverStatus) { return serverStatus >= 500 && serverStatus != 504; }
 
 std::string_view rejectionText(AnswerClass answerClass)
@@ -78,9 +80,9 @@
     });
 }
 
-/// Guards against a request that its router holds when it ends: its caller would see a closed connection, and couldn't
-/// know that it hasn't run and may ask another router. As a deadline the end counts wherever deadlines do: in
-/// forecasts, so that a wait that can't end well ends at once, and in the time that a server is given.
+/// Applies the shutdown as a deadline wherever deadlines count: in forecasts, so that a wait that can't succeed ends at
+/// once, and in the time that a server is given. Prevents a request from being pending when the router ends: its caller
+/// would see a closed connection, and couldn't know that the request hasn't run and can be sent to another router.
 void RequestJob::endService(const framework::ServiceEnd& end)
 {
     if (isEnded_ || spec_.deadline <= end.answerBy)
@@ -93,8 +95,8 @@
         armDeadline();
 }
 
-/// Guards against a stream that is begun so late that the end of this process cuts it, where another router would bring
-/// it whole. One that has begun goes on as long as it may.
+/// Prevents a stream from starting so late that the end of this process cuts it off, when another router could deliver
+/// all of it. A stream that has begun continues as long as possible.
 bool RequestJob::isTooLateToStart() const { return startBy_ && startBy_->hasPassed(host_.now()) && !hasStreamBegun_; }
 
 void RequestJob::answerNow()
@@ -131,7 +133,8 @@
     const auto keepAlive = shared_from_this();
     if (isTooLateToStart())
         return refuse(503, "no server in time, this router ends", jittered(minRetryAfter));
-    // Whose time is up before it could be sent surely hasn't run, and with no time left no server could answer it.
+    // A request whose deadline passed before it could be sent certainly hasn't run, and with no time left no server
+    // could answer it.
     if (spec_.deadline.hasPassed(host_.now()))
         return didPassDeadline();
     const UpstreamSearch search = findUpstream(host_, spec_, prompt_, tried_);
@@ -175,7 +178,7 @@
         = std::make_shared<UpstreamAttempt>(weak_from_this(), host_.dialect(), std::move(guard), chosen.connection);
     if (isForModel())
         upstream.liveness.didSend(host_.now(), chosen.expected);
-    // What the engine has read of a prompt is kept for the next one that begins alike.
+    // The engine caches what it has processed of a prompt for the next one with the same beginning.
     upstream.prompts.didSend(prompt_);
     attempt_->send(forwardedRequest(upstream));
     host_.demandChanged();
@@ -194,7 +197,7 @@
                     .number("waited_ms", waited(host_.now()).count()));
 }
 
-/// Of engines only, as for what is sent.
+/// Only the liveness of engines is tracked, as in `send`.
 void RequestJob::didSeeActivity(UpstreamRecord& upstream)
 {
     if (isForModel())
@@ -246,7 +249,7 @@
 
 void RequestJob::didBeginStream(const http::ResponseHead& head)
 {
-    // A stream that goes on at another server keeps the head of its first.
+    // A stream that resumes at another server keeps the head of its first server.
     if (std::exchange(hasStreamBegun_, true))
         return;
     exchange_->beginAnswer(head);
@@ -334,7 +337,8 @@
             return advance();
         return refuse(503, cause, jittered(minRetryAfter));
     }
-    // A stream that began may only go on where it ended; the part of an event that was held is made anew.
+    // A stream that has begun can only resume after its last whole event; the other server sends the buffered partial
+    // event again.
     events_ = EventSplitter(events_.last());
     mayHaveRun_ = true;
     retryOrRefuse(cause, 502);
@@ -362,13 +366,13 @@
     refuse(refusalStatus, cause, jittered(minRetryAfter));
 }
 
-/// Ends it with this system's own answer. Guards against a promise that isn't true: a status that says "not run" is
-/// given only if no server may have run it.
+/// Ends the request with this system's own answer. Prevents a false statement to the caller: a status that means "not
+/// run" is sent only if no server may have run the request.
 void RequestJob::refuse(unsigned status, const std::string& cause, std::optional<Milliseconds> retryAfter)
 {
     if (firstByteAt_)
         return breakOff(cause);
-    // A server's own failure says more than that no other server did better.
+    // A server's own failure tells the caller more than that no other server succeeded.
     if (failure_)
         return relayAnswer(failure_->head, std::move(failure_->body), "failed_by_server");
     const unsigned reportedStatus = mayHaveRun_ && status == 503 ? 502 : status;
@@ -378,7 +382,7 @@
 
 void RequestJob::refuseAsHopeless(Milliseconds timeUntilLoaded)
 {
-    // At another router it can wait for the same load, so it is to come back there at once.
+    // The request can wait for the same load at another router, so the caller should retry there at once.
     refuse(503, "model not there before the deadline, soonest in " + std::to_string(timeUntilLoaded.count()) + " ms",
         jittered(isCutByShutdown_ ? minRetryAfter : std::max(minRetryAfter, timeUntilLoaded)));
 }
--- a/src/forwarding/internal/requestjob.h
+++ b/src/forwarding/internal/requestjob.h
@@ -16,23 +16,24 @@
 
 class UpstreamAttempt;
 
-/// A request's facts and the operator's decisions on it; fixed when it comes.
+/// A request's properties and the limits that apply to it; fixed when it arrives.
 struct JobSpec {
     /// Keeps `route` alive.
     catalog::ConfigurationPointer configuration;
     const catalog::Route* route = nullptr;
     framework::ServiceName service;
     RequestFacts facts;
-    /// Of the final answer: the caller's, the route's or the end of this process, whichever comes first.
+    /// The deadline of the final answer: that of the caller, the route or the shutdown of this process, whichever is
+    /// first.
     framework::Deadline deadline;
-    /// When the caller leaves if nothing has come; no later than `deadline`.
+    /// When the caller disconnects if it hasn't received anything; no later than `deadline`.
     framework::Deadline firstEventBy;
 };
 
 /// One request from its receipt to its one final answer.
 ///
-/// It waits until a server can take it, is sent, and its answer is passed on. What surely hasn't run, or may run twice,
-/// is sent once more if the operator's limits allow it.
+/// The request waits until a server can take it, is sent, and its answer is relayed. If the request certainly hasn't
+/// run, or may run twice, it is retried within the operators' limits.
 class RequestJob final : public std::enable_shared_from_this<RequestJob> {
 public:
     RequestJob(IJobHost&, std::shared_ptr<http::IExchange>, JobSpec);
@@ -41,19 +42,20 @@
     RequestJob& operator=(const RequestJob&) = delete;
 
     void start();
-    /// The router that keeps it ends: it has its final answer in time for that.
+    /// The process shuts down: the request gets its final answer before the shutdown deadline.
     void endService(const framework::ServiceEnd&);
-    /// It has its final answer, or is broken off, when this returns.
+    /// When this returns, the request has its final answer or its stream is broken off.
     void answerNow();
-    /// Sends it if a server can take it. Called again whenever that may have changed.
+    /// Sends the request if a server can take it. Called again whenever that may have changed.
     void advance();
-    /// Goes on at another server, if it may, when its own has fallen silent: its caller leaves within seconds, and a VM
-    /// may stand still for longer.
+    /// Retries the request at another server, if that is allowed, when its server has fallen silent: the caller
+    /// disconnects within seconds, but a VM may stall for longer.
     void failOverIfSilent();
     bool isWaiting() const { return !isEnded_ && !attempt_; }
-    /// The model or adapter for which it waits; nothing if it waits for something else.
+    /// The model or adapter that the request waits for; std::nullopt if it waits for something else.
     std::optional<WaitingRequests> waitingFor() const;
-    /// Ends it as not run: it can't be served before its deadline. `timeUntilLoaded` is when it could have been.
+    /// Refuses the request as not run because it can't be served before its deadline. `timeUntilLoaded` is when it
+    /// could have been served.
     void refuseAsHopeless(framework::Milliseconds timeUntilLoaded);
 
     const JobSpec& spec() const { return spec_; }
@@ -64,11 +66,12 @@
     bool mayHaveRun() const { return mayHaveRun_; }
     void logUnanswered() const;
 
-    // From the attempt under way.
-    /// Guards against a request that reaches a server after its caller has left: a busy event loop may be a second
-    /// behind with what callers do.
+    // The attempt in flight calls the following functions.
+
+    /// Prevents a request from reaching a server after its caller has disconnected: a busy event loop may process
+    /// disconnects a second late.
     bool endIfCallerDisconnected();
-    /// Guards against a request that reaches a server after it has left: a connection may take a second to stand.
+    /// Prevents a request from reaching a server that has been removed: opening a connection may take a second.
     void failOverIfServerRemoved();
     void didSeeActivity(UpstreamRecord&);
     void didBeginStream(const http::ResponseHead&);
@@ -77,7 +80,8 @@
     void didAnswer(const http::ResponseHead&, std::string body);
     void didFailAtServer(const http::ResponseHead&, std::string body);
     void didReject(AnswerClass, unsigned status);
-    /// Without a whole answer. `mayHaveRun` false: it surely hasn't arrived.
+    /// The attempt ended without a complete answer. `mayHaveRun` is false if the request certainly hasn't reached the
+    /// server.
     void didBreak(const std::string& cause, bool mayHaveRun);
 
 private:
@@ -100,7 +104,7 @@
     void didLoseCaller();
     void end(const char* outcome, unsigned status, const std::string& cause);
 
-    /// A server's own answer that it failed the request, which is passed on if no other server does better.
+    /// A server's own answer that the request failed, which is relayed if no other server succeeds.
     struct ServerFailure {
         http::ResponseHead head;
         std::string body;
@@ -121,11 +125,11 @@
     bool hasStreamBegun_ = false;
     bool isEnded_ = false;
     bool waitsForLoad_ = false;
-    /// The process ends before the request's own deadline.
+    /// Whether the process ends before the request's own deadline.
     bool isCutByShutdown_ = false;
-    /// Set then: what no server has by this time is refused.
+    /// Set during shutdown: the request is refused if no server has it by this time.
     std::optional<framework::Deadline> startBy_;
-    /// Where an adapter is to be loaded for it.
+    /// The engine that is to load an adapter for this request.
     framework::Endpoint adapterAt_;
     std::string lastCause_;
     EventSplitter events_;
--- a/src/forwarding/internal/requestlog.h
+++ b/src/forwarding/internal/requestlog.h
@@ -8,20 +8,20 @@
 
 namespace lagoon::forwarding {
 
-/// How a request ended.
+/// The outcome of a request.
 struct RequestEnd {
     const char* outcome = "";
     unsigned status = 0;
     std::string cause;
     std::uint32_t sends = 0;
-    /// The last that it was sent to; empty if it was to none.
+    /// The last server that the request was sent to; empty if there was none.
     std::string server;
-    /// Since its receipt.
+    /// Time since the request was received.
     framework::Milliseconds total { 0 };
     std::optional<framework::Milliseconds> untilFirstByte;
 };
 
-/// The log's lines of one request; docs/OPERATIONS.md says how to read them.
+/// The log lines of one request; docs/OPERATIONS.md describes their fields.
 framework::LogLine sentLine(const JobSpec&, const ChosenUpstream&, std::uint32_t sends, framework::SteadyTime now);
 framework::LogLine endedLine(const JobSpec&, const RequestEnd&);
 
--- a/src/forwarding/internal/serverchoice.cpp
+++ b/src/forwarding/internal/serverchoice.cpp
@@ -11,16 +11,18 @@
 
 using framework::Milliseconds;
 
-/// Mean prompt of a request that another router has queued there: its size isn't told.
+/// Assumed prompt tokens of a request that another router has queued at the engine: agents don't report its size.
 constexpr double assumedQueuedTokens = 3000;
-/// What each running request adds to the time of everyone's next token, over the reading of one prompt.
+/// The time that each running request adds to every other request's next token, compared to the processing of one
+/// prompt.
 constexpr double millisecondsPerRunning = 1.5;
-/// For want of room the engine preempts: the newest of the least urgent is read anew later.
+/// An engine that runs out of memory preempts: it later processes the newest of the least urgent requests again.
 constexpr double millisecondsWithoutRoom = 3000;
 constexpr double millisecondsWithoutSlot = 1500;
-/// There and back between failure domains, and the bytes' price.
+/// A round trip between failure domains, and the price of the traffic.
 constexpr double millisecondsToOtherDomain = 6;
-/// Reading shared parts anew at another engine costs everyone there time, beyond what it costs this request.
+/// Processing shared parts again on another engine costs all requests there time, in addition to what it costs this
+/// request.
 constexpr double millisecondsPerAffinityRank = 12;
 
 double expectedMilliseconds(const EngineView& engine)
@@ -45,7 +47,7 @@
 {
     if (servers.empty())
         return std::nullopt;
-    // Different routers begin at different servers, lest equals all be sent to the first of the list.
+    // Different routers start at different servers, so that equal servers don't all lose to the first one in the list.
     const std::size_t offset
         = std::min(servers.size() - 1, static_cast<std::size_t>(random * static_cast<double>(servers.size())));
     const auto cost = [&](std::size_t index) {
--- a/src/forwarding/internal/upstreamattempt.cpp
+++ b/src/forwarding/internal/upstreamattempt.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Answers that aren't streams are kept until they are whole, so that half of one is never passed on.
+/// Answers that aren't streams are buffered until they are complete, so that a partial answer is never relayed.
 constexpr std::size_t maxAnswerBytes = 64 * 1024 * 1024;
 
 bool isSuccess(unsigned status) { return status >= 200 && status < 300; }
--- a/src/forwarding/internal/upstreamattempt.h
+++ b/src/forwarding/internal/upstreamattempt.h
@@ -11,14 +11,14 @@
 
 class RequestJob;
 
-/// One sending of a request to a server: reads the answer, and tells the request what it means.
+/// Sends a request to a server once, reads the answer and reports its class to the request.
 class UpstreamAttempt final : public http::IAnswerSink, public std::enable_shared_from_this<UpstreamAttempt> {
 public:
     UpstreamAttempt(std::weak_ptr<RequestJob>, const IRequestDialect&, std::unique_ptr<InFlightGuard>,
         std::shared_ptr<http::ClientConnection>);
 
     void send(const http::Request&);
-    /// Closes the connection, at which the server drops the work; the request hears nothing more.
+    /// Closes the connection, upon which the server drops the work; the request receives no further events.
     void abandon();
     void pause() { connection_->pause(); }
     void resume() { connection_->resume(); }
--- a/src/forwarding/internal/upstreamchoice.cpp
+++ b/src/forwarding/internal/upstreamchoice.cpp
@@ -14,7 +14,8 @@
 using catalog::ModelTarget;
 using framework::Milliseconds;
 
-/// Parts of a prompt by which engines are preferred: the ones behind are a session's or the request's own.
+/// The number of leading prompt parts that determine the preferred engines; later parts are specific to a session or
+/// request.
 constexpr std::size_t affinityParts = 2;
 
 std::vector<UpstreamPointer> allowed(
@@ -36,8 +37,8 @@
     return mayRunTwice ? http::ConnectionPool::Reuse::Usual : http::ConnectionPool::Reuse::Careful;
 }
 
-/// The engines by the order in which all routers prefer them for prompts that begin like this one: so requests with
-/// shared parts meet where those have been read, without routers telling each other.
+/// Returns the engines in the order in which all routers prefer them for prompts with the same beginning. Requests with
+/// shared parts thus reach engines that have already processed them, without communication between routers.
 std::vector<framework::VmName> affinityOrder(const std::vector<UpstreamPointer>& engines, const PromptChain& prompt)
 {
     std::vector<framework::VmName> names;
@@ -161,8 +162,8 @@
         return chooseAmongLoaded(std::move(loaded));
     }
 
-    /// Only an engine that an agent speaks for can be asked to load, and one that is loading a model takes no adapter
-    /// until that has ended, which may be seconds.
+    /// Only an engine with an agent can be asked to load, and one that is loading a model loads no adapter until that
+    /// has ended, which may take seconds.
     UpstreamSearch adapterNotLoaded(const std::vector<UpstreamPointer>& engines) const
     {
         UpstreamSearch search = failed(NoUpstream::AdapterNotLoaded);
@@ -197,7 +198,7 @@
             for (const UpstreamPointer& engine : loaded)
                 views.push_back(viewOf(*engine, positionIn(order, *engine)));
             const auto choice = chooseEngine(views);
-            // What has been begun elsewhere isn't refused any more.
+            // A request that has been started at another server is no longer refused for overload.
             const bool isNew = tried_.sentTo.empty();
             if (isNew)
                 host_.didEstimateFirstEvent(spec_, choice->expected);
@@ -220,7 +221,7 @@
         if (const ReportedState* const report = host_.upstreams().state(engine, now_)) {
             view.running = report->state.running;
             view.queued = report->state.queued;
-            // The most urgent are let in at once, so what waits there is less urgent.
+            // Engines admit the most urgent requests at once, so all queued requests are less urgent.
             view.queuedAhead = spec_.route->priority == 0 ? 0 : report->state.queued;
             view.usedTokens = report->state.usedMemory.value();
             view.totalTokens = report->state.memory.value();
--- a/src/forwarding/internal/upstreamchoice.h
+++ b/src/forwarding/internal/upstreamchoice.h
@@ -12,43 +12,43 @@
 
 struct JobSpec;
 
-/// A server for a request, and what decided for it.
+/// The server chosen for a request, and the data behind the choice.
 struct ChosenUpstream {
     UpstreamPointer upstream;
     std::shared_ptr<http::ClientConnection> connection;
     std::uint64_t newTokens = 0;
     framework::Milliseconds expected { 0 };
     std::size_t candidates = 0;
-    /// Age of what the engine's agent said; nothing if none spoke.
+    /// Age of the state that the engine's agent reported; std::nullopt if there is none.
     std::optional<framework::Milliseconds> stateAge;
-    /// Age of the platform's list of servers; nothing if it was never confirmed.
+    /// Age of the platform's list of servers; std::nullopt if the list was never confirmed.
     std::optional<framework::Milliseconds> listAge;
 };
 
-/// Why there is none now.
+/// Why no server can be chosen now.
 enum class NoUpstream : std::uint8_t {
-    NoneReady, ///< the list has none for the service
-    NoneLeft, ///< it was sent to as many as it may be
-    NotLoaded, ///< no engine has the model
-    AdapterNotLoaded, ///< an engine has the model, but none the adapter
+    NoneReady, ///< the list has no ready server for the service
+    NoneLeft, ///< the request was sent to the maximum number of servers
+    NotLoaded, ///< no engine has the model loaded
+    AdapterNotLoaded, ///< engines have the model loaded, but none the adapter
     AllConnectionsTaken,
-    Overloaded, ///< the queue at each engine that has the model is too long, and stays so
+    Overloaded, ///< the queues of all engines with the model are too long and stay so
 };
 
 struct UpstreamSearch {
     std::optional<ChosenUpstream> chosen;
     NoUpstream reason = NoUpstream::NoneReady;
-    /// For `AdapterNotLoaded`: the engine that should load it.
+    /// For `AdapterNotLoaded`: the engine that should load the adapter.
     framework::Endpoint adapterAt;
-    /// For `Overloaded`: the shortest time to the first event.
+    /// For `Overloaded`: the shortest expected time to the first event.
     framework::Milliseconds expected { 0 };
 };
 
 /// The servers that one request has tried.
 struct TriedServers {
-    /// It was sent there, and may have reached them.
+    /// The request was sent to these servers and may have reached them.
     std::set<catalog::UpstreamRun> sentTo;
-    /// They couldn't be reached, or are no use for it.
+    /// These servers couldn't be reached, or can't serve the request.
     std::set<catalog::UpstreamRun> avoided;
 
     bool has(const UpstreamRecord& server) const
--- a/src/forwarding/internal/upstreamtable.cpp
+++ b/src/forwarding/internal/upstreamtable.cpp
@@ -12,20 +12,20 @@
 using framework::Milliseconds;
 using framework::SteadyTime;
 
-/// An agent speaks each second; one that has missed two is not to be relied on.
+/// An agent reports every second; a state is unreliable after two missed reports.
 constexpr Milliseconds stateTtl { 2500 };
-/// An engine that is there after all is heard of again within a second.
+/// If the engine is running after all, its agent reports it again within a second.
 constexpr Milliseconds unreachableFor { 1500 };
-/// An agent that is back is subscribed to again after this at the latest.
+/// The maximum time until an agent that is reachable again is subscribed to.
 constexpr Milliseconds agentUnreachableFor { 10000 };
-/// Assumed while no agent has said how many there are: a part that is too small for a moment does less harm than one
-/// that is too large.
+/// Assumed while no agent has reported the number of routers: a share that is too small for a moment does less harm
+/// than one that is too large.
 constexpr std::uint32_t assumedRouters = 32;
-/// Connections to a server that a router may open in any case.
+/// The number of connections to a server that a router may always open.
 constexpr std::size_t minConnections = 4;
-/// Part of a server's connections that all routers together use: some are still closing when others open.
+/// The fraction of a server's connections that all routers together use: some are still closing when others open.
 constexpr double usableConnectionShare = 0.85;
-/// Prompt tokens of which it is assumed that an engine keeps them, until its agent has told its memory.
+/// Prompt tokens that an engine is assumed to cache, until its agent has reported its memory.
 const catalog::Tokens assumedPromptCapacity(100000);
 
 bool takesRequests(const UpstreamRecord& record)
@@ -33,8 +33,8 @@
     return record.facts.state == catalog::UpstreamState::Ready && !record.isReplaced;
 }
 
-/// Guards against going by a former run, of which nothing holds: the list may lag behind an agent, and an agent's word
-/// may have been on its way when the list was read.
+/// Prevents the use of a state or list entry of a former run, of which nothing is valid any more: the list may lag
+/// behind an agent, and an agent's report may have been in transit when the list was read.
 bool isOfFormerRun(const std::optional<catalog::StartTime>& reported, const Upstream& known)
 {
     return reported && known.started && *reported < *known.started;
@@ -52,7 +52,7 @@
     }
 }
 
-/// Whether what is known of the server holds for this description of it too.
+/// Whether the known data of the server also applies to this list entry.
 bool isSameServer(const Upstream& known, const Upstream& listed)
 {
     return known.endpoint == listed.endpoint && known.started >= listed.started;
@@ -128,7 +128,7 @@
     records.replicas.remove(record->facts.endpoint);
 }
 
-/// A record that its last requests keep alive isn't in the index any more.
+/// Ignores a record that is kept alive only by its last requests and is no longer in the index.
 void UpstreamTable::refreshReplicas(const UpstreamRecord& record)
 {
     ServiceRecords& records = services_[record.facts.service];
@@ -162,7 +162,8 @@
     limitConnections();
 }
 
-/// Guards against resets by a server whose connections are all taken: callers share them without talking.
+/// Prevents connection resets by a server whose connections are all in use: the routers share them without
+/// communicating.
 void UpstreamTable::limitConnections()
 {
     if (!configuration_)
@@ -200,11 +201,11 @@
     if (known == states_.end())
         return;
     const std::uint32_t before = routers();
-    const std::uint32_t saidBefore = known->second.state.routers;
+    const std::uint32_t reportedBefore = known->second.state.routers;
     if (!catalog::applyLoad(known->second.state, load))
         return;
     known->second.at = now;
-    routerCounts_.erase(routerCounts_.find(saidBefore));
+    routerCounts_.erase(routerCounts_.find(reportedBefore));
     routerCounts_.insert(load.routers);
     if (const UpstreamPointer record = find(load.engine))
         didSeeActivity(*record, now);
@@ -251,8 +252,8 @@
     }
 }
 
-/// An agent sees its engine start again before the list shows it: until then, prompts that are no longer there would
-/// draw requests, and what was sent over an idle connection of the former run would be lost.
+/// An agent sees a restart of its engine before the list shows it. Without this, cached prompts that no longer exist
+/// would attract requests, and requests sent over an idle connection of the former run would be lost.
 bool UpstreamTable::noteRestart(const catalog::EngineState& state)
 {
     const UpstreamPointer known = find(state.engine);
@@ -376,8 +377,8 @@
     return std::any_of(record.facts.models.begin(), record.facts.models.end(), isThis);
 }
 
-/// Guards against sending a request to the same server until its repeats are spent: what its agent said last may be
-/// older than the refusal by up to a second.
+/// Prevents a request from being sent to the same server until the retry budget is spent: the last report of its agent
+/// may be up to a second older than the refusal.
 void UpstreamTable::didReportNotLoaded(UpstreamRecord& record, const catalog::ModelTarget& target)
 {
     removeTarget(record.facts.models, target);
--- a/src/forwarding/internal/upstreamtable.h
+++ b/src/forwarding/internal/upstreamtable.h
@@ -21,8 +21,8 @@
 
 namespace lagoon::forwarding {
 
-/// One run of a server with what this router has under way there. Kept alive by its requests when the list drops it or
-/// the server starts again.
+/// One run of a server with this router's requests in flight there. The requests keep the record alive when the server
+/// is removed from the list or restarts.
 struct UpstreamRecord {
     UpstreamRecord(boost::asio::io_context&, const catalog::Upstream&);
 
@@ -30,28 +30,29 @@
     http::ConnectionPool connections;
     OutlierDetector outlierDetector;
     Liveness liveness;
-    /// Another server has its address by now, though the list still has it.
+    /// Another server has this address now, though the list still names this one.
     bool isReplaced = false;
-    /// Until then it is thought to hold nothing.
+    /// Until this time the server counts as having no models loaded.
     framework::Deadline unreachableUntil;
     PromptCache prompts;
     std::uint32_t inFlight = 0;
-    /// By what runs there.
+    /// The requests in flight by target.
     std::map<catalog::ModelTarget, std::uint32_t> inFlightByTarget;
-    /// Requests without their first event, and the prompt tokens that they need read, by the route's priority.
+    /// Requests without a first event, and the prompt tokens that the server has to process for them by the route's
+    /// priority.
     std::uint32_t starting = 0;
     std::map<std::uint32_t, std::uint64_t> startingTokens;
 };
 
 using UpstreamPointer = std::shared_ptr<UpstreamRecord>;
 
-/// What an engine's agent said last.
+/// The state that an engine's agent last reported, and when.
 struct ReportedState {
     catalog::EngineState state;
     framework::SteadyTime at {};
 };
 
-/// The servers that this router knows, and what agents say of engines. Belongs to the traffic thread.
+/// The servers that this router knows, and the engine states that agents report. Belongs to the traffic thread.
 class UpstreamTable {
 public:
     explicit UpstreamTable(boost::asio::io_context& context)
@@ -62,54 +63,58 @@
     void setPolicy(const policy::PolicySwitches& policy) { policy_ = policy; }
     void setUpstreams(const std::vector<catalog::Upstream>&);
     void didConfirmList(framework::SteadyTime at) { listConfirmedAt_ = at; }
-    /// Since the platform's list was last known to be current; nothing if it never was.
+    /// Time since the platform's list was last confirmed to be current; std::nullopt if it never was.
     std::optional<framework::Milliseconds> listAge(framework::SteadyTime now) const;
     void setConfiguration(catalog::ConfigurationPointer);
     void setState(catalog::EngineState, framework::SteadyTime now);
-    /// The rest of the state is as it was set last.
+    /// Updates the load figures; the rest of the state stays as it was last set.
     void setLoad(const catalog::EngineLoad&, framework::SteadyTime now);
-    /// What the engine's agent said holds no longer.
+    /// Drops the state that the engine's agent reported.
     void forgetState(const framework::Endpoint&);
     /// The engine's agent can't be reached.
     void didLoseAgent(const framework::Endpoint&, framework::SteadyTime now);
-    /// Whether that still holds.
+    /// Whether the engine's agent still counts as unreachable.
     bool hasLostAgent(const UpstreamRecord& record) const { return unreachableAgents_.contains(record.facts.endpoint); }
     std::set<framework::Endpoint> enginesWithoutAgent() const;
 
-    /// Whether the record is still that of a listed server that takes new requests.
+    /// Whether the record still belongs to a listed server that accepts new requests.
     bool isInService(const UpstreamRecord&) const;
-    /// Servers of the service that take new requests.
+    /// Returns the servers of the service that accept new requests.
     std::vector<UpstreamPointer> ready(const framework::ServiceName&) const;
     bool hasReady(const framework::ServiceName&) const;
-    /// Engines of the service that take new requests and may serve the model: by agents or, for those that this router
-    /// doesn't subscribe to, by the list. `hasLoaded` has the last word.
+    /// Returns the engines of the service that accept new requests and may serve the model, as agents report or, for
+    /// engines that this router doesn't subscribe to, as the list states. `hasLoaded` makes the final decision.
     std::vector<UpstreamPointer> serving(const framework::ServiceName&, const framework::ModelName&) const;
-    /// What all engines of the service have, by the same sources.
+    /// Returns the models of all engines of the service, from the same sources.
     const ReplicaIndex& replicas(const framework::ServiceName&) const;
-    /// What the engine's agent says, if it has lately.
+    /// Returns the state that the engine's agent reported, or nullptr if there is no recent one.
     const ReportedState* state(const UpstreamRecord&, framework::SteadyTime now) const;
-    /// Whether the engine holds the target and goes on holding it, by its agent or, without one, by the list.
+    /// Whether the engine has the target loaded and isn't unloading it, as its agent reports or, without an agent, as
+    /// the list states.
     bool hasLoaded(const UpstreamRecord&, const catalog::ModelTarget&, framework::SteadyTime now) const;
-    /// The server refused the target as not held; so it isn't until its agent or the list says it anew.
+    /// The server rejected the target as not loaded; it counts as not loaded until the agent or the list reports it
+    /// again.
     void didReportNotLoaded(UpstreamRecord&, const catalog::ModelTarget&);
-    /// Whether the server failed lately and is to be passed by.
+    /// Whether the server failed recently and is excluded from selection.
     bool isSuspect(const UpstreamRecord&, framework::SteadyTime now) const;
-    /// Whether the server has fallen silent while others of its service have not. Guards against a router that takes
-    /// its own standstill, or the loss of its links, for that of its servers: then most of them seem silent at once.
+    /// Whether the server has fallen silent while others of its service have not. Prevents a router from mistaking its
+    /// own stall, or the loss of its network links, for that of its servers: in that case most of them appear silent at
+    /// once.
     bool isSilent(const UpstreamRecord&, framework::SteadyTime now) const;
-    /// Whether any server may be, by its own liveness alone: a quick look before each is asked for.
+    /// Whether any server may be silent by its own liveness alone; a cheap check before `isSilent` is called for each
+    /// server.
     bool mayAnyBeSilent(framework::SteadyTime now) const;
-    /// Whether the server brings nothing for longer than it has lately, and others may be better for the moment.
+    /// Whether the server's current pause exceeds its recent ones, so that others may be better for the moment.
     bool isPausing(const UpstreamRecord&, framework::SteadyTime now) const;
-    /// The engine can't be connected to: what its agent said last is of a process that has ended. Its agent says so
-    /// only by its silence, so callers would be refused, one after the other, by the engine that held their model, and
-    /// no other would be asked to load it.
+    /// The engine refuses connections, so the last reported state belongs to a process that has ended. Its agent shows
+    /// this only by its silence. Without this, callers would be refused one after the other by the engine that had
+    /// their model loaded, and no other engine would be asked to load it.
     void didFailToConnect(UpstreamRecord&, framework::SteadyTime now);
-    /// Believes the list again about engines that couldn't be connected to a while ago.
+    /// Trusts the list again about engines whose connection failures have expired.
     void expireUnreachable(framework::SteadyTime now);
-    /// Engines of the service that an agent speaks for.
+    /// Returns the engines of the service that have a recent state from an agent.
     std::vector<EngineFacts> engines(const framework::ServiceName&, framework::SteadyTime now) const;
-    /// The most routers that any agent hears from; a guess without agents.
+    /// Returns the highest number of routers that any agent reports; an assumed number without agents.
     std::uint32_t routers() const;
     bool isEmpty() const { return records_.empty(); }
 
@@ -126,10 +131,10 @@
     void addToIndex(const UpstreamPointer&);
     void removeFromIndex(const UpstreamPointer&);
     void refreshReplicas(const UpstreamRecord&);
-    /// Whether there was one. What the engine has isn't indexed anew.
+    /// Returns whether there was a state. Doesn't update the replica index.
     bool eraseState(const framework::Endpoint&);
     ReplicaIndex::Contents contentsOf(const UpstreamRecord&) const;
-    /// Whether a server's restart is known by this only.
+    /// Returns whether this state is the first report of a restart of the server.
     bool noteRestart(const catalog::EngineState&);
     void limitConnections();
 
@@ -140,11 +145,11 @@
     std::optional<framework::SteadyTime> listConfirmedAt_;
     std::map<framework::ServiceName, ServiceRecords> services_;
     std::unordered_map<framework::Endpoint, ReportedState> states_;
-    /// What each of them says of the number of routers.
+    /// The number of routers that each of these states reports.
     std::multiset<std::uint32_t> routerCounts_;
-    /// Engines whose agents couldn't be reached, and until when that is believed.
+    /// Engines whose agents couldn't be reached, and when that expires.
     std::map<framework::Endpoint, framework::Deadline> unreachableAgents_;
-    /// Engines that couldn't be connected to lately.
+    /// Engines that refused connections recently.
     std::set<framework::Endpoint> unreachable_;
 };
 
--- a/src/forwarding/irequestdialect.h
+++ b/src/forwarding/irequestdialect.h
@@ -11,39 +11,40 @@
 
 namespace lagoon::forwarding {
 
-/// What the router adds to a request on its way to a server.
+/// What the router adds to a request that it forwards to a server.
 struct ForwardingOptions {
     framework::Milliseconds timeLeft { 0 };
-    /// Another server that has the address by now refuses.
+    /// The server that is meant; another server that now has the address refuses the request.
     catalog::InstanceId instance;
-    /// 0 is the most urgent, 9 the least. Only for engines.
+    /// 0 is the most urgent, 9 the least urgent. Only sent to engines.
     std::optional<std::uint32_t> priority;
-    /// Go on behind this event.
+    /// The stream is to resume after the event with this id.
     std::optional<std::uint64_t> resumeAfter;
 };
 
 enum class AnswerClass : std::uint8_t {
-    Served, ///< a success of the server for this request
-    Failed, ///< the server ran it and says that it failed
-    NotRun, ///< the server says that it didn't run it
-    NotLoaded, ///< the same, since it lacks the model or adapter
-    OtherInstance, ///< the same, since another server has the address by now
-    Mismatched, ///< the answer to another request
+    Served, ///< the server answered this request successfully
+    Failed, ///< the server ran the request and reports that it failed
+    NotRun, ///< the server reports that it did not run the request
+    NotLoaded, ///< the server did not run the request because it lacks the model or adapter
+    OtherInstance, ///< the request was not run because another server has the address now
+    Mismatched, ///< the answer belongs to another request
     Unverified, ///< a success without the server's mark, or without the request's id
 };
 
-/// How callers, servers and this system write what concerns a request into HTTP messages.
+/// How callers, servers and this system encode requests and answers in HTTP messages.
 class IRequestDialect {
 public:
     virtual ~IRequestDialect() = default;
-    /// `BadRequest` if a field can't be read.
+    /// Returns `BadRequest` if a field can't be parsed.
     virtual framework::Result<RequestFacts> read(const http::Request&) const = 0;
-    /// The request as the server gets it: without what only this system may state, with the terms.
+    /// Returns the request as it is sent to the server: without the headers that only this system may set, and with the
+    /// options added.
     virtual http::Request forwarded(const http::Request&, const ForwardingOptions&) const = 0;
-    /// `instance` is the server that was meant.
+    /// `instance` is the server to which the request was addressed.
     virtual AnswerClass classify(
         const http::ResponseHead&, const RequestFacts&, const catalog::InstanceId& instance) const = 0;
-    /// The head of this system's own final answer.
+    /// Returns the head of this system's own final answer.
     virtual http::ResponseHead refusal(unsigned status, std::optional<framework::Milliseconds> retryAfter) const = 0;
 };
 
--- a/src/forwarding/modeldemand.h
+++ b/src/forwarding/modeldemand.h
@@ -9,8 +9,8 @@
 
 namespace lagoon::forwarding {
 
-/// How much of an engine's time the requests for each model take, by an average that fades within seconds: demand
-/// moves from model to model during a day.
+/// Measures how much of an engine's time the requests for each model take, as a moving average that decays within
+/// seconds, because demand moves between models during a day.
 class ModelDemand {
 public:
     explicit ModelDemand(framework::SteadyTime startedAt)
@@ -18,16 +18,17 @@
     {
     }
 
-    /// `work` is the engine's time that the request takes by itself.
+    /// `work` is the engine time that the request itself takes.
     void didArrive(const framework::ModelName&, framework::Milliseconds work, framework::SteadyTime now);
-    /// Part of one engine's time, 0 for models that nobody asks for.
+    /// Returns the model's work as a fraction of one engine's time; 0 for models without requests.
     double work(const framework::ModelName&, framework::SteadyTime now) const;
-    /// The same for all models that aren't forgotten.
+    /// Returns the work of all models with recent requests.
     std::map<framework::ModelName, double> recent(framework::SteadyTime now) const;
-    /// Those that weren't asked for lately.
+    /// Drops the models without recent requests.
     void forgetOld(framework::SteadyTime now);
-    /// Whether what hasn't been asked for is really not in demand. A process that starts while its callers go on asking
-    /// has to listen first; one that nobody asks anything may take it that nobody will at once.
+    /// Whether the absence of requests for a model means that it is not in demand. A process that starts while callers
+    /// are already sending requests has to observe them first; one that receives no requests at all can assume after a
+    /// shorter time that there are none.
     bool isKnown(framework::SteadyTime now) const;
 
 private:
--- a/src/forwarding/outlierdetector.h
+++ b/src/forwarding/outlierdetector.h
@@ -6,8 +6,8 @@
 
 namespace lagoon::forwarding {
 
-/// Whether an upstream is to be passed by, from what became of requests there. Passing by needs no probes: after a
-/// pause that doubles with each failure in a row the next request tries it again.
+/// Excludes an upstream from selection after failed requests. It needs no probes: after a pause that doubles with each
+/// consecutive failure, the next request tries the upstream again.
 class OutlierDetector {
 public:
     void didServe();
--- a/src/forwarding/promptcache.h
+++ b/src/forwarding/promptcache.h
@@ -12,7 +12,8 @@
 
 namespace lagoon::forwarding {
 
-/// A prompt's parts as a chain: each link stands for a part and all before it, under the same weights.
+/// A prompt's parts as a hash chain: each link identifies a part together with all parts before it, for the same
+/// weights.
 struct PromptLink {
     std::uint64_t hash = 0;
     std::uint32_t tokens = 0;
@@ -21,8 +22,8 @@
 
 PromptChain promptChain(const RequestFacts&);
 
-/// What one engine probably keeps of prompts, from what this router has sent there. The engine drops what was used
-/// longest ago, so this does too.
+/// Estimates which prompt prefixes an engine has cached, from the requests that this router has sent to it. Evicts the
+/// least recently used prefixes, as the engine does.
 class PromptCache {
 public:
     explicit PromptCache(catalog::Tokens capacity)
@@ -30,7 +31,7 @@
     {
     }
 
-    /// Tokens of the chain's beginning that are kept.
+    /// Returns the number of tokens at the beginning of the chain that are cached.
     std::uint32_t cachedTokens(const PromptChain&) const;
     void didSend(const PromptChain&);
     void clear();
@@ -43,7 +44,7 @@
 
     catalog::Tokens capacity_;
     std::uint64_t used_ = 0;
-    /// Last used first.
+    /// The most recently used entry comes first.
     std::list<std::uint64_t> order_;
     std::unordered_map<std::uint64_t, Entry> entries_;
 };
--- a/src/forwarding/serverchoice.h
+++ b/src/forwarding/serverchoice.h
@@ -12,39 +12,40 @@
 /// A server of a plain service as this router sees it.
 struct ServerView {
     std::uint32_t slots = 1;
-    /// Sent by this router and not answered yet.
+    /// Requests of this router that the server hasn't answered yet.
     std::uint32_t ownInFlight = 0;
     bool isSuspect = false;
     bool isInOwnFailureDomain = false;
-    /// This request was sent there before.
+    /// Whether this request has already been sent to the server.
     bool wasTried = false;
 };
 
-/// Chooses a server of a plain service: fewest own requests for its slots; among equals one in the own failure domain,
-/// since bytes between domains cost time and money, and otherwise by `random` in [0, 1). Suspects and servers that were
-/// tried are taken only if there is nothing else. Nothing only if there are none.
+/// Chooses the server of a plain service with the fewest own requests per slot. Among equals it prefers one in the own
+/// failure domain, because traffic between domains costs time and money, and otherwise decides by `random` in [0, 1).
+/// Suspect servers and servers that were already tried are chosen only if there is no other. Returns std::nullopt only
+/// if `servers` is empty.
 std::optional<std::size_t> chooseServer(const std::vector<ServerView>&, double random);
 
-/// An engine that holds the request's model.
+/// An engine that has the request's model loaded.
 struct EngineView {
     std::uint32_t slots = 1;
-    /// As its agent last said; zero if no agent speaks for it.
+    /// As its agent last reported; zero without an agent.
     std::uint32_t running = 0;
     std::uint32_t queued = 0;
     std::uint64_t usedTokens = 0;
     std::uint64_t totalTokens = 0;
-    /// Of `queued`, those that go before this request.
+    /// The number of requests in `queued` that have precedence over this one.
     std::uint32_t queuedAhead = 0;
-    /// This router's requests there that haven't brought their first event, and the prompt tokens that they need read:
-    /// of all of them, and of those that go before this request.
+    /// This router's requests at the engine that have no first event yet, and the prompt tokens that the engine has to
+    /// process for them: for all of them, and for those that have precedence over this request.
     std::uint32_t ownStarting = 0;
     std::uint64_t ownStartingTokens = 0;
     std::uint64_t ownTokensAhead = 0;
-    /// Prompt tokens of this request that it would have to read.
+    /// Prompt tokens of this request that the engine would have to process.
     std::uint64_t newTokens = 0;
-    /// All tokens that this request will take up there.
+    /// All tokens that this request will occupy in the engine's memory.
     std::uint64_t memoryTokens = 0;
-    /// Its place in the order in which all routers prefer engines for prompts that begin like this one.
+    /// The engine's position in the order in which all routers prefer engines for prompts with the same beginning.
     std::uint32_t affinityRank = 0;
     bool isSuspect = false;
     bool isInOwnFailureDomain = false;
@@ -53,12 +54,12 @@
 
 struct EngineChoice {
     std::size_t index = 0;
-    /// Until the first event.
+    /// The time until the first event.
     framework::Milliseconds expected { 0 };
 };
 
-/// Chooses the engine that is expected to bring the first event soonest. Suspects and engines that were tried are taken
-/// only if there is nothing else.
+/// Chooses the engine that is expected to send the first event soonest. Suspect engines and engines that were already
+/// tried are chosen only if there is no other.
 std::optional<EngineChoice> chooseEngine(const std::vector<EngineView>&);
 
 } // namespace lagoon::forwarding
--- a/src/forwarding/tests/choices_test.cpp
+++ b/src/forwarding/tests/choices_test.cpp
@@ -27,13 +27,13 @@
 
 BOOST_AUTO_TEST_SUITE(Choices)
 
-BOOST_AUTO_TEST_CASE(theServerWithFewestOwnRequestsForItsSlotsIsTaken)
+BOOST_AUTO_TEST_CASE(choosesTheServerWithFewestOwnRequestsPerSlot)
 {
     const std::vector<ServerView> servers { { 6, 3, false, true, false }, { 12, 4, false, false, false } };
     BOOST_TEST(*chooseServer(servers, 0) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(amongEqualsTheOwnFailureDomainIsTakenAndRoutersBeginDifferently)
+BOOST_AUTO_TEST_CASE(prefersTheOwnFailureDomainAmongEqualsAndRoutersStartDifferently)
 {
     const std::vector<ServerView> servers { { 6, 0, false, false, false }, { 6, 0, false, true, false } };
     BOOST_TEST(*chooseServer(servers, 0) == 1U);
@@ -41,7 +41,7 @@
     BOOST_TEST(*chooseServer(equal, 0.6) == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(suspectsAndTriedOnesAreTakenOnlyIfThereIsNothingElse)
+BOOST_AUTO_TEST_CASE(suspectAndTriedServersAreChosenOnlyIfThereIsNoOther)
 {
     BOOST_TEST(*chooseServer({ { 6, 0, true, true, false }, { 6, 5, false, false, false } }, 0) == 1U);
     BOOST_TEST(*chooseServer({ { 6, 0, false, true, true }, { 6, 5, true, false, false } }, 0) == 1U);
@@ -49,9 +49,9 @@
     BOOST_TEST(!chooseServer({}, 0));
 }
 
-// Two reviews in three share 6,300 of their 9,190 tokens: reading those anew takes 164 ms of an engine's time, so the
-// engine that has them is worth a queue of that length, and no longer one.
-BOOST_AUTO_TEST_CASE(keptPromptsAreWeighedAgainstTheQueue)
+// Two reviews in three share 6,300 of their 9,190 tokens. Processing those again takes 164 ms of an engine's time, so
+// the engine that has them cached is preferred up to a queue of that length, but no longer one.
+BOOST_AUTO_TEST_CASE(cachedPromptsAreWeighedAgainstTheQueue)
 {
     EngineView keeps;
     keeps.newTokens = 2890;
@@ -64,7 +64,7 @@
     BOOST_TEST(chooseEngine({ fresh, keeps })->index == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(anEngineWithoutRoomIsTakenLast)
+BOOST_AUTO_TEST_CASE(anEngineWithoutFreeMemoryIsChosenLast)
 {
     EngineView full;
     full.totalTokens = 260000;
@@ -78,7 +78,7 @@
     BOOST_TEST(!chooseEngine({}));
 }
 
-BOOST_AUTO_TEST_CASE(aServerThatFailsIsPassedByForLongerEachTime)
+BOOST_AUTO_TEST_CASE(aFailingServerIsExcludedForLongerEachTime)
 {
     OutlierDetector outlierDetector;
     BOOST_TEST(!outlierDetector.isSuspect(start));
@@ -94,7 +94,7 @@
     BOOST_TEST(!outlierDetector.isSuspect(start));
 }
 
-BOOST_AUTO_TEST_CASE(onlyAPromptsBeginningIsKept)
+BOOST_AUTO_TEST_CASE(onlyThePrefixOfAPromptIsCached)
 {
     PromptCache cache(catalog::Tokens(10000));
     cache.didSend(promptChain(facts("m", { { "a", 100 }, { "b", 200 }, { "c", 300 } })));
@@ -103,7 +103,7 @@
     BOOST_TEST(cache.cachedTokens(promptChain(facts("other", { { "a", 100 } }))) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(whatWasUsedLongestAgoIsForgotten)
+BOOST_AUTO_TEST_CASE(theLeastRecentlyUsedPromptIsEvicted)
 {
     PromptCache cache(catalog::Tokens(1000));
     const auto old = promptChain(facts("m", { { "a", 600 } }));
@@ -116,7 +116,7 @@
     BOOST_TEST(cache.cachedTokens(recent) == 300U);
 }
 
-BOOST_AUTO_TEST_CASE(demandIsTheWorkOfTheLastSeconds)
+BOOST_AUTO_TEST_CASE(demandIsTheRecentWork)
 {
     ModelDemand demand(start);
     const ModelName model("m");
@@ -125,15 +125,15 @@
         now += Milliseconds(100);
         demand.didArrive(model, Milliseconds(20), now);
     }
-    // Ten requests a second of 20 ms each.
+    // 10 requests per second of 20 ms each.
     BOOST_TEST(demand.work(model, now) > 0.18);
     BOOST_TEST(demand.work(model, now) < 0.22);
     BOOST_TEST(demand.work(model, now + std::chrono::seconds(9)) < 0.02);
     BOOST_TEST(demand.work(ModelName("none"), now) == 0);
 }
 
-// Guards against subscriptions that are kept for every model that was ever asked for.
-BOOST_AUTO_TEST_CASE(onlyModelsThatWereAskedForLatelyAreInDemand)
+// Prevents subscriptions from being kept for every model that was ever requested.
+BOOST_AUTO_TEST_CASE(onlyRecentlyRequestedModelsAreInDemand)
 {
     ModelDemand demand(start);
     demand.didArrive(ModelName("before"), Milliseconds(20), start);
@@ -146,8 +146,8 @@
     BOOST_TEST(recent.contains(ModelName("now")));
 }
 
-// All routers started anew under load. For three seconds each took a busy model for a rare one, and nobody asked for
-// the copies that it needed.
+// Prevents busy models from being mistaken for rare ones after all routers restart under load: without a correction for
+// the short observation time, no router requested the copies that they needed for 3 s.
 BOOST_AUTO_TEST_CASE(demandIsKnownSoonAfterAStartUnderLoad)
 {
     ModelDemand demand(start);
@@ -158,7 +158,7 @@
     BOOST_TEST(demand.work(model, start + Milliseconds(1000)) < 0.23);
 }
 
-BOOST_AUTO_TEST_CASE(whatNobodyAsksForIsKnownOnlyAfterListening)
+BOOST_AUTO_TEST_CASE(absenceOfDemandIsKnownOnlyAfterObservation)
 {
     ModelDemand calm(start);
     BOOST_TEST(!calm.isKnown(start + Milliseconds(1000)));
--- a/src/forwarding/tests/demandplanner_test.cpp
+++ b/src/forwarding/tests/demandplanner_test.cpp
@@ -16,7 +16,8 @@
 using framework::ModelName;
 using framework::SteadyTime;
 
-/// A few engines of 200 GB and models of 70 GB, of which two fit; six seconds from the store, 800 ms from disk.
+/// A few engines with 200 GB for weights and models of 70 GB, of which two fit; a load takes 6 s from the weight store
+/// and 800 ms from disk.
 struct Fixture {
     Fixture()
     {
@@ -63,7 +64,7 @@
         waiting.push_back({ { ModelName(model), {} }, count, Deadline::after(now, Milliseconds(15000)), now, 5, {} });
     }
 
-    /// The engines that are asked to load the model.
+    /// Returns the engines that are asked to load the model.
     std::vector<std::string> asked(const std::string& model)
     {
         std::vector<std::string> engines;
@@ -91,7 +92,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(DemandPlanners, Fixture)
 
-BOOST_AUTO_TEST_CASE(theEngineWithTheWeightsAtHandIsAsked)
+BOOST_AUTO_TEST_CASE(theEngineWithCachedWeightsIsAsked)
 {
     engine("1", { "a", "b" });
     engine("2", { "c", "d" }).atHand.disk.push_back(ModelName("e"));
@@ -100,7 +101,7 @@
     BOOST_TEST(asked("e") == std::vector<std::string> { "2" });
 }
 
-BOOST_AUTO_TEST_CASE(anEngineThatHasRoomIsAskedBeforeOneThatHasNone)
+BOOST_AUTO_TEST_CASE(anEngineWithFreeMemoryIsAskedFirst)
 {
     engine("1", { "a", "b" });
     engine("2", { "c" });
@@ -109,9 +110,9 @@
     BOOST_TEST(asked("e") == std::vector<std::string> { "2" });
 }
 
-// A party summary waited for its model while the engine that was to load it waited for two streams of another model to
-// end, which took three seconds. Its neighbour held models that nobody was using.
-BOOST_AUTO_TEST_CASE(anEngineWhoseModelsAreIdleIsAskedBeforeOneThatHasToLetStreamsEnd)
+// Prevents a request from waiting 3 s for its model because the chosen engine first has to let two streams of another
+// model end, while the models of a neighbouring engine are idle.
+BOOST_AUTO_TEST_CASE(anEngineWithIdleModelsIsAskedBeforeOneWithActiveStreams)
 {
     runTime = Milliseconds(1500);
     for (const std::string name : { "1", "2", "3", "4", "5" }) {
@@ -123,9 +124,9 @@
     BOOST_TEST(asked("e") == std::vector<std::string> { "3" });
 }
 
-// An agent answered that two streams had to end first, and its routers kept to it for the 1.8 seconds that it named,
-// while the neighbour could have had the model in 0.8.
-BOOST_AUTO_TEST_CASE(anEngineThatNeedsASecondMoreThanItsNeighbourIsLeft)
+// Prevents routers from staying with an engine whose agent reports 1.8 s, because two streams have to end first, when a
+// neighbouring engine could load the model in 0.8 s.
+BOOST_AUTO_TEST_CASE(anEngineThatIsSlowerByASecondIsReplaced)
 {
     for (const std::string name : { "1", "2" })
         engine(name, {}).atHand.disk.push_back(ModelName("e"));
@@ -137,7 +138,7 @@
     BOOST_TEST(asked("e").at(0) != first);
 }
 
-BOOST_AUTO_TEST_CASE(anEngineThatNeedsAMomentMoreThanItsNeighbourIsKeptTo)
+BOOST_AUTO_TEST_CASE(anEngineThatIsSlightlySlowerIsKept)
 {
     for (const std::string name : { "1", "2" })
         engine(name, {}).atHand.disk.push_back(ModelName("e"));
@@ -148,9 +149,10 @@
     BOOST_TEST(asked("e").at(0) == first);
 }
 
-// A model was making way as its next caller came. Its own engine had the weights in memory, so that one was asked, and
-// the caller waited for the last stream there to end; others had it on disk, and room.
-BOOST_AUTO_TEST_CASE(anEngineThatTheModelIsLeavingIsNotAskedForIt)
+// Prevents the engine that is just unloading the model from being asked to load it because it has the weights in
+// memory: the caller would wait for the last stream there to end, while other engines have the model on disk and enough
+// free memory.
+BOOST_AUTO_TEST_CASE(anEngineThatIsUnloadingTheModelIsNotAskedToLoadIt)
 {
     EngineState& left = engine("1", { "e" });
     left.leaving.push_back(ModelName("e"));
@@ -178,9 +180,9 @@
     BOOST_TEST(first == second);
 }
 
-// A second copy of a model that many asked for pushed out the only copy of another one. When that one was asked for
-// seconds later, it took six seconds from the store, for callers who give up after five.
-BOOST_AUTO_TEST_CASE(aCopyGoesWhereItPushesOutWhatOthersHold)
+// Prevents a second copy of a busy model from evicting the only copy of another one: a request for that model seconds
+// later took 6 s to load from the weight store, for callers that give up after 5 s.
+BOOST_AUTO_TEST_CASE(aCopyEvictsModelsThatAreLoadedElsewhere)
 {
     engine("1", { "a" }).held[0].work = 0.6;
     work[ModelName("a")] = 0.6;
@@ -192,7 +194,7 @@
     BOOST_TEST((engines[0] == "2" || engines[0] == "3"));
 }
 
-BOOST_AUTO_TEST_CASE(aBusyModelIsNeverPushedOutForACopy)
+BOOST_AUTO_TEST_CASE(aBusyModelIsNeverEvictedForACopy)
 {
     engine("1", { "a" }).held[0].work = 0.6;
     work[ModelName("a")] = 0.6;
@@ -209,9 +211,9 @@
     BOOST_TEST(asked("a").empty());
 }
 
-// After five servers had crashed, eight models were loaded at once. The store serves four at full speed, so each took
-// twelve seconds instead of six, and all came too late.
-BOOST_AUTO_TEST_CASE(noMoreLoadsFromTheStoreThanItServesAtFullSpeed)
+// Prevents the weight store from being overloaded: after five servers had crashed, eight models were loaded at once
+// from a store that serves four at full speed, so each took 12 s instead of 6 s and all were too late.
+BOOST_AUTO_TEST_CASE(loadsFromTheStoreAreLimitedToItsFullSpeed)
 {
     for (const std::string name : { "1", "2", "3", "4" }) {
         EngineState& state = engine(name, {});
@@ -227,8 +229,8 @@
     BOOST_TEST(asked("f") == std::vector<std::string> { "6" });
 }
 
-// Two agents were asked in turn, each said no, and meanwhile a third one had room.
-BOOST_AUTO_TEST_CASE(anAgentThatSaidNoIsPassedByForAWhile)
+// Prevents a planner from alternating between two agents that both refuse while a third engine has enough memory.
+BOOST_AUTO_TEST_CASE(anAgentThatRefusedIsNotAskedForAWhile)
 {
     EngineState& first = engine("1", {});
     first.atHand.disk.push_back(ModelName("e"));
@@ -242,7 +244,7 @@
     BOOST_TEST(asked("e") == std::vector<std::string> { "2" });
 }
 
-BOOST_AUTO_TEST_CASE(aModelThatNoEngineHasAtHandIsFetchedAhead)
+BOOST_AUTO_TEST_CASE(aModelThatNoEngineHasCachedIsPrefetched)
 {
     engine("1", { "a", "b" });
     engine("2", { "c", "d" }).atHand.disk.push_back(ModelName("e"));
@@ -253,8 +255,8 @@
     BOOST_TEST(asked("f").empty());
 }
 
-// Guards against a look into a configuration that has been replaced since.
-BOOST_AUTO_TEST_CASE(aModelThatTheNewConfigurationLacksIsNotFetchedAhead)
+// Prevents a look-up in a configuration that has been replaced.
+BOOST_AUTO_TEST_CASE(aModelMissingFromTheNewConfigurationIsNotPrefetched)
 {
     engine("1", { "a", "b" });
     engine("2", { "c", "d" });
@@ -264,7 +266,7 @@
     BOOST_TEST(asked("f").empty());
 }
 
-BOOST_AUTO_TEST_CASE(theSoonestEndIsToldFromThen)
+BOOST_AUTO_TEST_CASE(timeUntilLoadedCountsFromNow)
 {
     engine("1", {}).expected.push_back({ ModelName("e"), Milliseconds(900) });
     engine("2", {}).expected.push_back({ ModelName("e"), catalog::cannotPlace });
@@ -276,9 +278,9 @@
     BOOST_TEST(!planner.timeUntilLoaded(made.engines, waitingFor, now));
 }
 
-// A caller was told that a model wouldn't be there for six seconds. It was there; only an adapter was to be loaded,
-// which takes ten milliseconds, and the six seconds were those of a further copy of the model elsewhere.
-BOOST_AUTO_TEST_CASE(aCopysLoadSaysNothingOfAnAdapter)
+// Prevents a caller from being refused with the 6 s that a further copy of its model takes to load elsewhere, when the
+// model is already loaded and only an adapter has to be loaded, which takes 10 ms.
+BOOST_AUTO_TEST_CASE(theLoadOfACopyIsNoForecastForAnAdapter)
 {
     engine("1", { "e" });
     engine("2", {}).expected.push_back({ ModelName("e"), Milliseconds(6000) });
@@ -288,9 +290,10 @@
     BOOST_TEST(!planner.timeUntilLoaded(input().engines, waitingFor, now));
 }
 
-// All engines of a service were replaced by empty ones within ten seconds, and 30 models had to come from a store that
-// serves four at once. Seventeen of 91 callers of rare models held on for the ten seconds until they leave, without
-// having been offered to an engine: nobody knew that the load they waited for could not even begin in time.
+// Prevents requests from waiting in vain for a load that can't begin in time because the weight store is fully used.
+// All engines of a service were replaced by empty ones within 10 s, and 30 models had to be loaded from a store that
+// serves four at once: 17 of 91 callers of rare models waited the 10 s until they disconnect without being sent to an
+// engine.
 BOOST_AUTO_TEST_CASE(aLoadThatWaitsForTheStoreIsForecast)
 {
     for (const std::string name : { "1", "2", "3", "4" }) {
@@ -307,9 +310,9 @@
     BOOST_TEST(timeUntilLoaded->count() == 2000 + 6000 - 500);
 }
 
-// The store had one place left. It went to the model whose name came first, for one caller, and five others who waited
-// for another model had left when that one was there.
-BOOST_AUTO_TEST_CASE(theStoresLastPlaceGoesWhereMostWait)
+// Prevents the last free slot of the weight store from going to the model whose name sorts first, with one waiting
+// request, while five requests for another model time out before it is loaded.
+BOOST_AUTO_TEST_CASE(theLastStoreSlotGoesToTheModelWithMostWaitingRequests)
 {
     for (const std::string name : { "1", "2", "3" }) {
         EngineState& state = engine(name, {});
@@ -324,9 +327,9 @@
     BOOST_TEST(asked("b").empty());
 }
 
-// All machines lost power. The one engine with a busy model's weights on its disk was asked at once to fetch a model
-// that nobody wanted, and could load the busy one only when that had ended, after seven seconds of overload elsewhere.
-BOOST_AUTO_TEST_CASE(nothingIsFetchedAheadBeforeDemandIsKnown)
+// Prevents prefetching right after a power loss of all machines: the only engine with a busy model's weights on disk
+// was asked to load a model without demand, and could load the busy one only after 7 s of overload elsewhere.
+BOOST_AUTO_TEST_CASE(nothingIsPrefetchedBeforeDemandIsKnown)
 {
     EngineState& only = engine("1", {});
     for (const std::string name : { "a", "b", "c", "d", "e" })
@@ -337,9 +340,9 @@
     BOOST_TEST(asked("f") == std::vector<std::string> { "1" });
 }
 
-// The engine that was asked for a copy had to let a stream end, its neighbour's ended a moment sooner and it was asked
-// in place of the first, and so on in turn: none ever came to the load.
-BOOST_AUTO_TEST_CASE(anEngineThatWasAskedForACopyIsKeptTo)
+// Prevents the requests for a copy from alternating between engines: the first one had to let a stream end, its
+// neighbour's stream ended slightly earlier and it was asked instead, and so on, so none of them began to load.
+BOOST_AUTO_TEST_CASE(anEngineThatWasAskedForACopyIsKept)
 {
     engine("1", { "a" }).held[0].work = 0.9;
     for (const std::string name : { "2", "3" }) {
@@ -360,7 +363,7 @@
 
 namespace {
 
-/// Two of these models fit into an engine. Each engine holds two, and each model is cached on one engine more.
+/// Two of these models fit on an engine. Each engine has two loaded, and each model is also cached on one other engine.
 struct Fleet {
     explicit Fleet(std::size_t engines)
     {
@@ -384,7 +387,7 @@
     static ModelName model(std::size_t number) { return ModelName("m" + std::to_string(number)); }
     static Endpoint engine(std::size_t number) { return Endpoint("e" + std::to_string(number)); }
 
-    /// A router whose callers use thirty models and wait for five that no engine has loaded.
+    /// Plans for a router whose callers use thirty models and wait for five that no engine has loaded.
     LoadPlan plan()
     {
         PlannerInput input { profile, replicas, {}, {}, {}, true, now, Milliseconds(500) };
@@ -448,8 +451,8 @@
 
 BOOST_AUTO_TEST_SUITE(DemandPlannersOfLargeFleets)
 
-// Guards against control whose cost grows with the number of engines and models.
-BOOST_AUTO_TEST_CASE(costWhatTheRoutersOwnRequestsCost)
+// Prevents the cost of planning from growing with the number of engines and models.
+BOOST_AUTO_TEST_CASE(costDependsOnTheRoutersOwnRequestsOnly)
 {
     std::vector<std::size_t> subscriptions;
     std::vector<std::size_t> placements;
@@ -467,7 +470,7 @@
     BOOST_TEST(static_cast<double>(placements[1]) <= 1.3 * static_cast<double>(placements[0]));
 }
 
-BOOST_AUTO_TEST_CASE(subscribeToTheEnginesOfTheModelsInUse)
+BOOST_AUTO_TEST_CASE(subscribesToTheEnginesOfTheModelsInUse)
 {
     Fleet fleet(100);
     const LoadPlan plan = fleet.plan();
@@ -475,8 +478,8 @@
         BOOST_TEST(plan.subscriptions.contains(Fleet::engine(number)));
 }
 
-// Guards against routers that hear different engines and each ask another one for the same model.
-BOOST_AUTO_TEST_CASE(askTheSameEngineThoughTheyHearDifferentOnes)
+// Prevents routers that know the states of different engines from asking different ones to load the same model.
+BOOST_AUTO_TEST_CASE(askTheSameEngineDespiteDifferentSubscriptions)
 {
     Fleet fleet(100);
     fleet.addAbsentModels();
@@ -492,8 +495,8 @@
     BOOST_TEST(loaders(other.plan(), "absent1") == chosen);
 }
 
-// Guards against a model that is never loaded since all engines of its first choice have refused it.
-BOOST_AUTO_TEST_CASE(goOnToTheNextEnginesWhenTheFirstRefuse)
+// Prevents a model from never being loaded because all engines of its first choice have refused it.
+BOOST_AUTO_TEST_CASE(continueWithTheNextEnginesWhenTheFirstRefuse)
 {
     Fleet fleet(100);
     fleet.addAbsentModels();
@@ -509,8 +512,8 @@
     BOOST_TEST(!before.contains(Endpoint(chosen[0])));
 }
 
-// Guards against a model that is never loaded since its first choices have no agents, as on a fleet with few of them.
-BOOST_AUTO_TEST_CASE(passOverEnginesWhoseAgentsCannotBeReached)
+// Prevents a model from never being loaded because its preferred engines have no agents, as in a fleet with few agents.
+BOOST_AUTO_TEST_CASE(skipEnginesWithUnreachableAgents)
 {
     Fleet fleet(100);
     fleet.addAbsentModels();
@@ -522,7 +525,7 @@
     BOOST_TEST(!fleet.unreachable.contains(Endpoint(chosen[0])));
 }
 
-// Guards against links that are opened and closed from plan to plan.
+// Prevents connections to agents from being opened and closed from plan to plan.
 BOOST_AUTO_TEST_CASE(keepASubscriptionForAWhile)
 {
     Fleet fleet(100);
@@ -535,8 +538,8 @@
     BOOST_TEST(fleet.plan().subscriptions.size() < before.size());
 }
 
-// Guards against routers that each take the whole fleet's budget since no agent hears them all.
-BOOST_AUTO_TEST_CASE(subscribeToTheSameFewEnginesThatCountThem)
+// Prevents each router from taking the whole fleet's retry budget because no agent receives messages from all routers.
+BOOST_AUTO_TEST_CASE(subscribeToTheSameFewEnginesThatCountRouters)
 {
     Fleet idle(100);
     idle.profile.models = {};
--- a/src/forwarding/tests/demandpublisher_test.cpp
+++ b/src/forwarding/tests/demandpublisher_test.cpp
@@ -17,7 +17,7 @@
 const Endpoint endpoint("10.0.0.1:80");
 const ModelName chat("chat");
 
-/// One engine of 96 slots that holds the model, and what its agent is told.
+/// One engine with 96 slots that has the model loaded, and the demand that is published to its agent.
 struct Fixture {
     Fixture()
     {
@@ -42,7 +42,7 @@
         return state;
     }
 
-    /// Chats of some 700 tokens, whose answers may have up to 950, as many a second.
+    /// Offers chats of some 700 prompt tokens, whose answers may have up to 950 tokens, at this rate.
     void offer(int perSecond, Milliseconds lasts)
     {
         RequestFacts facts;
@@ -79,10 +79,10 @@
 
 BOOST_FIXTURE_TEST_SUITE(TheWorkOfAModel, Fixture)
 
-// Twenty chats a second, each of 700 tokens and a stream of a second and a half, take a third of an engine's reading
-// and thirty of its 96 slots. Counted by the most tokens that their answers may have, they had six engines, and the
-// rare models that made way for the copies were loaded over and over.
-BOOST_AUTO_TEST_CASE(isTheReadingOfItsPromptsAndTheSlotsThatItTakes)
+// Prevents the work of a model from being overestimated: 20 chats per second with 700 prompt tokens and streams of 1.5
+// s take a third of an engine's prompt processing and 30 of its 96 slots. Estimated by the maximum tokens of their
+// answers they got six engines, and the rare models that were evicted for the copies were loaded over and over.
+BOOST_AUTO_TEST_CASE(isThePromptProcessingAndTheSlotsInUse)
 {
     offer(20, Milliseconds(10000));
     BOOST_TEST(publishedWork() > 0.3);
@@ -93,8 +93,8 @@
     BOOST_TEST(publishedWork() < 0.95);
 }
 
-// Reviews of 9,300 tokens fill an engine's memory when 28 of its 64 slots are taken.
-BOOST_AUTO_TEST_CASE(countsMemoryWhereThatIsScarcerThanSlots)
+// Reviews of 9,300 tokens fill an engine's memory when 28 of its 64 slots are in use.
+BOOST_AUTO_TEST_CASE(countsMemoryIfItIsScarcerThanSlots)
 {
     table.ready(service).at(0)->inFlightByTarget[{ chat, {} }] = 48;
     const double bySlots = publishedWork();
--- a/src/forwarding/tests/eventsplitter_test.cpp
+++ b/src/forwarding/tests/eventsplitter_test.cpp
@@ -12,7 +12,7 @@
 
 BOOST_AUTO_TEST_SUITE(EventSplitters)
 
-BOOST_AUTO_TEST_CASE(onlyWholeEventsComeOut)
+BOOST_AUTO_TEST_CASE(returnsOnlyWholeEvents)
 {
     EventSplitter splitter(std::nullopt);
     const std::string both = event(4) + event(5);
@@ -28,7 +28,7 @@
     BOOST_TEST(splitter.hasPartialEvent());
 }
 
-BOOST_AUTO_TEST_CASE(carriageReturnsEndEventsToo)
+BOOST_AUTO_TEST_CASE(acceptsCarriageReturns)
 {
     EventSplitter splitter(std::nullopt);
     const std::string one = "id: 1\r\ndata: x\r\n\r\n";
@@ -36,9 +36,9 @@
     BOOST_TEST(*splitter.last() == 1U);
 }
 
-// A stream went on at another server, and the caller read one sentence twice: the second server had begun with an event
-// that had already been passed on.
-BOOST_AUTO_TEST_CASE(anEventThatComesTwiceOrIsMissingBreaksTheStream)
+// Prevents a caller from receiving an event twice when the server that resumes a stream begins with an event that has
+// already been relayed.
+BOOST_AUTO_TEST_CASE(aDuplicateOrMissingEventBreaksTheStream)
 {
     EventSplitter twice(7);
     BOOST_TEST(twice.feed(event(7)).empty());
@@ -49,14 +49,14 @@
     BOOST_TEST(*missing.last() == 8U);
 }
 
-BOOST_AUTO_TEST_CASE(eventsWithoutIdsPass)
+BOOST_AUTO_TEST_CASE(acceptsEventsWithoutIds)
 {
     EventSplitter splitter(3);
     BOOST_TEST(splitter.feed("data: x\n\n: comment\n\n") == "data: x\n\n: comment\n\n");
     BOOST_TEST(*splitter.last() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(anEventWithoutEndIsBoundedInMemory)
+BOOST_AUTO_TEST_CASE(anUnterminatedEventIsBoundedInMemory)
 {
     EventSplitter splitter(std::nullopt);
     for (int part = 0; part < 40; ++part)
--- a/src/forwarding/tests/expectedretries_test.cpp
+++ b/src/forwarding/tests/expectedretries_test.cpp
@@ -22,7 +22,7 @@
 }
 
 struct Fixture {
-    /// Refused at these moments; each leaves four seconds later.
+    /// Refuses one caller at each of these times; each gives up 4 s later.
     void refuse(std::initializer_list<int> milliseconds)
     {
         for (const int at : milliseconds) {
@@ -42,11 +42,12 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(CallersThatComeBack, Fixture)
+BOOST_FIXTURE_TEST_SUITE(ExpectedRetriesTests, Fixture)
 
-// Demand moved to a model that no engine held. Its callers bear two seconds and its load took 2.1, so all were refused
-// at once; for ten seconds models with one patient caller each were loaded before it, and 180 requests were lost.
-BOOST_AUTO_TEST_CASE(eachOfThemCountsForTheLoad)
+// Prevents a load from being postponed because all its callers are refused at once. Demand moved to a model that no
+// engine had loaded: its callers wait 2 s but its load took 2.1 s, so for 10 s models with one patient caller each were
+// loaded before it, and 180 requests were lost.
+BOOST_AUTO_TEST_CASE(eachExpectedRetryCountsForTheLoad)
 {
     refuse({ 0, 100, 200 });
     BOOST_TEST(count() == 3u);
@@ -54,7 +55,7 @@
     BOOST_TEST(callers.expected(ServiceName("others")).empty());
 }
 
-BOOST_AUTO_TEST_CASE(whoComesBackIsNotExpectedAnyMore)
+BOOST_AUTO_TEST_CASE(aCallerThatRetriesIsNoLongerExpected)
 {
     refuse({ 0, 100 });
     callers.didArrive(service, model);
@@ -64,7 +65,7 @@
     BOOST_TEST(count() == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(whoHasLeftIsNotExpectedAnyMore)
+BOOST_AUTO_TEST_CASE(aCallerPastItsDeadlineIsNoLongerExpected)
 {
     refuse({ 0, 1000 });
     callers.dropExpired(start + Milliseconds(4500));
@@ -73,7 +74,7 @@
     BOOST_TEST(count() == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(nobodyIsExpectedOnceTheModelIsThere)
+BOOST_AUTO_TEST_CASE(noRetriesAreExpectedOnceTheModelIsLoaded)
 {
     refuse({ 0, 100 });
     callers.forget(service, model);
--- a/src/forwarding/tests/forwarder_test.cpp
+++ b/src/forwarding/tests/forwarder_test.cpp
@@ -42,7 +42,7 @@
     }
 };
 
-/// Keeps the answer.
+/// Records the answer.
 class RecordingExchange final : public http::IExchange {
 public:
     RecordingExchange()
@@ -62,7 +62,7 @@
     std::size_t unsentBytes() const override { return 0; }
     void setDrainedHandler(std::function<void()>) override { }
 
-    /// Before the event loop has come to it.
+    /// The caller disconnects, but the event loop hasn't processed it yet.
     void disconnect() { hasLeft_ = true; }
     bool isAnswered() const { return head_.has_value(); }
     unsigned status() const { return head_ ? head_->status : 0; }
@@ -78,7 +78,7 @@
     bool hasLeft_ = false;
 };
 
-/// One engine, which doesn't hold the model; its agent says when it will.
+/// A forwarder with one engine that doesn't have the model loaded; its agent reports when it will.
 struct OneEngine {
     OneEngine()
     {
@@ -118,7 +118,7 @@
         return upstream;
     }
 
-    /// Runs on the traffic thread and waits for it.
+    /// Runs the action on the traffic thread and waits for it.
     void onTraffic(const std::function<void()>& action)
     {
         std::promise<void> done;
@@ -129,7 +129,7 @@
         done.get_future().wait();
     }
 
-    /// A request that comes while the engine's agent expects the model within the time.
+    /// Sends a request while the engine's agent expects the model to be loaded within this time.
     std::shared_ptr<RecordingExchange> sendWaitingRequest(Milliseconds loadedWithin)
     {
         auto exchange = std::make_shared<RecordingExchange>();
@@ -169,7 +169,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(TheEndOfAForwarder, OneEngine)
+BOOST_FIXTURE_TEST_SUITE(ForwarderShutdown, OneEngine)
 
 BOOST_AUTO_TEST_CASE(aRequestWaitsForItsModelsLoad)
 {
@@ -177,9 +177,9 @@
     BOOST_TEST(!exchange->isAnswered());
 }
 
-// A router with four seconds left held a review for a load of six, though it knew both: three seconds of the caller's
-// time were gone when it refused, and another router could have had the review waiting from the beginning.
-BOOST_AUTO_TEST_CASE(aWaitThatWouldEndAfterItIsRefusedAtOnce)
+// Prevents a request from waiting for a load of 6 s on a router that shuts down in 4 s: when it was refused at the end,
+// 3 s of the caller's time had passed, although the request could have waited at another router from the beginning.
+BOOST_AUTO_TEST_CASE(aWaitBeyondTheShutdownIsRefusedAtOnce)
 {
     const auto exchange = sendWaitingRequest(Milliseconds(6000));
     shutDownWithin(Milliseconds(4000));
@@ -187,7 +187,7 @@
     BOOST_TEST(exchange->retryAfter().count() < 1000);
 }
 
-BOOST_AUTO_TEST_CASE(aRequestThatComesLaterAndCouldNotBeServedIsRefusedToo)
+BOOST_AUTO_TEST_CASE(aLaterRequestThatCanNotBeServedInTimeIsRefused)
 {
     shutDownWithin(Milliseconds(4000));
     const auto exchange = sendWaitingRequest(Milliseconds(6000));
@@ -195,16 +195,16 @@
     BOOST_TEST(exchange->status() == 503u);
 }
 
-BOOST_AUTO_TEST_CASE(aWaitThatEndsBeforeItGoesOn)
+BOOST_AUTO_TEST_CASE(aWaitThatEndsBeforeTheShutdownContinues)
 {
     const auto exchange = sendWaitingRequest(Milliseconds(1000));
     shutDownWithin(Milliseconds(4000));
     BOOST_TEST(!exchange->isAnswered());
 }
 
-// A review waited for its model until a router was nearly at its end, was sent to the engine when sixteen milliseconds
-// were left, and was cut behind its first word. Another router would have brought all of it.
-BOOST_AUTO_TEST_CASE(whatNoServerHasHalfWayIsRefused)
+// Prevents a stream from starting just before the shutdown deadline: a request was sent to the engine with 16 ms left
+// and cut off after its first word, although another router could have delivered all of it.
+BOOST_AUTO_TEST_CASE(aRequestWithoutAServerByTheStartDeadlineIsRefused)
 {
     const auto exchange = sendWaitingRequest(Milliseconds(1000));
     shutDownWithin(Milliseconds(0), Milliseconds(8000));
@@ -213,9 +213,9 @@
     BOOST_TEST(exchange->retryAfter().count() < 1000);
 }
 
-// A router's VM stood still until the router's time was over. Its process went on and ended in the same moment, before
-// the timers that would have refused the requests that waited.
-BOOST_AUTO_TEST_CASE(whoeverStillWaitsAtTheVeryEndIsRefused)
+// Prevents requests from being dropped without an answer when a router's VM stalls until its shutdown deadline: the
+// process resumed and ended at the same moment, before the timers that refuse waiting requests.
+BOOST_AUTO_TEST_CASE(requestsThatStillWaitAtTheEndAreRefused)
 {
     const auto exchange = sendWaitingRequest(Milliseconds(1000));
     shutDownWithin(Milliseconds(4000));
@@ -227,8 +227,8 @@
     BOOST_TEST(exchange->retryAfter().count() < 1000);
 }
 
-// Guards against sending a request to a server after its caller has left, while the event loop is behind.
-BOOST_AUTO_TEST_CASE(aRequestWhoseCallerLeftUnnoticedIsNotSent)
+// Prevents a request from being sent to a server after its caller has disconnected, while the event loop is behind.
+BOOST_AUTO_TEST_CASE(aRequestWhoseCallerHasDisconnectedIsNotSent)
 {
     const auto exchange = std::make_shared<RecordingExchange>();
     exchange->disconnect();
@@ -242,8 +242,8 @@
     });
 }
 
-// Guards against a request that reaches a server after it has left, since its connection took long to stand.
-BOOST_AUTO_TEST_CASE(aRequestWhoseServerLeftWhileItConnectedIsNotSentThere)
+// Prevents a request from being sent to a server that has been removed while its connection was being opened.
+BOOST_AUTO_TEST_CASE(aRequestIsNotSentToAServerRemovedWhileConnecting)
 {
     using boost::asio::ip::tcp;
     boost::asio::io_context context;
--- a/src/forwarding/tests/liveness_test.cpp
+++ b/src/forwarding/tests/liveness_test.cpp
@@ -41,11 +41,12 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(TheLivenessOfAnUpstream)
+BOOST_AUTO_TEST_SUITE(LivenessTests)
 
-// Party guests ask an engine whose VM has just stopped. Seven more a second were sent there until its agent had missed
-// two words; all of them left after two seconds, and the engine met them when its VM went on four seconds later.
-BOOST_AUTO_TEST_CASE(anEngineThatBringsNothingFallsSilentLongBeforeItsCallersLeave)
+// Prevents requests from being sent to an engine whose VM has just stalled: seven more per second were sent there until
+// its agent had missed two reports. Their callers disconnected after 2 s, and the engine processed the requests when
+// its VM resumed 4 s later.
+BOOST_AUTO_TEST_CASE(anEngineWithoutActivityIsSilentLongBeforeItsCallersDisconnect)
 {
     Liveness liveness;
     liveness.didSend(start, Milliseconds(60));
@@ -55,7 +56,7 @@
     BOOST_TEST(liveness.isSilent(after(500)));
 }
 
-BOOST_AUTO_TEST_CASE(eventsOfAnyOfItsStreamsAreSigns)
+BOOST_AUTO_TEST_CASE(eventsOfAnyStreamAreActivity)
 {
     Liveness liveness;
     liveness.didSend(start, Milliseconds(60));
@@ -65,8 +66,9 @@
     BOOST_TEST(liveness.isSilent(after(4300)));
 }
 
-// A review of 9,000 tokens behind four others is read after a second. That engine isn't silent, it is busy.
-BOOST_AUTO_TEST_CASE(aLongQueueIsGivenItsTime)
+// Prevents a busy engine from being taken for silent: a review of 9,000 tokens queued behind four others is processed
+// after 1 s.
+BOOST_AUTO_TEST_CASE(aLongQueueExtendsTheTimeUntilSilence)
 {
     Liveness liveness;
     liveness.didSend(start, Milliseconds(960));
@@ -76,9 +78,10 @@
     BOOST_TEST(hopeless.isSilent(after(2000)));
 }
 
-// Five routers sent fourteen chats to an engine in the 0.3 s after its VM had stopped: four engines held the model, and
-// each router had several streams there that had brought an event each 30 ms until then.
-BOOST_AUTO_TEST_CASE(anEngineThatPausesForLongerThanItDoesIsNoticedWithinATenthOfASecond)
+// Prevents requests from being sent to a stalled engine before it counts as silent: five routers sent 14 chats to an
+// engine in the first 0.3 s after its VM had stalled. Four engines had the model loaded, and each router had several
+// streams there that had sent an event every 30 ms until then.
+BOOST_AUTO_TEST_CASE(anUnusualPauseIsDetectedWithinATenthOfASecond)
 {
     Liveness liveness;
     liveness.didSend(start, Milliseconds(60));
@@ -88,8 +91,8 @@
     BOOST_TEST(liveness.isPausing(after(570 + 120)));
 }
 
-// An engine that reads prompts in pieces of 110 ms isn't one that has stopped.
-BOOST_AUTO_TEST_CASE(itsUsualPausesMeanNothing)
+// Prevents an engine that processes prompts in chunks of 110 ms from being taken for a stalled one.
+BOOST_AUTO_TEST_CASE(usualPausesAreIgnored)
 {
     Liveness liveness;
     liveness.didSend(start, Milliseconds(60));
@@ -100,7 +103,7 @@
     BOOST_TEST(liveness.isPausing(after(last + 400)));
 }
 
-BOOST_AUTO_TEST_CASE(whatOwesNothingIsNotSilent)
+BOOST_AUTO_TEST_CASE(anUpstreamWithoutOutstandingRequestsIsNotSilent)
 {
     Liveness liveness;
     liveness.didSend(start, Milliseconds(60));
@@ -109,7 +112,7 @@
     BOOST_TEST(!liveness.isSilent(after(10000)));
 }
 
-BOOST_AUTO_TEST_CASE(whatWasGivenUpStaysSilentUntilItIsHeard)
+BOOST_AUTO_TEST_CASE(anAbandonedUpstreamStaysSilentUntilItIsActive)
 {
     Liveness liveness;
     liveness.didSend(start, Milliseconds(60));
@@ -120,8 +123,8 @@
     BOOST_TEST(!liveness.isSilent(after(9000)));
 }
 
-// No agent speaks for the engine, so only an answer can show that it lives.
-BOOST_AUTO_TEST_CASE(aSilentOneIsProbedByOneRequestInFiveSeconds)
+// Without an agent, only an answer can show that the engine is alive.
+BOOST_AUTO_TEST_CASE(aSilentUpstreamIsProbedByOneRequestInFiveSeconds)
 {
     Liveness liveness;
     liveness.didSend(start, Milliseconds(60));
@@ -132,7 +135,7 @@
     BOOST_TEST(liveness.mayProbe(after(11000)));
 }
 
-BOOST_AUTO_TEST_CASE(oneSilentEngineAmongThreeIsPassedBy)
+BOOST_AUTO_TEST_CASE(oneSilentEngineAmongThreeIsDetected)
 {
     Engines engines(3);
     engines.engine(0).liveness.didSend(start, Milliseconds(60));
@@ -142,9 +145,9 @@
     BOOST_TEST(!engines.table.isSilent(engines.engine(1), after(1000)));
 }
 
-// A router's own VM stood still for three seconds. When it goes on, all its engines owe answers since long ago, and
-// those that have come aren't read yet.
-BOOST_AUTO_TEST_CASE(aRouterThatStoodStillItselfPassesNoneBy)
+// Prevents a router whose own VM stalled for 3 s from excluding all its engines: when it resumes, their answers appear
+// overdue because those that have arrived haven't been read yet.
+BOOST_AUTO_TEST_CASE(aRouterThatStalledItselfExcludesNoEngine)
 {
     Engines engines(3);
     for (std::size_t number = 0; number < 3; ++number)
@@ -152,7 +155,7 @@
     BOOST_TEST(!engines.table.isSilent(engines.engine(0), after(3000)));
 }
 
-BOOST_AUTO_TEST_CASE(aWordOfItsAgentIsASign)
+BOOST_AUTO_TEST_CASE(aReportOfItsAgentIsActivity)
 {
     Engines engines(3);
     engines.engine(0).liveness.didSend(start, Milliseconds(60));
--- a/src/forwarding/tests/replicaindex_test.cpp
+++ b/src/forwarding/tests/replicaindex_test.cpp
@@ -39,7 +39,7 @@
     BOOST_TEST(index.loadedAt(ModelName("none")).empty());
 }
 
-BOOST_AUTO_TEST_CASE(anUpdateReplacesWhatTheEngineHad)
+BOOST_AUTO_TEST_CASE(anUpdateReplacesTheContentsOfTheEngine)
 {
     ReplicaIndex index;
     index.set(first, { { chat }, {} });
@@ -52,7 +52,7 @@
     BOOST_TEST(index.size() == 0u);
 }
 
-// Guards against routers that learn of engines in another order and ask different ones for the same model.
+// Prevents routers that learn of engines in different orders from asking different ones to load the same model.
 BOOST_AUTO_TEST_CASE(theOrderOfAModelIsTheSameEverywhere)
 {
     ReplicaIndex index;
@@ -69,8 +69,8 @@
     BOOST_TEST(index.rank(chat, order[5], 5) == 5u);
 }
 
-// Guards against memory that grows with models times engines.
-BOOST_AUTO_TEST_CASE(theOrdersOfManyModelsAreTheSameWhenTheyAreMadeAnew)
+// Prevents memory use from growing with the number of models times engines.
+BOOST_AUTO_TEST_CASE(evictedOrdersAreRecreatedIdentically)
 {
     ReplicaIndex index;
     for (int number = 0; number < 10; ++number)
@@ -81,7 +81,8 @@
     BOOST_TEST(orderOf(index, chat) == order);
 }
 
-// Guards against an engine that came or left and is missed in, or still stands in, the orders of models.
+// Prevents an engine that was added from missing in the orders of models, and one that was removed from remaining in
+// them.
 BOOST_AUTO_TEST_CASE(theOrderFollowsTheEngines)
 {
     ReplicaIndex index;
--- a/src/forwarding/tests/upstreamtable_test.cpp
+++ b/src/forwarding/tests/upstreamtable_test.cpp
@@ -51,7 +51,7 @@
 struct Fixture {
     UpstreamRecord& only() { return *table.ready(service).at(0); }
 
-    /// What a router comes to know of a server by using it.
+    /// Records data that a router collects about a server by using it.
     void use()
     {
         only().prompts.didSend(prompt);
@@ -92,9 +92,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(TheUpstreamTable, Fixture)
 
-// An engine had started again under its id. The router still counted on the prompts that the former run had read: it
-// sent what began alike there, where all of it was read anew, and passed others by for the failures of the crash.
-BOOST_AUTO_TEST_CASE(nothingKnownOfAServerOutlivesItsRestart)
+// Prevents the data of a former run from being used after an engine has restarted under the same id: the router sent
+// requests there for cached prompts that no longer existed, and excluded the engine for the failures of the crash.
+BOOST_AUTO_TEST_CASE(dataOfAServerIsDroppedWhenItRestarts)
 {
     table.setUpstreams({ upstream(100) });
     use();
@@ -105,7 +105,7 @@
     BOOST_TEST(only().facts.started->value() == 200U);
 }
 
-BOOST_AUTO_TEST_CASE(aServerThatWasTakenForGoneIsThereAgainAfterItsRestart)
+BOOST_AUTO_TEST_CASE(aReplacedServerIsUsedAgainAfterItsRestart)
 {
     table.setUpstreams({ upstream(100) });
     only().isReplaced = true;
@@ -114,8 +114,9 @@
     BOOST_TEST(table.ready(service).size() == 1U);
 }
 
-// The list named another address under the same id, and requests still went over the connections to the old one.
-BOOST_AUTO_TEST_CASE(aServerAtAnotherAddressIsKnownAnew)
+// Prevents requests from being sent over connections to the old address when the list names another address under the
+// same id.
+BOOST_AUTO_TEST_CASE(dataOfAServerIsDroppedWhenItsAddressChanges)
 {
     table.setUpstreams({ upstream(0) });
     use();
@@ -123,9 +124,9 @@
     BOOST_TEST(isReset());
 }
 
-// A router read of a restart in the list, then got a word that the engine's agent had sent before it, and for a second
-// sent requests for a model that the engine no longer had.
-BOOST_AUTO_TEST_CASE(whatAnAgentSaidOfTheFormerRunIsNotBelieved)
+// Prevents a report that an agent sent before a restart from being used after the list has shown the restart: for a
+// second the router sent requests for a model that the engine no longer had.
+BOOST_AUTO_TEST_CASE(reportsOfAFormerRunAreIgnored)
 {
     table.setUpstreams({ upstream(200) });
     table.setState(state(100, true), now);
@@ -136,8 +137,8 @@
     BOOST_TEST(table.hasLoaded(only(), target, now));
 }
 
-// An agent, which asks its engine several times a second, mostly sees a restart before the list shows it.
-BOOST_AUTO_TEST_CASE(anAgentsWordOfARestartIsEnough)
+// An agent queries its engine several times a second, so it usually sees a restart before the list shows it.
+BOOST_AUTO_TEST_CASE(anAgentsReportOfARestartIsSufficient)
 {
     table.setUpstreams({ upstream(100) });
     table.setState(state(100, true), now);
@@ -148,7 +149,7 @@
     BOOST_TEST(isReset());
     BOOST_TEST(!table.hasLoaded(only(), target, now));
     use();
-    // The list still shows the former run, then the same as the agent.
+    // The list first still shows the former run, then the same run as the agent.
     table.setUpstreams({ upstream(100) });
     BOOST_TEST(isUsed());
     BOOST_TEST(table.state(only(), now));
@@ -156,8 +157,8 @@
     BOOST_TEST(isUsed());
 }
 
-// The list goes on naming the models of the former run, and the agent that saw the restart falls silent.
-BOOST_AUTO_TEST_CASE(theModelsOfTheFormerRunAreNotHeldByTheNext)
+// The list still names the models of the former run, and the agent that saw the restart falls silent.
+BOOST_AUTO_TEST_CASE(modelsOfTheFormerRunAreNotLoadedInTheNext)
 {
     Upstream listed = upstream(100);
     listed.models.push_back({ target.model, 1, {}, 0 });
@@ -173,9 +174,9 @@
     BOOST_TEST(table.hasLoaded(only(), target, now));
 }
 
-// A restarted engine refused a request for a model that it no longer had. Until its agent's next word the router sent
-// the request there again and again, spent its repeats, and refused it.
-BOOST_AUTO_TEST_CASE(whatAServerSaysItLacksIsNotHeldUntilItIsSaidAnew)
+// Prevents a request from being sent again and again to a restarted engine that has rejected it as not loaded, which
+// spent the retry budget before the agent's next report and ended in a refusal.
+BOOST_AUTO_TEST_CASE(aRejectedModelIsNotLoadedUntilItIsReportedAgain)
 {
     Upstream listed = upstream(100);
     listed.models.push_back({ target.model, 1, {}, 0 });
@@ -188,7 +189,7 @@
     BOOST_TEST(table.hasLoaded(only(), target, now));
 }
 
-BOOST_AUTO_TEST_CASE(aMissingAdapterLeavesItsModel)
+BOOST_AUTO_TEST_CASE(aMissingAdapterDoesNotAffectItsModel)
 {
     const ModelTarget adapter { target.model, framework::AdapterName("a1") };
     EngineState reportedState = state(0, true);
@@ -201,7 +202,7 @@
     BOOST_TEST(table.hasLoaded(only(), target, now));
 }
 
-BOOST_AUTO_TEST_CASE(serversThatDoNotSayTheirStartAreKnownByTheirId)
+BOOST_AUTO_TEST_CASE(serversWithoutAStartTimeAreIdentifiedByTheirId)
 {
     table.setUpstreams({ upstream(0) });
     table.setState(state(0, true), now);
@@ -211,9 +212,10 @@
     BOOST_TEST(table.hasLoaded(only(), target, now));
 }
 
-// An engine crashed. For two and a half seconds its agent's last word held, so each chat for its model was sent there,
-// found no listener three times within a moment, and was refused; nobody was asked to load the model elsewhere.
-BOOST_AUTO_TEST_CASE(anEngineThatCannotBeConnectedToHoldsNothingUntilItsAgentSpeaks)
+// Prevents requests from being sent to a crashed engine for as long as its agent's last report is valid: for 2.5 s each
+// chat found no listener three times in quick succession and was refused, and no engine was asked to load the model
+// elsewhere.
+BOOST_AUTO_TEST_CASE(anUnreachableEngineHasNoModelsUntilItsAgentReports)
 {
     table.setUpstreams({ upstream(0) });
     table.setState(state(0, true), now);
@@ -238,8 +240,8 @@
     BOOST_TEST(table.hasLoaded(only(), target, now + Milliseconds(1500)));
 }
 
-// Guards against a model that isn't found at an engine whose agent this router doesn't subscribe to.
-BOOST_AUTO_TEST_CASE(anEngineWithoutASubscriptionServesWhatTheListSays)
+// Prevents a model from not being found on an engine whose agent this router doesn't subscribe to.
+BOOST_AUTO_TEST_CASE(anEngineWithoutASubscriptionServesTheListedModels)
 {
     Upstream listed = upstream(0);
     listed.models.push_back({ target.model, 1, {}, 0, 0 });
@@ -255,7 +257,7 @@
     BOOST_TEST(table.serving(service, target.model).empty());
 }
 
-BOOST_AUTO_TEST_CASE(aLostEngineIsIndexedAgainAfterAWhile)
+BOOST_AUTO_TEST_CASE(anUnreachableEngineIsIndexedAgainAfterAWhile)
 {
     Upstream listed = upstream(0);
     listed.models.push_back({ target.model, 1, {}, 0, 0 });
@@ -284,7 +286,7 @@
     BOOST_TEST(table.routers() == 5u);
 }
 
-// Guards against figures that are taken for those of other models.
+// Prevents load figures from being applied to a state with other models.
 BOOST_AUTO_TEST_CASE(aLoadOfAnotherStateIsIgnored)
 {
     table.setUpstreams({ upstream(0) });
@@ -295,8 +297,8 @@
     BOOST_TEST(table.state(only(), now)->state.running == 0u);
 }
 
-// Guards against an engine that the list has dropped and that a request, which ends there only then, brings back.
-BOOST_AUTO_TEST_CASE(anEngineThatIsGoneIsNotIndexedByItsLastRequest)
+// Prevents an engine that was removed from the list from being indexed again by a request that ends there later.
+BOOST_AUTO_TEST_CASE(aRemovedEngineIsNotIndexedByItsLastRequest)
 {
     Upstream listed = upstream(0);
     listed.models.push_back({ target.model, 1, {}, 0, 0 });
@@ -318,7 +320,7 @@
     BOOST_TEST(connectionsAfterLoad(0, 1) == 85u);
 }
 
-// Guards against routers that go on with too large a share of an engine's connections as more of them come.
+// Prevents routers from keeping too large a share of an engine's connections when the number of routers grows.
 BOOST_AUTO_TEST_CASE(aLoadThatNamesMoreRoutersLowersTheShareOfConnections)
 {
     BOOST_TEST(connectionsAfterLoad(2, 10) == 8u);
--- a/src/forwarding/types/requestfacts.h
+++ b/src/forwarding/types/requestfacts.h
@@ -11,17 +11,18 @@
 
 namespace lagoon::forwarding {
 
-/// A part of a prompt. Requests whose prompts begin with the same parts share what an engine has read of them.
+/// A part of a prompt. An engine that has processed the parts at the beginning of one prompt reuses them for requests
+/// whose prompts begin with the same parts.
 struct PromptPart {
     std::string id;
     std::uint32_t tokens = 0;
 };
 
-/// What a request's headers state.
+/// The properties of a request that its headers state.
 struct RequestFacts {
-    /// Names this try of the caller; another try has another.
+    /// The id of this attempt of the caller; each attempt has its own.
     std::string attempt;
-    /// How long the caller waits, from receipt.
+    /// How long the caller waits for the answer, counted from receipt.
     std::optional<framework::Milliseconds> timeLeft;
     /// Empty for plain services.
     framework::ModelName model;
@@ -29,7 +30,7 @@
     catalog::Tokens promptTokens;
     catalog::Tokens maxOutputTokens;
     std::vector<PromptPart> prompt;
-    /// The last event that the caller already has.
+    /// The id of the last event that the caller has received, if it resumes a stream.
     std::optional<std::uint64_t> lastEvent;
 };
 
