--- a/src/forwarding/internal/demandplanner.cpp
+++ b/src/forwarding/internal/demandplanner.cpp
@@ -51,7 +51,7 @@
 /// A router subscribes to all engines of a service that has at most this many.
 constexpr std::size_t smallFleet = 64;
 /// Candidates for a model that requests wait for.
-constexpr CandidateCounts waitedCandidates { 8, 8 };
+constexpr CandidateCounts awaitedCandidates { 8, 8 };
 /// Candidates for a further copy of a busy model; one more preferred engine is added for each missing copy.
 constexpr CandidateCounts copyCandidates { 2, 1 };
 constexpr CandidateCounts prefetchCandidates { 0, 2 };
@@ -274,7 +274,7 @@
 void DemandPlanner::planWaiting(const PlannerInput& input)
 {
     deferredLoads_.clear();
-    std::set<ModelName> waitedFor;
+    std::set<ModelName> awaitedModels;
     for (const WaitingRequests& waiting : inLoadOrder(input)) {
         Wanted wanted;
         wanted.target = waiting.target;
@@ -285,10 +285,10 @@
             add(input, waiting.at, wanted);
             continue;
         }
-        waitedFor.insert(waiting.target.model);
+        awaitedModels.insert(waiting.target.model);
         planWaitingForModel(input, waiting, wanted);
     }
-    std::erase_if(choices_, [&](const auto& entry) { return !waitedFor.contains(entry.first); });
+    std::erase_if(choices_, [&](const auto& entry) { return !awaitedModels.contains(entry.first); });
 }
 
 /// The few slots of the weight store go to the loads with the most waiting requests that can still be served in time.
@@ -330,7 +330,7 @@
     const EngineFacts* best = nullptr;
     Milliseconds lowest(0);
     bool isStateMissing = false;
-    for (const Endpoint& candidate : candidatesFor(input, model->name, waitedCandidates)) {
+    for (const Endpoint& candidate : candidatesFor(input, model->name, awaitedCandidates)) {
         const EngineFacts* const engine = factsOf(candidate);
         if (!engine) {
             isStateMissing = true;
--- a/src/forwarding/internal/demandpublisher.cpp
+++ b/src/forwarding/internal/demandpublisher.cpp
@@ -20,15 +20,16 @@
 /// Assumed until some requests have been served.
 constexpr Milliseconds assumedRunTime { 500 };
 /// The fraction of a prompt's shared parts that an engine processes again, on average.
-constexpr double rereadShare = 0.25;
+constexpr double recomputedShare = 0.25;
 
 /// Returns the time that an engine takes to process the prompt, which blocks all other requests there. Generating the
 /// answer only takes a slot, which is counted while it is in use.
-Milliseconds readingTime(const RequestFacts& facts)
+Milliseconds prefillTime(const RequestFacts& facts)
 {
     const std::uint64_t own = facts.prompt.empty() ? facts.promptTokens.value() : facts.prompt.back().tokens;
     const auto shared = static_cast<double>(facts.promptTokens.value() - std::min(own, facts.promptTokens.value()));
-    return Milliseconds(std::llround((static_cast<double>(own) + rereadShare * shared) / promptTokensPerMillisecond));
+    return Milliseconds(
+        std::llround((static_cast<double>(own) + recomputedShare * shared) / promptTokensPerMillisecond));
 }
 
 } // namespace
@@ -45,7 +46,7 @@
 {
     if (facts.model.value().empty())
         return;
-    demand_.didArrive(facts.model, readingTime(facts), now);
+    demand_.didArrive(facts.model, prefillTime(facts), now);
     expectedRetries_.didArrive(service, facts.model);
 }
 
@@ -88,8 +89,8 @@
         byTarget(service.name, requests), {}, demand_.isKnown(now), now, runTime_.mean(), policy,
         upstreams_.enginesWithoutAgent() };
     input.work = occupancies(input.engines, service.engine->slots);
-    for (const auto& [model, reading] : demand_.recent(now))
-        input.work[model] += reading;
+    for (const auto& [model, prefill] : demand_.recent(now))
+        input.work[model] += prefill;
     LoadPlan plan = planners_[service.name].plan(input);
     logNewLoads(service.name, plan.wanted, input.engines.size());
     return plan;
--- a/src/forwarding/internal/forwarder.cpp
+++ b/src/forwarding/internal/forwarder.cpp
@@ -24,9 +24,9 @@
 using framework::Milliseconds;
 using framework::ServiceName;
 
-/// Changed demand is published to the agents within this time; later changes in that time are included.
+/// Changed demand is published to the agents within this time; changes in the meantime go into the same plan.
 constexpr Milliseconds urgentPlanDelay { 15 };
-/// The same for changes that no request waits for.
+/// The delay of the plan after changes that no request waits for.
 constexpr Milliseconds backgroundPlanDelay { 100 };
 /// The interval of plans without a change, because the averages of demand change over time.
 constexpr Milliseconds planInterval { 500 };
@@ -61,7 +61,7 @@
         : context_(std::move(context))
         , settings_(settings)
         , upstreams_(context_.traffic.context())
-        , loads_(upstreams_, context_.publish, context_.clock.now())
+        , demandPublisher_(upstreams_, context_.publish, context_.clock.now())
     {
         upstreams_.setPolicy(settings.policy);
     }
@@ -93,13 +93,13 @@
     {
         routes_ = std::make_unique<catalog::RouteTable>(configuration);
         upstreams_.setConfiguration(std::move(configuration));
-        retryWaiting();
+        dispatchWaiting();
     }
 
     void setUpstreams(const std::vector<catalog::Upstream>& list)
     {
         upstreams_.setUpstreams(list);
-        retryWaiting();
+        dispatchWaiting();
         schedulePlan(urgentPlanDelay);
     }
 
@@ -109,7 +109,7 @@
     {
         std::vector<framework::ModelName> models = modelsOf(state);
         upstreams_.setState(std::move(state), now());
-        schedulePlan(retryWaitingFor(models) ? urgentPlanDelay : backgroundPlanDelay);
+        schedulePlan(dispatchWaitingFor(models) ? urgentPlanDelay : backgroundPlanDelay);
     }
 
     void setLoad(const catalog::EngineLoad& load)
@@ -131,11 +131,11 @@
         end_ = end;
         for (const auto& job : jobs_)
             job->endService(end);
-        retryWaiting();
+        dispatchWaiting();
         // Requests that still wait at that time are too late to start.
         startByTimer_ = context_.traffic.runAt(end.startBy, [weak = weak_from_this()] {
             if (const auto self = weak.lock())
-                self->retryWaiting();
+                self->dispatchWaiting();
         });
     }
 
@@ -181,21 +181,21 @@
         return isStanding || now() + expected > spec.firstEventBy.at();
     }
 
-    void didRun(Milliseconds took) override { loads_.didRun(took); }
+    void didRun(Milliseconds took) override { demandPublisher_.didRun(took); }
 
     void demandChanged() override { schedulePlan(backgroundPlanDelay); }
 
     void didEnd(const std::shared_ptr<RequestJob>& job) override
     {
         jobs_.erase(job);
-        noteEnd(job);
+        unindexJob(job);
         schedulePlan(backgroundPlanDelay);
-        if (std::exchange(isRetryPosted_, true))
+        if (std::exchange(isDispatchPosted_, true))
             return;
         // Posted because the request that ended is still on the stack.
         context_.traffic.post([weak = weak_from_this()] {
             if (const auto self = weak.lock())
-                self->retryWaiting();
+                self->dispatchWaiting();
         });
     }
 
@@ -223,7 +223,7 @@
         spec.deadline = Deadline::after(exchange->receivedAt(), callerTimeout);
         const Milliseconds untilFirst = route.patience.count() > 0 ? route.patience : callerTimeout;
         spec.firstEventBy = Deadline::after(exchange->receivedAt(), std::min(callerTimeout, untilFirst));
-        loads_.didArrive(spec.service, facts, now());
+        demandPublisher_.didArrive(spec.service, facts, now());
         spec.facts = std::move(facts);
         budget(spec.service).earn();
         const auto job = std::make_shared<RequestJob>(*this, exchange, std::move(spec));
@@ -249,7 +249,7 @@
         return budget;
     }
 
-    void noteEnd(const std::shared_ptr<RequestJob>& job)
+    void unindexJob(const std::shared_ptr<RequestJob>& job)
     {
         const auto ofModel = jobsByModel_.find(job->spec().facts.model);
         if (ofModel != jobsByModel_.end() && ofModel->second.erase(job) > 0 && ofModel->second.empty())
@@ -270,26 +270,26 @@
         return models;
     }
 
-    void retryWaiting()
+    void dispatchWaiting()
     {
-        isRetryPosted_ = false;
-        retry(jobs_);
+        isDispatchPosted_ = false;
+        dispatch(jobs_);
     }
 
-    /// Retries only the requests that the engine's state may affect, so that the cost doesn't grow with the total
-    /// number of requests. Returns whether there were any.
-    bool retryWaitingFor(const std::vector<framework::ModelName>& models)
+    /// Dispatches only the waiting requests that the engine's state may affect, so that the cost doesn't grow with the
+    /// total number of requests. Returns whether there were any.
+    bool dispatchWaitingFor(const std::vector<framework::ModelName>& models)
     {
-        Jobs concerned;
+        Jobs affected;
         for (const framework::ModelName& model : models) {
             const auto ofModel = jobsByModel_.find(model);
             if (ofModel != jobsByModel_.end())
-                concerned.insert(ofModel->second.begin(), ofModel->second.end());
+                affected.insert(ofModel->second.begin(), ofModel->second.end());
         }
-        return retry(concerned);
+        return dispatch(affected);
     }
 
-    bool retry(const Jobs& jobs)
+    bool dispatch(const Jobs& jobs)
     {
         std::vector<std::shared_ptr<RequestJob>> waiting;
         for (const auto& job : jobs) {
@@ -324,14 +324,14 @@
         auto known = engines.find(service);
         if (known == engines.end())
             known = engines.emplace(service, upstreams_.engines(service, now())).first;
-        const auto timeUntilLoaded = loads_.timeUntilLoaded(service, known->second, *waitingFor, now());
-        if (!timeUntilLoaded && !loads_.hasLoader(service, waitingFor->target.model)
+        const auto timeUntilLoaded = demandPublisher_.timeUntilLoaded(service, known->second, *waitingFor, now());
+        if (!timeUntilLoaded && !demandPublisher_.hasLoader(service, waitingFor->target.model)
             && job.waited(now()) > agentConnectTimeout)
             return job.refuseAsHopeless(left);
         if (!timeUntilLoaded || *timeUntilLoaded + minAnswerTime <= left)
             return;
         if (settings_.policy.countsReturning)
-            loads_.expectRetry(service, *waitingFor, job.spec().deadline);
+            demandPublisher_.expectRetry(service, *waitingFor, job.spec().deadline);
         job.refuseAsHopeless(*timeUntilLoaded);
     }
 
@@ -362,10 +362,10 @@
         upstreams_.expireUnreachable(now());
         failOverIfSilent();
         if (routes_)
-            loads_.plan(
+            demandPublisher_.plan(
                 *routes_->configuration(), [this](const ServiceName& service) { return waitingFor(service); },
                 settings_.policy, now());
-        retryWaiting();
+        dispatchWaiting();
         schedulePlan(planInterval);
     }
 
@@ -391,12 +391,12 @@
     Jobs jobs_;
     std::unordered_map<framework::ModelName, Jobs> jobsByModel_;
     std::map<ServiceName, policy::RetryBudget> budgets_;
-    DemandPublisher loads_;
+    DemandPublisher demandPublisher_;
     /// Queues at the engines that have a model loaded, by model and the priority of the queued requests.
     std::map<std::pair<framework::ModelName, std::uint32_t>, policy::StandingQueue> queues_;
     std::unique_ptr<framework::Timer> planTimer_;
     Deadline planAt_;
-    bool isRetryPosted_ = false;
+    bool isDispatchPosted_ = false;
 };
 
 Forwarder::Forwarder(Context context, const ForwarderSettings& settings)
--- a/src/forwarding/internal/requestjob.cpp
+++ b/src/forwarding/internal/requestjob.cpp
@@ -271,7 +271,7 @@
     }
     if (events_.state() == EventSplitter::State::Broken) {
         attempt_->abandon();
-        return didBreak("events out of order", true);
+        return didEndWithoutAnswer("events out of order", true);
     }
     if (exchange_->unsentBytes() > maxUnreadBytes)
         attempt_->pause();
@@ -280,7 +280,7 @@
 void RequestJob::didEndStream()
 {
     if (events_.hasPartialEvent())
-        return didBreak("stream ended within an event", true);
+        return didEndWithoutAnswer("stream ended within an event", true);
     attempt_.reset();
     if (isForModel())
         host_.didRun(std::chrono::duration_cast<Milliseconds>(host_.now() - sentAt_));
@@ -297,7 +297,7 @@
 void RequestJob::didFailAtServer(const http::ResponseHead& head, std::string body)
 {
     if (hasStreamBegun_)
-        return didBreak("server failed the resumed stream", true);
+        return didEndWithoutAnswer("server failed the resumed stream", true);
     if (!mayRetry() || !isWorthRetrying(head.status))
         return relayAnswer(head, std::move(body), "failed_by_server");
     mayHaveRun_ = true;
@@ -322,7 +322,7 @@
     retryOrRefuse(std::string(rejectionText(answerClass)) + " (" + std::to_string(status) + ")", 503);
 }
 
-void RequestJob::didBreak(const std::string& cause, bool mayHaveRun)
+void RequestJob::didEndWithoutAnswer(const std::string& cause, bool mayHaveRun)
 {
     UpstreamRecord& upstream = attempt_->guard().upstream();
     upstream.outlierDetector.didFail(host_.now());
@@ -382,7 +382,7 @@
 
 void RequestJob::refuseAsHopeless(Milliseconds timeUntilLoaded)
 {
-    // The request can wait for the same load at another router, so the caller should retry there at once.
+    // During shutdown the request can wait for the same load at another router, so the caller should retry at once.
     refuse(503, "model not there before the deadline, soonest in " + std::to_string(timeUntilLoaded.count()) + " ms",
         jittered(isCutByShutdown_ ? minRetryAfter : std::max(minRetryAfter, timeUntilLoaded)));
 }
@@ -402,14 +402,14 @@
 
 void RequestJob::didPassDeadline()
 {
-    const bool isUnderWay = attempt_ != nullptr;
-    if (isUnderWay) {
+    const bool isInFlight = attempt_ != nullptr;
+    if (isInFlight) {
         if (!isForModel())
             attempt_->guard().upstream().outlierDetector.didFail(host_.now());
         abandonAttempt();
         mayHaveRun_ = true;
     }
-    const std::string cause = isUnderWay ? "no whole answer in time" : "no server in time";
+    const std::string cause = isInFlight ? "no whole answer in time" : "no server in time";
     refuse(mayHaveRun_ ? 504 : 503, isCutByShutdown_ ? cause + ", this router ends" : cause,
         jittered(isCutByShutdown_ ? minRetryAfter : retryAfterWithoutServer));
 }
--- a/src/forwarding/internal/requestjob.h
+++ b/src/forwarding/internal/requestjob.h
@@ -82,7 +82,7 @@
     void didReject(AnswerClass, unsigned status);
     /// The attempt ended without a complete answer. `mayHaveRun` is false if the request certainly hasn't reached the
     /// server.
-    void didBreak(const std::string& cause, bool mayHaveRun);
+    void didEndWithoutAnswer(const std::string& cause, bool mayHaveRun);
 
 private:
     bool isStream() const { return spec_.route->kind == catalog::RouteKind::Streaming; }
--- a/src/forwarding/internal/upstreamattempt.cpp
+++ b/src/forwarding/internal/upstreamattempt.cpp
@@ -75,7 +75,7 @@
     if (body_.size() <= maxAnswerBytes)
         return;
     abandon();
-    job->didBreak("answer too large to be kept", true);
+    job->didEndWithoutAnswer("answer too large to be kept", true);
 }
 
 void UpstreamAttempt::didFinish()
@@ -95,7 +95,7 @@
         return job->didReject(answerClass_, head_.status);
     case AnswerClass::Unverified:
     case AnswerClass::Mismatched:
-        return job->didBreak(
+        return job->didEndWithoutAnswer(
             isSuccess(head_.status) ? "success without the server's mark" : "not the answer to this request", true);
     }
 }
@@ -103,7 +103,8 @@
 void UpstreamAttempt::didFail(const http::ClientFailure& failure)
 {
     if (const auto job = job_.lock())
-        job->didBreak(std::string(http::clientStepText(failure.step)) + ": " + failure.detail, failure.mayHaveArrived);
+        job->didEndWithoutAnswer(
+            std::string(http::clientStepText(failure.step)) + ": " + failure.detail, failure.mayHaveArrived);
 }
 
 } // namespace lagoon::forwarding
--- a/src/forwarding/tests/demandpublisher_test.cpp
+++ b/src/forwarding/tests/demandpublisher_test.cpp
@@ -31,10 +31,10 @@
         upstream.endpoint = endpoint;
         upstream.service = service;
         table.setUpstreams({ upstream });
-        table.setState(heldState(), now);
+        table.setState(loadedState(), now);
     }
 
-    static catalog::EngineState heldState()
+    static catalog::EngineState loadedState()
     {
         catalog::EngineState state;
         state.engine = endpoint;
@@ -42,23 +42,23 @@
         return state;
     }
 
-    /// Offers chats of some 700 prompt tokens, whose answers may have up to 950 tokens, at this rate.
-    void offer(int perSecond, Milliseconds lasts)
+    /// Sends chats of some 700 prompt tokens, whose answers may have up to 950 tokens, at this rate.
+    void sendChats(int perSecond, Milliseconds lasts)
     {
         RequestFacts facts;
         facts.model = chat;
         facts.promptTokens = catalog::Tokens(700);
         facts.maxOutputTokens = catalog::Tokens(950);
         for (Milliseconds at(0); at < lasts; at += Milliseconds(1000 / perSecond)) {
-            requests.didArrive(service, facts, now);
+            publisher.didArrive(service, facts, now);
             now += Milliseconds(1000 / perSecond);
         }
-        table.setState(heldState(), now);
+        table.setState(loadedState(), now);
     }
 
     double publishedWork()
     {
-        requests.plan(
+        publisher.plan(
             configuration, [](const ServiceName&) { return std::vector<WaitingRequests>(); }, {}, now);
         for (const catalog::Wanted& wanted : published.at(endpoint)) {
             if (wanted.target.model == chat)
@@ -72,19 +72,19 @@
     catalog::Configuration configuration;
     std::map<Endpoint, catalog::WantedList> published;
     SteadyTime now { std::chrono::hours(1) };
-    DemandPublisher requests { table, [this](const auto& plan) { published = plan.wanted; }, now };
+    DemandPublisher publisher { table, [this](const auto& plan) { published = plan.wanted; }, now };
 };
 
 } // namespace
 
 BOOST_FIXTURE_TEST_SUITE(TheWorkOfAModel, Fixture)
 
-// Prevents the work of a model from being overestimated: 20 chats per second with 700 prompt tokens and streams of 1.5
-// s take a third of an engine's prompt processing and 30 of its 96 slots. Estimated by the maximum tokens of their
-// answers they got six engines, and the rare models that were evicted for the copies were loaded over and over.
+// Prevents the work of a model from being overestimated: 20 chats per second, each with 700 prompt tokens and a stream
+// of 1.5 s, take a third of an engine's prompt processing and 30 of its 96 slots. Estimated by the maximum tokens of
+// their answers they got six engines, and the rare models that were evicted for the copies were loaded over and over.
 BOOST_AUTO_TEST_CASE(isThePromptProcessingAndTheSlotsInUse)
 {
-    offer(20, Milliseconds(10000));
+    sendChats(20, Milliseconds(10000));
     BOOST_TEST(publishedWork() > 0.3);
     BOOST_TEST(publishedWork() < 0.45);
     table.ready(service).at(0)->inFlightByTarget[{ chat, {} }] = 24;
@@ -98,7 +98,7 @@
 {
     table.ready(service).at(0)->inFlightByTarget[{ chat, {} }] = 48;
     const double bySlots = publishedWork();
-    catalog::EngineState state = heldState();
+    catalog::EngineState state = loadedState();
     state.running = 48;
     state.memory = catalog::Tokens(100000);
     state.usedMemory = catalog::Tokens(96000);
--- a/src/forwarding/tests/upstreamtable_test.cpp
+++ b/src/forwarding/tests/upstreamtable_test.cpp
@@ -38,12 +38,12 @@
     return made;
 }
 
-EngineState state(std::uint64_t started, bool holdsModel)
+EngineState state(std::uint64_t started, bool hasModel)
 {
     EngineState made;
     made.engine = endpoint;
     made.started = startOf(started);
-    if (holdsModel)
+    if (hasModel)
         made.held.push_back({ target.model, 1, {}, 0 });
     return made;
 }
