--- a/src/forwarding/internal/serverchoice.cpp
+++ b/src/forwarding/internal/serverchoice.cpp
@@ -13,11 +13,10 @@
 
 /// Assumed prompt tokens of a request that another router has queued at the engine: agents don't report its size.
 constexpr double assumedQueuedTokens = 3000;
-/// The time that each running request adds to every other request's next token, compared to the processing of one
-/// prompt.
+/// The time that each running request adds to the next tokens of all requests, over the prefill of one prompt.
 constexpr double millisecondsPerRunning = 1.5;
 /// An engine that runs out of memory preempts: it later processes the newest of the least urgent requests again.
-constexpr double millisecondsWithoutRoom = 3000;
+constexpr double millisecondsWithoutMemory = 3000;
 constexpr double millisecondsWithoutSlot = 1500;
 /// A round trip between failure domains, and the price of the traffic.
 constexpr double millisecondsToOtherDomain = 6;
@@ -37,7 +36,7 @@
         expected += millisecondsWithoutSlot;
     if (engine.totalTokens > 0
         && engine.usedTokens + engine.ownStartingTokens + engine.memoryTokens > engine.totalTokens)
-        expected += millisecondsWithoutRoom;
+        expected += millisecondsWithoutMemory;
     return expected;
 }
 
--- a/src/forwarding/serverchoice.h
+++ b/src/forwarding/serverchoice.h
@@ -23,7 +23,7 @@
 /// Chooses the server of a plain service with the fewest own requests per slot. Among equals it prefers one in the own
 /// failure domain, because traffic between domains costs time and money, and otherwise decides by `random` in [0, 1).
 /// Suspect servers and servers that were already tried are chosen only if there is no other. Returns std::nullopt only
-/// if `servers` is empty.
+/// if there are no servers.
 std::optional<std::size_t> chooseServer(const std::vector<ServerView>&, double random);
 
 /// An engine that has the request's model loaded.
