--- a/src/agent/imodelengine.h
+++ b/src/agent/imodelengine.h
@@ -10,7 +10,7 @@
 struct EngineOrder {
     Checkpoint checkpoint;
     framework::MebiBytes memory;
-    framework::FencingNumber fence;
+    framework::FencingToken fence;
 };
 
 /// Orders to a model engine. Calls block; never make them on the control thread. Thread-safe.
--- a/src/agent/internal/replica.h
+++ b/src/agent/internal/replica.h
@@ -52,7 +52,7 @@
 
     bool isClaimed = false;
     std::string nonce;
-    framework::FencingNumber fence;
+    framework::FencingToken fence;
     bool needsConfirm = false;
     bool needsCountCheck = false;
 
--- a/src/agent/internal/replicaclaims.cpp
+++ b/src/agent/internal/replicaclaims.cpp
@@ -18,7 +18,7 @@
 using framework::Deadline;
 using framework::Error;
 using framework::ErrorCode;
-using framework::FencingNumber;
+using framework::FencingToken;
 using framework::Milliseconds;
 using framework::Result;
 using framework::VmName;
@@ -74,7 +74,7 @@
     return bundle::replicaKey(identity_.site, id.model, id.adapter);
 }
 
-Result<FencingNumber> ReplicaClaims::claim(
+Result<FencingToken> ReplicaClaims::claim(
     const ReplicaId& id, const std::string& nonce, ClaimKind kind, const DecidedCount& decided, Deadline deadline)
 {
     auto claimed = tryClaim(id, nonce, kind, decided, {}, deadline);
@@ -88,7 +88,7 @@
     return tryClaim(id, nonce, kind, decided, gone, deadline);
 }
 
-Result<FencingNumber> ReplicaClaims::tryClaim(const ReplicaId& id, const std::string& nonce, ClaimKind kind,
+Result<FencingToken> ReplicaClaims::tryClaim(const ReplicaId& id, const std::string& nonce, ClaimKind kind,
     const DecidedCount& decided, const VmNames& gone, Deadline deadline)
 {
     const ObjectKey objectKey = key(id);
@@ -118,7 +118,7 @@
     update.isOwnWrite
         = [&](const std::string& text) { return shows(text, objectKey, identity_.vm, nonce, HolderState::Loading); };
     BOOST_OUTCOME_TRY(updated, objectstore::updateObject(*store_, objectKey, update, deadline));
-    return FencingNumber(updated.version.value());
+    return FencingToken(updated.version.value());
 }
 
 Result<void> ReplicaClaims::confirm(const ReplicaId& id, const std::string& nonce, Deadline deadline)
--- a/src/agent/internal/replicaclaims.h
+++ b/src/agent/internal/replicaclaims.h
@@ -20,7 +20,7 @@
     ReplicaClaims(std::shared_ptr<objectstore::IObjectStore>, std::shared_ptr<objectstore::IVmList>,
         framework::ProcessIdentity, framework::Incarnation, std::shared_ptr<framework::Metrics>);
 
-    framework::Result<framework::FencingNumber> claim(const ReplicaId&, const std::string& nonce, ClaimKind,
+    framework::Result<framework::FencingToken> claim(const ReplicaId&, const std::string& nonce, ClaimKind,
         const bundle::DecidedCount&, framework::Deadline) override;
     framework::Result<void> confirm(const ReplicaId&, const std::string& nonce, framework::Deadline) override;
     framework::Result<void> release(const ReplicaId&, const std::string& nonce, framework::Deadline) override;
@@ -30,7 +30,7 @@
 private:
     using VmNames = std::set<framework::VmName>;
 
-    framework::Result<framework::FencingNumber> tryClaim(const ReplicaId&, const std::string& nonce, ClaimKind,
+    framework::Result<framework::FencingToken> tryClaim(const ReplicaId&, const std::string& nonce, ClaimKind,
         const bundle::DecidedCount&, const VmNames& gone, framework::Deadline);
     framework::Result<std::optional<objectstore::StoredObject>> getPatiently(
         const objectstore::ObjectKey&, framework::Deadline);
--- a/src/agent/internal/replicaoperations.cpp
+++ b/src/agent/internal/replicaoperations.cpp
@@ -15,7 +15,7 @@
 using framework::Error;
 using framework::ErrorCode;
 using framework::Execution;
-using framework::FencingNumber;
+using framework::FencingToken;
 using framework::Milliseconds;
 using framework::Result;
 using framework::SteadyTime;
@@ -127,11 +127,11 @@
     Deadline deadline = Deadline::after(ports_.clock.now(), longestPlatformUpdate);
     for (const LoadWaiter& waiter : replica.waiters)
         deadline = std::max(deadline, waiter.deadline);
-    onPlatform<FencingNumber>(
+    onPlatform<FencingToken>(
         replica,
         [claims = ports_.claims, id = replica.id, nonce = replica.nonce, kind, decided = decidedOf(replica.id),
             deadline] { return claims->claim(id, nonce, kind, decided, deadline); },
-        [this, kind](Replica& claimed, const Result<FencingNumber>& fence) {
+        [this, kind](Replica& claimed, const Result<FencingToken>& fence) {
             if (fence.has_value()) {
                 claimed.isClaimed = true;
                 claimed.fence = fence.value();
--- a/src/agent/ireplicaclaims.h
+++ b/src/agent/ireplicaclaims.h
@@ -26,7 +26,7 @@
     virtual ~IReplicaClaims() = default;
     /// Claims a replica for this VM and returns the claim's fencing number. A claim that a former process on this VM
     /// left is taken over.
-    virtual framework::Result<framework::FencingNumber> claim(
+    virtual framework::Result<framework::FencingToken> claim(
         const ReplicaId&, const std::string& nonce, ClaimKind, const bundle::DecidedCount&, framework::Deadline)
         = 0;
     /// Notes the engine's confirmation; `PlatformConflict` if the claim isn't this process's any more.
--- a/src/agent/tests/fakeengine.h
+++ b/src/agent/tests/fakeengine.h
@@ -156,7 +156,7 @@
 
     EngineState state_ { 1, {}, {}, {} };
     std::vector<EngineOrder> held_;
-    std::map<ReplicaId, framework::FencingNumber> fences_;
+    std::map<ReplicaId, framework::FencingToken> fences_;
 };
 
 } // namespace lagoon::agent::testing
--- a/src/catalog/internal/lookups.cpp
+++ b/src/catalog/internal/lookups.cpp
@@ -33,29 +33,30 @@
     return found == services.end() ? nullptr : &*found;
 }
 
-bool HeldModel::has(const framework::AdapterName& adapter) const
+bool LoadedModel::has(const framework::AdapterName& adapter) const
 {
     return adapter.value().empty() || std::find(adapters.begin(), adapters.end(), adapter) != adapters.end();
 }
 
-const HeldModel* findHeld(const std::vector<HeldModel>& held, const framework::ModelName& name)
+const LoadedModel* findLoaded(const std::vector<LoadedModel>& held, const framework::ModelName& name)
 {
-    const auto found = std::find_if(held.begin(), held.end(), [&](const HeldModel& one) { return one.model == name; });
+    const auto found
+        = std::find_if(held.begin(), held.end(), [&](const LoadedModel& one) { return one.model == name; });
     return found == held.end() ? nullptr : &*found;
 }
 
-bool AtHand::hasInMemory(const framework::ModelName& name) const { return isIn(memory, name); }
+bool CachedWeights::hasInMemory(const framework::ModelName& name) const { return isIn(memory, name); }
 
-bool AtHand::hasOnDisk(const framework::ModelName& name) const { return isIn(disk, name); }
+bool CachedWeights::hasOnDisk(const framework::ModelName& name) const { return isIn(disk, name); }
 
-const HeldModel* EngineState::find(const framework::ModelName& name) const { return findHeld(held, name); }
+const LoadedModel* EngineState::find(const framework::ModelName& name) const { return findLoaded(held, name); }
 
-bool EngineState::isLeaving(const framework::ModelName& name) const { return isIn(leaving, name); }
+bool EngineState::isDraining(const framework::ModelName& name) const { return isIn(draining, name); }
 
 EngineLoad loadOf(const EngineState& state)
 {
     EngineLoad load { state.engine, state.running, state.queued, state.usedMemory, state.routers, {} };
-    for (const HeldModel& held : state.held)
+    for (const LoadedModel& held : state.held)
         load.held.push_back({ held.work, held.inUse });
     return load;
 }
@@ -75,14 +76,14 @@
     return true;
 }
 
-framework::Milliseconds loadTime(const ModelProfile& model, const AtHand& atHand)
+framework::Milliseconds loadTime(const ModelProfile& model, const CachedWeights& cachedWeights)
 {
-    if (atHand.hasInMemory(model.name))
+    if (cachedWeights.hasInMemory(model.name))
         return model.loadFromMemory;
-    return atHand.hasOnDisk(model.name) ? model.loadFromDisk : model.loadFromStore;
+    return cachedWeights.hasOnDisk(model.name) ? model.loadFromDisk : model.loadFromStore;
 }
 
-MegaBytes weightsOf(const EngineProfile& profile, const HeldModel& held)
+MegaBytes weightsOf(const EngineProfile& profile, const LoadedModel& held)
 {
     const ModelProfile* const model = profile.find(held.model);
     if (!model)
--- a/src/catalog/tests/lookups_test.cpp
+++ b/src/catalog/tests/lookups_test.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(LookUps)
+BOOST_AUTO_TEST_SUITE(ModelLookups)
 
 BOOST_AUTO_TEST_CASE(aModelsProfileIsFoundByItsName)
 {
--- a/src/catalog/types/configuration.h
+++ b/src/catalog/types/configuration.h
@@ -38,15 +38,15 @@
     /// An answer, or a stream's first event, within this is on time.
     framework::Milliseconds targetLatency { 0 };
     /// Longest pause between a stream's events for which it is still on time.
-    framework::Milliseconds longestPause { 0 };
+    framework::Milliseconds maxEventGap { 0 };
     /// Callers leave when nothing has come for so long; 0: they wait for the whole answer until their deadline.
-    framework::Milliseconds patience { 0 };
+    framework::Milliseconds callerIdleTimeout { 0 };
     /// 0 is the most urgent.
     std::uint32_t priority = 0;
     /// At least one.
     std::vector<RouteTarget> targets;
     /// Servers to which one request may be sent, at least 1.
-    std::uint32_t mostServers = 1;
+    std::uint32_t maxServers = 1;
     bool isResumable = false;
 };
 
@@ -96,7 +96,7 @@
 struct Service {
     framework::ServiceName name;
     /// Connections that one server accepts from all callers.
-    std::uint32_t mostConnections = 0;
+    std::uint32_t maxConnections = 0;
     /// Only for services of model engines.
     std::optional<EngineProfile> engine;
 };
--- a/src/catalog/types/wanted.h
+++ b/src/catalog/types/targetdemand.h
@@ -20,7 +20,7 @@
 };
 
 /// What one router's callers want of a model or adapter at one engine.
-struct Wanted {
+struct TargetDemand {
     ModelTarget target;
     /// Requests that wait for it to be loaded there.
     std::uint32_t waiting = 0;
@@ -45,6 +45,6 @@
     bool isLoad() const { return waiting > 0 || isPrefetch || isCopy; }
 };
 
-using WantedList = std::vector<Wanted>;
+using DemandList = std::vector<TargetDemand>;
 
 } // namespace lagoon::catalog
--- a/src/catalog/types/upstream.h
+++ b/src/catalog/types/upstream.h
@@ -12,7 +12,7 @@
 namespace lagoon::catalog {
 
 /// A model in an engine's accelerator memory, with its adapters.
-struct HeldModel {
+struct LoadedModel {
     framework::ModelName model;
     std::uint32_t version = 0;
     std::vector<framework::AdapterName> adapters;
@@ -27,10 +27,10 @@
 };
 
 /// Nothing if it isn't held.
-const HeldModel* findHeld(const std::vector<HeldModel>&, const framework::ModelName&);
+const LoadedModel* findLoaded(const std::vector<LoadedModel>&, const framework::ModelName&);
 
 /// Weights that an engine has at hand without the weight store.
-struct AtHand {
+struct CachedWeights {
     std::vector<framework::ModelName> memory;
     std::vector<framework::ModelName> disk;
 
@@ -40,7 +40,7 @@
 
 enum class UpstreamState : std::uint8_t {
     Ready,
-    Leaving, ///< serves what it has and soon ends
+    Draining, ///< serves what it has and soon ends
 };
 
 /// One run of an upstream's process. What is known of one doesn't hold for another of the same id.
@@ -63,8 +63,8 @@
     std::uint32_t slots = 1;
     UpstreamState state = UpstreamState::Ready;
     /// Empty for plain services.
-    std::vector<HeldModel> models;
-    AtHand atHand;
+    std::vector<LoadedModel> models;
+    CachedWeights cachedWeights;
     /// When it was listed first, in the list's own count: greater is later.
     std::uint64_t listed = 0;
 
@@ -72,17 +72,17 @@
 };
 
 /// What an agent says it takes until a model is there when it can't place it now.
-inline constexpr framework::Milliseconds cannotPlace { 3600 * 1000 };
+inline constexpr framework::Milliseconds loadImpossible { 3600 * 1000 };
 
 /// An engine's state as its agent tells the routers.
 struct EngineState {
     framework::Endpoint engine;
     /// Of the engine's process; nothing if the engine doesn't say it.
     std::optional<StartTime> started;
-    std::vector<HeldModel> held;
+    std::vector<LoadedModel> held;
     /// Held models that are about to be unloaded: they take no new requests.
-    std::vector<framework::ModelName> leaving;
-    AtHand atHand;
+    std::vector<framework::ModelName> draining;
+    CachedWeights cachedWeights;
     /// Being loaded now; empty for none.
     framework::ModelName loading;
     bool loadsFromStore = false;
@@ -92,15 +92,15 @@
     Tokens memory;
     /// Routers that this agent hears from.
     std::uint32_t routers = 0;
-    /// When a model that routers want will be there, from now; `cannotPlace` if nothing can make way for it.
+    /// When a model that routers want will be there, from now; `loadImpossible` if nothing can make way for it.
     struct Expected {
         framework::ModelName model;
         framework::Milliseconds within { 0 };
     };
     std::vector<Expected> expected;
 
-    const HeldModel* find(const framework::ModelName&) const;
-    bool isLeaving(const framework::ModelName&) const;
+    const LoadedModel* find(const framework::ModelName&) const;
+    bool isDraining(const framework::ModelName&) const;
 };
 
 /// The figures of an engine's state that change with every request, for a state that is otherwise as last told.
--- a/src/direct/directagent.h
+++ b/src/direct/directagent.h
@@ -2,7 +2,7 @@
 
 #include "direct/directsettings.h"
 #include "engines/iengineport.h"
-#include "engines/ifencesource.h"
+#include "engines/ifencingtokensource.h"
 #include "engines/iprofilesource.h"
 #include "framework/controlthread.h"
 #include "framework/iclock.h"
@@ -19,7 +19,7 @@
     const framework::IClock& clock;
     std::shared_ptr<framework::Metrics> metrics;
     engines::IEnginePort& engine;
-    engines::IFenceSource& fences;
+    engines::IFencingTokenSource& fencingTokens;
     engines::IProfileSource& profiles;
 };
 
--- a/src/direct/internal/agentlinks.cpp
+++ b/src/direct/internal/agentlinks.cpp
@@ -17,16 +17,16 @@
 using framework::LogLine;
 using framework::Milliseconds;
 
-constexpr Milliseconds tickEach { 250 };
+constexpr Milliseconds tickInterval { 250 };
 /// Agents forget a router that is silent for three and a half seconds.
-constexpr Milliseconds tellEach { 900 };
+constexpr Milliseconds publishInterval { 900 };
 /// Agents speak at least each second.
-constexpr Milliseconds longestSilence { 2400 };
+constexpr Milliseconds maxSilence { 2400 };
 /// Before a lost link is tried again.
-constexpr Milliseconds firstPause { 100 };
-constexpr Milliseconds longestPause { 2000 };
+constexpr Milliseconds minBackoff { 100 };
+constexpr Milliseconds maxBackoff { 2000 };
 /// The same for an agent that was never heard: there may be none.
-constexpr Milliseconds longestPauseUnheard { 8000 };
+constexpr Milliseconds maxBackoffWithoutContact { 8000 };
 
 Endpoint agentEndpoint(const Endpoint& engine, std::uint16_t port)
 {
@@ -36,10 +36,10 @@
 
 /// What an agent decides by, so that it isn't told the same again. Work is compared coarsely, since it fades all the
 /// time; the next regular word brings it up to date.
-std::string digestOf(const catalog::WantedList& wanted)
+std::string digestOf(const catalog::DemandList& demand)
 {
     std::string digest;
-    for (const catalog::Wanted& one : wanted) {
+    for (const catalog::TargetDemand& one : demand) {
         digest += one.target.model.value() + '/' + one.target.adapter.value() + ':' + std::to_string(one.waiting) + ','
             + std::to_string(one.inFlight) + ',' + std::to_string(one.holders) + ','
             + (one.isPrefetch    ? 'p'
@@ -53,7 +53,7 @@
 } // namespace
 
 AgentLinks::Agent::Agent()
-    : pauses(firstPause, longestPauseUnheard, framework::randomNumber())
+    : backoff(minBackoff, maxBackoffWithoutContact, framework::randomNumber())
 {
 }
 
@@ -83,7 +83,7 @@
             continue;
         }
         if (std::exchange(agent->second.instance, listed->second) != listed->second)
-            agent->second.told.clear();
+            agent->second.publishedDigest.clear();
         ++agent;
     }
     if (!timer_)
@@ -95,13 +95,13 @@
     unsubscribe(plan.subscriptions);
     for (const Endpoint& engine : plan.subscriptions)
         subscribe(engine);
-    for (const auto& [engine, list] : plan.wanted) {
+    for (const auto& [engine, list] : plan.demand) {
         const auto agent = agents_.find(engine);
         if (agent == agents_.end())
             continue;
-        agent->second.wanted = list;
-        if (digestOf(list) != agent->second.told)
-            tell(agent->second);
+        agent->second.demand = list;
+        if (digestOf(list) != agent->second.publishedDigest)
+            publish(agent->second);
     }
 }
 
@@ -126,7 +126,7 @@
         }
         if (agent->second.link)
             agent->second.link->close();
-        if (agent->second.isHeard) {
+        if (agent->second.hasReceived) {
             logDecision(LogLine("agent_unsubscribed").text("engine", agent->first.value()));
             context_.didUnsubscribe(agent->first);
         }
@@ -138,14 +138,14 @@
 {
     const framework::SteadyTime now = context_.clock.now();
     for (auto& [engine, agent] : agents_) {
-        if (agent.link && now - agent.heardAt > longestSilence)
+        if (agent.link && now - agent.receivedAt > maxSilence)
             drop(engine, agent, "silent");
         if (!agent.link && agent.connectAt.hasPassed(now))
             connect(engine, agent);
-        else if (agent.link && now - agent.toldAt > tellEach)
-            tell(agent);
+        else if (agent.link && now - agent.publishedAt > publishInterval)
+            publish(agent);
     }
-    timer_ = context_.control.runAt(Deadline::after(now, tickEach), [this] { tick(); });
+    timer_ = context_.control.runAt(Deadline::after(now, tickInterval), [this] { tick(); });
 }
 
 void AgentLinks::connect(const Endpoint& engine, Agent& agent)
@@ -155,12 +155,12 @@
         = [this, engine](const auto& link, const wire::Message& message) { didReceive(engine, link, message); };
     events.didClose
         = [this, engine](const auto& link, const framework::Error& error) { didClose(engine, link, error); };
-    auto handlers = onControl(context_.control, alive_, std::move(events));
+    auto handlers = onControlThread(context_.control, alive_, std::move(events));
     agent.link = context_.transport.connect(agentEndpoint(engine, context_.agentPort), std::move(handlers));
-    agent.isHeard = false;
+    agent.hasReceived = false;
     // Counts as heard, so that the new link has its time to stand.
-    agent.heardAt = context_.clock.now();
-    tell(agent);
+    agent.receivedAt = context_.clock.now();
+    publish(agent);
 }
 
 void AgentLinks::drop(const Endpoint& engine, Agent& agent, const std::string& cause)
@@ -168,20 +168,21 @@
     if (!agent.link)
         return;
     std::exchange(agent.link, nullptr)->close();
-    if (std::exchange(agent.isHeard, false))
+    if (std::exchange(agent.hasReceived, false))
         logDecision(LogLine("agent_lost").text("engine", engine.value()).text("cause", cause));
-    context_.didLose(engine);
-    const Milliseconds pause = std::min(agent.pauses.next(), agent.wasHeard ? longestPause : longestPauseUnheard);
+    context_.didLoseAgent(engine);
+    const Milliseconds pause
+        = std::min(agent.backoff.next(), agent.hasEverReceived ? maxBackoff : maxBackoffWithoutContact);
     agent.connectAt = Deadline::after(context_.clock.now(), pause);
 }
 
-void AgentLinks::tell(Agent& agent)
+void AgentLinks::publish(Agent& agent)
 {
     if (!agent.link)
         return;
-    agent.toldAt = context_.clock.now();
-    agent.told = digestOf(agent.wanted);
-    agent.link->send(toWire(context_.router, agent.instance, agent.wanted, agent.toldAt));
+    agent.publishedAt = context_.clock.now();
+    agent.publishedDigest = digestOf(agent.demand);
+    agent.link->send(toWire(context_.router, agent.instance, agent.demand, agent.publishedAt));
 }
 
 void AgentLinks::didReceive(
@@ -190,20 +191,20 @@
     const auto agent = agents_.find(engine);
     if (agent == agents_.end() || agent->second.link != link)
         return;
-    agent->second.heardAt = context_.clock.now();
-    agent->second.pauses.reset();
-    agent->second.wasHeard = true;
-    if (!std::exchange(agent->second.isHeard, true))
+    agent->second.receivedAt = context_.clock.now();
+    agent->second.backoff.reset();
+    agent->second.hasEverReceived = true;
+    if (!std::exchange(agent->second.hasReceived, true))
         logDecision(LogLine("agent_heard").text("engine", engine.value()));
     if (const wire::fb::EngineLoadT* const load = message.body.AsEngineLoad())
-        return context_.didHearLoad(fromWire(engine, *load));
+        return context_.didReceiveLoad(fromWire(engine, *load));
     const wire::fb::EngineStateT* const state = message.body.AsEngineState();
     if (!state)
         return;
     catalog::EngineState heard = fromWire(*state);
     // The link's own engine, whatever the frame says.
     heard.engine = engine;
-    context_.didHear(std::move(heard));
+    context_.didReceiveState(std::move(heard));
 }
 
 void AgentLinks::didClose(
--- a/src/direct/internal/agentlinks.h
+++ b/src/direct/internal/agentlinks.h
@@ -30,10 +30,10 @@
         wire::ILinkTransport& transport;
         framework::VmName router;
         std::uint16_t agentPort = 0;
-        std::function<void(catalog::EngineState)> didHear;
-        std::function<void(catalog::EngineLoad)> didHearLoad;
+        std::function<void(catalog::EngineState)> didReceiveState;
+        std::function<void(catalog::EngineLoad)> didReceiveLoad;
         /// The agent can't be reached, or has fallen silent.
-        std::function<void(const framework::Endpoint& engine)> didLose;
+        std::function<void(const framework::Endpoint& engine)> didLoseAgent;
         /// The link was closed since the subscription ended.
         std::function<void(const framework::Endpoint& engine)> didUnsubscribe;
     };
@@ -56,20 +56,20 @@
         catalog::InstanceId instance;
         std::shared_ptr<wire::ILink> link;
         /// Over the link that stands.
-        bool isHeard = false;
-        bool wasHeard = false;
-        framework::SteadyTime heardAt {};
-        framework::SteadyTime toldAt {};
+        bool hasReceived = false;
+        bool hasEverReceived = false;
+        framework::SteadyTime receivedAt {};
+        framework::SteadyTime publishedAt {};
         framework::Deadline connectAt;
-        objectstore::Backoff pauses;
-        catalog::WantedList wanted;
-        std::string told;
+        objectstore::Backoff backoff;
+        catalog::DemandList demand;
+        std::string publishedDigest;
     };
 
     void tick();
     void connect(const framework::Endpoint& engine, Agent&);
     void drop(const framework::Endpoint& engine, Agent&, const std::string& cause);
-    void tell(Agent&);
+    void publish(Agent&);
     void didReceive(const framework::Endpoint& engine, const std::shared_ptr<wire::ILink>&, const wire::Message&);
     void didClose(const framework::Endpoint& engine, const std::shared_ptr<wire::ILink>&, const framework::Error&);
 
--- a/src/direct/internal/catalogwatch.cpp
+++ b/src/direct/internal/catalogwatcher.cpp
@@ -1,4 +1,4 @@
-#include "direct/internal/catalogwatch.h"
+#include "direct/internal/catalogwatcher.h"
 
 #include "framework/decisionlog.h"
 #include "framework/randomid.h"
@@ -19,23 +19,23 @@
 const std::string configurationName = "main";
 /// Engines say each load and unload in their entries, and reading several together costs one call: after each reading
 /// the next waits for this part of the time in which a leaving server must be known.
-constexpr int partOfNotice = 5;
+constexpr int noticeDivisor = 5;
 /// A watch whose connection has gone silent has to end well within the notice after an outage.
-constexpr int partOfOutageNotice = 2;
+constexpr int outageNoticeDivisor = 2;
 /// Of the configuration, which has no such notice.
-constexpr Milliseconds configurationWait { 2500 };
+constexpr Milliseconds configurationWatchTime { 2500 };
 /// A storm of changes of the configuration costs a call each 100 ms.
-constexpr Milliseconds configurationPause { 100 };
+constexpr Milliseconds configurationMinInterval { 100 };
 
 /// Names and services are their writers' choice, of any length.
 std::string shortened(const std::string& text)
 {
-    constexpr std::size_t mostLogged = 64;
-    if (text.size() <= mostLogged)
+    constexpr std::size_t maxLoggedBytes = 64;
+    if (text.size() <= maxLoggedBytes)
         return text;
     const auto isWithinCharacter
         = [&](std::size_t at) { return (static_cast<unsigned char>(text[at]) & 0xC0) == 0x80; };
-    std::size_t end = mostLogged;
+    std::size_t end = maxLoggedBytes;
     while (end > 0 && isWithinCharacter(end))
         --end;
     return text.substr(0, end) + "...";
@@ -58,8 +58,8 @@
 {
     MirrorSettings settings;
     settings.kind = "configurations";
-    settings.watchWait = configurationWait;
-    settings.pauseAfterChange = configurationPause;
+    settings.watchWait = configurationWatchTime;
+    settings.pauseAfterChange = configurationMinInterval;
     return settings;
 }
 
@@ -67,37 +67,37 @@
 {
     MirrorSettings settings;
     settings.kind = "servers";
-    settings.watchWait = outageNotice / partOfOutageNotice;
-    settings.pauseAfterChange = leavingNotice / partOfNotice;
+    settings.watchWait = outageNotice / outageNoticeDivisor;
+    settings.pauseAfterChange = leavingNotice / noticeDivisor;
     settings.outageNotice = outageNotice;
     return settings;
 }
 
 } // namespace
 
-CatalogWatch::CatalogWatch(Context context)
+CatalogWatcher::CatalogWatcher(Context context)
     : context_(std::move(context))
     , configurations_(context_.configurations, context_.control, context_.clock, configurationSettings(),
-          { [this](const FeedObject& object) { takeConfiguration(object); }, [](const std::string&) {}, [] {},
+          { [this](const FeedObject& object) { applyConfiguration(object); }, [](const std::string&) {}, [] {},
               [](framework::SteadyTime) {} },
           framework::randomNumber())
     , servers_(context_.servers, context_.control, context_.clock,
           serverSettings(context_.leavingNotice, context_.outageNotice),
-          { [this](const FeedObject& object) { takeServer(object); },
-              [this](const std::string& name) { removeServer(name); }, [this] { tellServersSoon(); },
+          { [this](const FeedObject& object) { applyServer(object); },
+              [this](const std::string& name) { removeServer(name); }, [this] { schedulePublish(); },
               [this](framework::SteadyTime at) { context_.didConfirmServers(at); } },
           framework::randomNumber())
 {
 }
 
-void CatalogWatch::start()
+void CatalogWatcher::start()
 {
     configurations_.start();
     servers_.start();
 }
 
 /// Guards against going back: a request that was handled by a version is never followed by one handled by an older.
-void CatalogWatch::takeConfiguration(const FeedObject& object)
+void CatalogWatcher::applyConfiguration(const FeedObject& object)
 {
     if (object.name != configurationName)
         return;
@@ -118,12 +118,12 @@
         return;
     configuration_ = std::make_shared<const catalog::Configuration>(std::move(read.value()));
     context_.didConfigure(configuration_);
-    if (noteUnknownServices())
-        tellServersSoon();
+    if (updateUnknownServices())
+        schedulePublish();
 }
 
 /// An entry is what was last written there: one that isn't a server's, or can't be read, names no server any more.
-void CatalogWatch::takeServer(const FeedObject& object)
+void CatalogWatcher::applyServer(const FeedObject& object)
 {
     Entry& entry = entries_[object.name];
     auto read = readServer(object, entry);
@@ -134,7 +134,7 @@
                         .flag("known_before", entry.upstream.has_value())
                         .text("cause", describe(read.error())));
         entry.upstream.reset();
-        return tellServersSoon();
+        return schedulePublish();
     }
     const catalog::Upstream& upstream = read.value();
     if (isEarlier(upstream.started, entry.started)) {
@@ -142,28 +142,28 @@
                         .text("server", shortened(object.name))
                         .number("started_ms", upstream.started->value())
                         .number("later_ms", entry.started->value())
-                        .flag("leaving", upstream.state == catalog::UpstreamState::Leaving)
+                        .flag("leaving", upstream.state == catalog::UpstreamState::Draining)
                         .number("revision", object.revision.value()));
-        return takeLeaving(entry, upstream);
+        return applyDraining(entry, upstream);
     }
-    logTaken(object, entry, upstream);
+    logServerChange(object, entry, upstream);
     entry.started = upstream.started;
     entry.upstream = std::move(read.value());
     entry.upstream->listed = object.created;
-    tellServersSoon();
+    schedulePublish();
 }
 
 /// Guards against a server whose clock was set back before it started again: all that it says seems to come from
 /// before. If it was the former run after all, the later one says within a heartbeat that it is ready.
-void CatalogWatch::takeLeaving(Entry& entry, const catalog::Upstream& earlier)
+void CatalogWatcher::applyDraining(Entry& entry, const catalog::Upstream& earlier)
 {
-    if (!entry.upstream || earlier.state != catalog::UpstreamState::Leaving)
+    if (!entry.upstream || earlier.state != catalog::UpstreamState::Draining)
         return;
     entry.upstream->state = earlier.state;
-    tellServersSoon();
+    schedulePublish();
 }
 
-framework::Result<catalog::Upstream> CatalogWatch::readServer(const FeedObject& object, const Entry& before) const
+framework::Result<catalog::Upstream> CatalogWatcher::readServer(const FeedObject& object, const Entry& before) const
 {
     auto read = context_.decoder.upstream(object.name, object.value);
     if (read.has_value() && before.started && !read.value().started)
@@ -172,7 +172,8 @@
     return read;
 }
 
-void CatalogWatch::logTaken(const FeedObject& object, const Entry& before, const catalog::Upstream& upstream) const
+void CatalogWatcher::logServerChange(
+    const FeedObject& object, const Entry& before, const catalog::Upstream& upstream) const
 {
     const bool isRestarted = before.upstream && before.upstream->started != upstream.started;
     if (before.upstream && !isRestarted && before.upstream->state == upstream.state)
@@ -188,33 +189,33 @@
     logDecision(line);
 }
 
-void CatalogWatch::removeServer(const std::string& name)
+void CatalogWatcher::removeServer(const std::string& name)
 {
     entries_.erase(name);
     logDecision(LogLine("server_unlisted").text("server", shortened(name)));
-    tellServersSoon();
+    schedulePublish();
 }
 
 /// Once for all changes that came together.
-void CatalogWatch::tellServersSoon()
+void CatalogWatcher::schedulePublish()
 {
-    if (std::exchange(isTelling_, true))
+    if (std::exchange(isPublishScheduled_, true))
         return;
-    context_.control.post([this] { tellServers(); });
+    context_.control.post([this] { publishServers(); });
 }
 
-void CatalogWatch::tellServers()
+void CatalogWatcher::publishServers()
 {
-    isTelling_ = false;
+    isPublishScheduled_ = false;
     if (!servers_.hasListed())
         return;
-    noteUnknownServices();
+    updateUnknownServices();
     context_.didListServers(newestByEndpoint());
 }
 
 /// Guards against an entry that hides a server by naming its address for a service that the operator doesn't have.
 /// Which services there are may change at any time, so the entry is kept.
-bool CatalogWatch::noteUnknownServices()
+bool CatalogWatcher::updateUnknownServices()
 {
     bool hasChanged = false;
     for (auto& [name, entry] : entries_) {
@@ -232,7 +233,7 @@
 
 /// Guards against the entry of a server that has ended and whose successor is at its address already: the platform
 /// takes seconds to notice, and until then all that is sent to the old one is refused.
-std::vector<catalog::Upstream> CatalogWatch::newestByEndpoint() const
+std::vector<catalog::Upstream> CatalogWatcher::newestByEndpoint() const
 {
     std::map<framework::Endpoint, const catalog::Upstream*> newest;
     for (const auto& [name, entry] : entries_) {
--- a/src/direct/internal/catalogwatch.h
+++ b/src/direct/internal/catalogwatcher.h
@@ -15,7 +15,7 @@
 namespace lagoon::direct {
 
 /// Keeps the operator's configuration and the list of servers up to date. Belongs to the control thread.
-class CatalogWatch {
+class CatalogWatcher {
 public:
     struct Context {
         framework::IControlExecutor& control;
@@ -33,9 +33,9 @@
         std::function<void(framework::SteadyTime)> didConfirmServers;
     };
 
-    explicit CatalogWatch(Context);
-    CatalogWatch(const CatalogWatch&) = delete;
-    CatalogWatch& operator=(const CatalogWatch&) = delete;
+    explicit CatalogWatcher(Context);
+    CatalogWatcher(const CatalogWatcher&) = delete;
+    CatalogWatcher& operator=(const CatalogWatcher&) = delete;
 
     void start();
     /// Whether both are known.
@@ -52,22 +52,22 @@
         bool isOfUnknownService = false;
     };
 
-    void takeConfiguration(const objectstore::FeedObject&);
-    void takeServer(const objectstore::FeedObject&);
-    void takeLeaving(Entry&, const catalog::Upstream& earlier);
+    void applyConfiguration(const objectstore::FeedObject&);
+    void applyServer(const objectstore::FeedObject&);
+    void applyDraining(Entry&, const catalog::Upstream& earlier);
     framework::Result<catalog::Upstream> readServer(const objectstore::FeedObject&, const Entry&) const;
-    void logTaken(const objectstore::FeedObject&, const Entry& before, const catalog::Upstream&) const;
+    void logServerChange(const objectstore::FeedObject&, const Entry& before, const catalog::Upstream&) const;
     void removeServer(const std::string& name);
-    void tellServersSoon();
-    void tellServers();
+    void schedulePublish();
+    void publishServers();
     /// Whether other entries than before are left out.
-    bool noteUnknownServices();
+    bool updateUnknownServices();
     std::vector<catalog::Upstream> newestByEndpoint() const;
 
     Context context_;
     catalog::ConfigurationPointer configuration_;
     std::map<std::string, Entry> entries_;
-    bool isTelling_ = false;
+    bool isPublishScheduled_ = false;
     objectstore::ObjectMirror configurations_;
     objectstore::ObjectMirror servers_;
 };
--- a/src/direct/internal/directagent.cpp
+++ b/src/direct/internal/directagent.cpp
@@ -1,9 +1,9 @@
 #include "direct/directagent.h"
 
 #include "direct/internal/links.h"
-#include "direct/internal/plainviews.h"
 #include "direct/internal/routerlinks.h"
-#include "engines/enginekeeper.h"
+#include "direct/internal/statushandlers.h"
+#include "engines/enginecontroller.h"
 #include "framework/decisionlog.h"
 #include "http/exchangeserver.h"
 
@@ -15,7 +15,7 @@
 using framework::LogLine;
 using framework::Milliseconds;
 
-constexpr Milliseconds housekeepingEach { 1000 };
+constexpr Milliseconds housekeepingInterval { 1000 };
 
 } // namespace
 
@@ -24,11 +24,12 @@
     Implementation(const DirectAgentPorts& ports, const DirectAgentSettings& settings)
         : ports_(ports)
         , settings_(settings)
-        , transport_(makeLinks(ports.metrics))
-        , keeper_(keeperContext(), engines::KeeperSettings { settings.identity.vm, settings.service, settings.engine })
+        , transport_(makeLinkTransport(ports.metrics))
+        , controller_(controllerContext(),
+              engines::EngineControllerSettings { settings.identity.vm, settings.service, settings.engine })
         , links_(linksContext())
-        , metricsView_(ports.metrics)
-        , ops_(ports.traffic, metricsView_)
+        , metricsHandler_(ports.metrics)
+        , ops_(ports.traffic, metricsHandler_)
     {
     }
 
@@ -40,8 +41,8 @@
         BOOST_OUTCOME_TRY(ops, ops_.listen(settings_.ops));
         endpoints.ops = ops;
         ports_.control.post([this] {
-            keeper_.start();
-            keepHouse();
+            controller_.start();
+            runHousekeeping();
         });
         logDecision(LogLine("started")
                         .text("vm", settings_.identity.vm.value())
@@ -53,9 +54,9 @@
     }
 
 private:
-    engines::EngineKeeper::Context keeperContext()
+    engines::EngineController::Context controllerContext()
     {
-        return { ports_.control, ports_.clock, ports_.engine, ports_.fences, ports_.profiles, ports_.metrics,
+        return { ports_.control, ports_.clock, ports_.engine, ports_.fencingTokens, ports_.profiles, ports_.metrics,
             [this](const catalog::EngineState& state) { links_.publish(state); },
             [this](const catalog::EngineLoad& load) { links_.publishLoad(load); } };
     }
@@ -63,25 +64,25 @@
     RouterLinks::Context linksContext()
     {
         return { ports_.control, ports_.clock,
-            [this](const framework::VmName& router, const catalog::InstanceId& instance, catalog::WantedList wanted) {
-                keeper_.setWanted(router, instance, std::move(wanted));
+            [this](const framework::VmName& router, const catalog::InstanceId& instance, catalog::DemandList demand) {
+                controller_.setDemand(router, instance, std::move(demand));
             },
-            [this](const framework::VmName& router) { keeper_.forgetRouter(router); } };
+            [this](const framework::VmName& router) { controller_.forgetRouter(router); } };
     }
 
-    void keepHouse()
+    void runHousekeeping()
     {
         links_.closeSilent();
-        housekeeping_
-            = ports_.control.runAt(Deadline::after(ports_.clock.now(), housekeepingEach), [this] { keepHouse(); });
+        housekeeping_ = ports_.control.runAt(
+            Deadline::after(ports_.clock.now(), housekeepingInterval), [this] { runHousekeeping(); });
     }
 
     DirectAgentPorts ports_;
     DirectAgentSettings settings_;
     std::shared_ptr<wire::ILinkTransport> transport_;
-    engines::EngineKeeper keeper_;
+    engines::EngineController controller_;
     RouterLinks links_;
-    MetricsView metricsView_;
+    MetricsHandler metricsHandler_;
     http::ExchangeServer ops_;
     std::unique_ptr<framework::Timer> housekeeping_;
 };
--- a/src/direct/internal/directrouter.cpp
+++ b/src/direct/internal/directrouter.cpp
@@ -1,9 +1,9 @@
 #include "direct/directrouter.h"
 
 #include "direct/internal/agentlinks.h"
-#include "direct/internal/catalogwatch.h"
+#include "direct/internal/catalogwatcher.h"
 #include "direct/internal/links.h"
-#include "direct/internal/plainviews.h"
+#include "direct/internal/statushandlers.h"
 #include "forwarding/forwarder.h"
 #include "framework/decisionlog.h"
 #include "framework/types/serviceend.h"
@@ -19,9 +19,9 @@
 using framework::LogLine;
 using framework::Milliseconds;
 
-constexpr Milliseconds drainCheckEach { 30 };
+constexpr Milliseconds drainCheckInterval { 30 };
 /// For a caller whose request this router no longer takes: other routers do at once.
-constexpr Milliseconds comeBackElsewhere { 250 };
+constexpr Milliseconds retryAfterRefusal { 250 };
 
 forwarding::ForwarderSettings forwarderSettings(const DirectRouterSettings& settings)
 {
@@ -40,14 +40,14 @@
     Implementation(const DirectRouterPorts& ports, const DirectRouterSettings& settings)
         : ports_(ports)
         , settings_(settings)
-        , transport_(makeLinks(ports.metrics))
+        , transport_(makeLinkTransport(ports.metrics))
         , forwarder_(forwarderContext(), forwarderSettings(settings))
         , links_(linksContext())
         , catalog_(catalogContext())
-        , metricsView_(ports.metrics)
+        , metricsHandler_(ports.metrics)
         , callers_(ports.traffic, forwarder_)
-        , readiness_(ports.traffic, readinessView_)
-        , ops_(ports.traffic, metricsView_)
+        , readiness_(ports.traffic, readinessHandler_)
+        , ops_(ports.traffic, metricsHandler_)
     {
     }
 
@@ -83,23 +83,23 @@
     void drain()
     {
         const auto end = framework::ServiceEnd::after(ports_.clock.now(), settings_.grace);
-        const std::size_t requests = onTraffic([this, end] { return beginEnd(end); });
-        stopBeingReady();
+        const std::size_t requests = queryTrafficThread([this, end] { return startShutdown(end); });
+        clearReadiness();
         logDecision(LogLine("draining").number("requests", requests).number("grace_ms", settings_.grace.count()));
         std::this_thread::sleep_until(end.noticedBy.at());
         ports_.traffic.post([this] {
             callers_.closeIdle();
             refuseComing();
         });
-        while (
-            !end.exitBy.hasPassed(ports_.clock.now()) && onTraffic([this] { return callers_.busyConnections(); }) > 0)
-            std::this_thread::sleep_for(drainCheckEach);
-        const std::size_t unanswered = onTraffic([this] { return stopTaking(); });
+        while (!end.exitBy.hasPassed(ports_.clock.now())
+            && queryTrafficThread([this] { return callers_.busyConnections(); }) > 0)
+            std::this_thread::sleep_for(drainCheckInterval);
+        const std::size_t unanswered = queryTrafficThread([this] { return stopAccepting(); });
         logDecision(LogLine("stopped").number("unanswered", unanswered));
     }
 
 private:
-    std::size_t onTraffic(const std::function<std::size_t()>& query)
+    std::size_t queryTrafficThread(const std::function<std::size_t()>& query)
     {
         std::promise<std::size_t> answer;
         ports_.traffic.post([&] { answer.set_value(query()); });
@@ -108,7 +108,7 @@
 
     /// On the traffic thread, before anyone can see that this router isn't ready any more: from then on each answer
     /// says that its connection ends, and each request has an end. Returns how many requests there are.
-    std::size_t beginEnd(const framework::ServiceEnd& end)
+    std::size_t startShutdown(const framework::ServiceEnd& end)
     {
         const std::size_t requests = forwarder_.requests();
         callers_.beginDraining();
@@ -117,21 +117,21 @@
     }
 
     /// Twice, since the control thread may be about to say that it is ready.
-    void stopBeingReady()
+    void clearReadiness()
     {
         isDraining_ = true;
-        readinessView_.setReady(false);
-        ports_.control.post([this] { readinessView_.setReady(false); });
+        readinessHandler_.setReady(false);
+        ports_.control.post([this] { readinessHandler_.setReady(false); });
     }
 
     /// Guards against a request of which a part has come when no more are taken. It surely hasn't run, and other
     /// routers have time for it; here its answer could be cut by the end.
-    void refuseComing() { callers_.refuseComing(ports_.dialect.refusal(503, comeBackElsewhere)); }
+    void refuseComing() { callers_.refuseComing(ports_.dialect.refusal(503, retryAfterRefusal)); }
 
     /// On the traffic thread, last thing; returns how many requests have no answer. Guards against a request that is
     /// read between the last look at the connections and the process's end, which would be sent to a server and never
     /// answered; and against those whose timers haven't run, since the VM stood still or was busy until the end.
-    std::size_t stopTaking()
+    std::size_t stopAccepting()
     {
         forwarder_.answerNow();
         refuseComing();
@@ -164,7 +164,7 @@
             } };
     }
 
-    CatalogWatch::Context catalogContext()
+    CatalogWatcher::Context catalogContext()
     {
         return { ports_.control, ports_.clock, ports_.configurations, ports_.servers, ports_.decoder,
             settings_.leavingNotice, settings_.outageNotice,
@@ -183,20 +183,20 @@
             forwarder_.setConfiguration(configuration);
         });
         ports_.metrics->setGauge("lagoon_configuration_version", static_cast<double>(configuration->version.value()));
-        linkEngines();
-        becomeReady();
+        updateAgentLinks();
+        updateReadiness();
     }
 
     void didListServers(const std::vector<catalog::Upstream>& servers)
     {
         servers_ = servers;
         ports_.traffic.post([this, servers] { forwarder_.setUpstreams(servers); });
-        linkEngines();
-        becomeReady();
+        updateAgentLinks();
+        updateReadiness();
     }
 
     /// Agents are beside the servers of the services that have engines.
-    void linkEngines()
+    void updateAgentLinks()
     {
         if (!configuration_)
             return;
@@ -209,11 +209,11 @@
         links_.setEngines(engines);
     }
 
-    void becomeReady()
+    void updateReadiness()
     {
-        if (isDraining_ || readinessView_.isReady() || !catalog_.isComplete())
+        if (isDraining_ || readinessHandler_.isReady() || !catalog_.isComplete())
             return;
-        readinessView_.setReady(true);
+        readinessHandler_.setReady(true);
         logDecision(LogLine("ready")
                         .number("configuration", configuration_->version.value())
                         .number("servers", servers_.size()));
@@ -228,9 +228,9 @@
     catalog::ConfigurationPointer configuration_;
     std::vector<catalog::Upstream> servers_;
     AgentLinks links_;
-    CatalogWatch catalog_;
-    ReadinessView readinessView_;
-    MetricsView metricsView_;
+    CatalogWatcher catalog_;
+    ReadinessHandler readinessHandler_;
+    MetricsHandler metricsHandler_;
     http::ExchangeServer callers_;
     http::ExchangeServer readiness_;
     http::ExchangeServer ops_;
--- a/src/direct/internal/enginewire.cpp
+++ b/src/direct/internal/enginewire.cpp
@@ -34,18 +34,18 @@
     wire::fb::EngineStateT body;
     body.engine = state.engine.value();
     body.started_ms = state.started ? state.started->value() : 0;
-    for (const catalog::HeldModel& held : state.held) {
+    for (const catalog::LoadedModel& held : state.held) {
         auto model = std::make_unique<wire::fb::HeldModelT>();
         model->model = held.model.value();
         model->version = held.version;
         model->adapters = texts(held.adapters);
-        model->is_leaving = state.isLeaving(held.model);
+        model->is_leaving = state.isDraining(held.model);
         model->work = static_cast<float>(held.work);
         model->in_use = held.inUse;
         body.held.push_back(std::move(model));
     }
-    body.in_memory = texts(state.atHand.memory);
-    body.on_disk = texts(state.atHand.disk);
+    body.in_memory = texts(state.cachedWeights.memory);
+    body.on_disk = texts(state.cachedWeights.disk);
     body.loading = state.loading.value();
     body.loads_from_store = state.loadsFromStore;
     body.running = state.running;
@@ -73,9 +73,9 @@
         state.held.push_back({ name, model->version, names<framework::AdapterName>(model->adapters),
             std::max(0.0F, model->work), model->in_use });
         if (model->is_leaving)
-            state.leaving.push_back(name);
+            state.draining.push_back(name);
     }
-    state.atHand = { names<framework::ModelName>(body.in_memory), names<framework::ModelName>(body.on_disk) };
+    state.cachedWeights = { names<framework::ModelName>(body.in_memory), names<framework::ModelName>(body.on_disk) };
     state.loading = framework::ModelName(body.loading);
     state.loadsFromStore = body.loads_from_store;
     state.running = body.running;
@@ -109,12 +109,12 @@
 }
 
 wire::Message toWire(const framework::VmName& router, const catalog::InstanceId& instance,
-    const catalog::WantedList& wanted, framework::SteadyTime now)
+    const catalog::DemandList& demand, framework::SteadyTime now)
 {
     wire::fb::WantedT body;
     body.router = router.value();
     body.instance = instance.value();
-    for (const catalog::Wanted& one : wanted) {
+    for (const catalog::TargetDemand& one : demand) {
         auto model = std::make_unique<wire::fb::WantedModelT>();
         model->model = one.target.model.value();
         model->adapter = one.target.adapter.value();
@@ -132,11 +132,11 @@
     return wire::message(std::move(body));
 }
 
-catalog::WantedList fromWire(const wire::fb::WantedT& body, framework::SteadyTime now)
+catalog::DemandList fromWire(const wire::fb::WantedT& body, framework::SteadyTime now)
 {
-    catalog::WantedList wanted;
+    catalog::DemandList demand;
     for (const auto& model : body.models) {
-        catalog::Wanted one;
+        catalog::TargetDemand one;
         one.target = { framework::ModelName(model->model), framework::AdapterName(model->adapter) };
         one.waiting = model->waiting;
         one.earliest = framework::Deadline::after(now, Milliseconds(model->earliest_remaining_ms));
@@ -147,9 +147,9 @@
         one.isPrefetch = model->is_prefetch;
         one.isCopy = model->is_copy;
         one.priority = model->priority;
-        wanted.push_back(std::move(one));
+        demand.push_back(std::move(one));
     }
-    return wanted;
+    return demand;
 }
 
 } // namespace lagoon::direct
--- a/src/direct/internal/enginewire.h
+++ b/src/direct/internal/enginewire.h
@@ -1,7 +1,7 @@
 #pragma once
 
+#include "catalog/types/targetdemand.h"
 #include "catalog/types/upstream.h"
-#include "catalog/types/wanted.h"
 #include "framework/types/time.h"
 #include "wire/types/message.h"
 
@@ -14,8 +14,8 @@
 wire::Message toWire(const catalog::EngineLoad&);
 catalog::EngineLoad fromWire(const framework::Endpoint& engine, const wire::fb::EngineLoadT&);
 
-wire::Message toWire(const framework::VmName& router, const catalog::InstanceId& instance, const catalog::WantedList&,
+wire::Message toWire(const framework::VmName& router, const catalog::InstanceId& instance, const catalog::DemandList&,
     framework::SteadyTime now);
-catalog::WantedList fromWire(const wire::fb::WantedT&, framework::SteadyTime now);
+catalog::DemandList fromWire(const wire::fb::WantedT&, framework::SteadyTime now);
 
 } // namespace lagoon::direct
--- a/src/direct/internal/links.cpp
+++ b/src/direct/internal/links.cpp
@@ -6,14 +6,14 @@
 
 namespace lagoon::direct {
 
-std::shared_ptr<wire::ILinkTransport> makeLinks(std::shared_ptr<framework::Metrics> metrics)
+std::shared_ptr<wire::ILinkTransport> makeLinkTransport(std::shared_ptr<framework::Metrics> metrics)
 {
     wire::LinkSettings settings;
     settings.threads = 1;
     return wire::makeTcpLinkTransport(settings, std::move(metrics));
 }
 
-wire::LinkHandlers onControl(framework::IControlExecutor& control, std::weak_ptr<int> alive, LinkEvents events)
+wire::LinkHandlers onControlThread(framework::IControlExecutor& control, std::weak_ptr<int> alive, LinkEvents events)
 {
     const auto toControl = [&control, alive = std::move(alive)](auto action) {
         control.post([alive, action = std::move(action)] {
--- a/src/direct/internal/links.h
+++ b/src/direct/internal/links.h
@@ -11,7 +11,7 @@
 namespace lagoon::direct {
 
 /// Links with one thread of their own: a direct process has a part of one processor.
-std::shared_ptr<wire::ILinkTransport> makeLinks(std::shared_ptr<framework::Metrics>);
+std::shared_ptr<wire::ILinkTransport> makeLinkTransport(std::shared_ptr<framework::Metrics>);
 
 /// What the owner of links does on the control thread.
 struct LinkEvents {
@@ -21,6 +21,6 @@
 
 /// Handlers that carry the events to the control thread. Guards against an owner that has gone by the time they arrive
 /// there: nothing is called once `alive` has expired.
-wire::LinkHandlers onControl(framework::IControlExecutor&, std::weak_ptr<int> alive, LinkEvents);
+wire::LinkHandlers onControlThread(framework::IControlExecutor&, std::weak_ptr<int> alive, LinkEvents);
 
 } // namespace lagoon::direct
--- a/src/direct/internal/routerlinks.cpp
+++ b/src/direct/internal/routerlinks.cpp
@@ -15,7 +15,7 @@
 using framework::LogLine;
 
 /// Routers speak at least each second.
-constexpr framework::Milliseconds longestSilence { 3500 };
+constexpr framework::Milliseconds maxSilence { 3500 };
 
 } // namespace
 
@@ -29,23 +29,23 @@
     LinkEvents events;
     events.didReceive = [this](const auto& link, const wire::Message& message) { didReceive(link, message); };
     events.didClose = [this](const auto& link, const framework::Error&) { didClose(link); };
-    return onControl(context_.control, alive_, std::move(events));
+    return onControlThread(context_.control, alive_, std::move(events));
 }
 
 void RouterLinks::didReceive(const std::shared_ptr<wire::ILink>& link, const wire::Message& message)
 {
-    const wire::fb::WantedT* const wanted = message.body.AsWanted();
-    if (!wanted)
+    const wire::fb::WantedT* const demand = message.body.AsWanted();
+    if (!demand)
         return;
     const framework::SteadyTime now = context_.clock.now();
     const auto [router, isNew] = routers_.try_emplace(link);
-    router->second = { framework::VmName(wanted->router), now };
+    router->second = { framework::VmName(demand->router), now };
     if (isNew) {
-        logDecision(LogLine("router_heard").text("router", wanted->router));
+        logDecision(LogLine("router_heard").text("router", demand->router));
         if (last_)
             link->send(toWire(*last_));
     }
-    context_.didWant(router->second.name, catalog::InstanceId(wanted->instance), fromWire(*wanted, now));
+    context_.didReceiveDemand(router->second.name, catalog::InstanceId(demand->instance), fromWire(*demand, now));
 }
 
 bool RouterLinks::hasOtherLink(const framework::VmName& name) const
@@ -64,7 +64,7 @@
     if (hasOtherLink(name))
         return;
     logDecision(LogLine("router_lost").text("router", name.value()));
-    context_.didLose(name);
+    context_.didLoseRouter(name);
 }
 
 void RouterLinks::publish(const catalog::EngineState& state)
@@ -89,7 +89,7 @@
 {
     std::vector<std::shared_ptr<wire::ILink>> silent;
     for (const auto& [link, router] : routers_) {
-        if (context_.clock.now() - router.heardAt > longestSilence)
+        if (context_.clock.now() - router.receivedAt > maxSilence)
             silent.push_back(link);
     }
     for (const auto& link : silent) {
--- a/src/direct/internal/routerlinks.h
+++ b/src/direct/internal/routerlinks.h
@@ -1,7 +1,7 @@
 #pragma once
 
+#include "catalog/types/targetdemand.h"
 #include "catalog/types/upstream.h"
-#include "catalog/types/wanted.h"
 #include "framework/controlthread.h"
 #include "framework/iclock.h"
 #include "wire/ilink.h"
@@ -19,8 +19,8 @@
     struct Context {
         framework::IControlExecutor& control;
         const framework::IClock& clock;
-        std::function<void(const framework::VmName&, const catalog::InstanceId&, catalog::WantedList)> didWant;
-        std::function<void(const framework::VmName&)> didLose;
+        std::function<void(const framework::VmName&, const catalog::InstanceId&, catalog::DemandList)> didReceiveDemand;
+        std::function<void(const framework::VmName&)> didLoseRouter;
     };
 
     explicit RouterLinks(Context);
@@ -38,7 +38,7 @@
 private:
     struct Router {
         framework::VmName name;
-        framework::SteadyTime heardAt {};
+        framework::SteadyTime receivedAt {};
     };
 
     void didReceive(const std::shared_ptr<wire::ILink>&, const wire::Message&);
--- a/src/direct/internal/plainviews.h
+++ b/src/direct/internal/statushandlers.h
@@ -9,7 +9,7 @@
 namespace lagoon::direct {
 
 /// Answers the balancer: 200 while new callers are welcome, else 503.
-class ReadinessView final : public http::IExchangeHandler {
+class ReadinessHandler final : public http::IExchangeHandler {
 public:
     void handle(const std::shared_ptr<http::IExchange>& exchange) override
     {
@@ -23,9 +23,9 @@
 };
 
 /// Answers with all counters in Prometheus' text format.
-class MetricsView final : public http::IExchangeHandler {
+class MetricsHandler final : public http::IExchangeHandler {
 public:
-    explicit MetricsView(std::shared_ptr<framework::Metrics> metrics)
+    explicit MetricsHandler(std::shared_ptr<framework::Metrics> metrics)
         : metrics_(std::move(metrics))
     {
     }
--- a/src/direct/tests/agentlinks_test.cpp
+++ b/src/direct/tests/agentlinks_test.cpp
@@ -66,7 +66,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(TheLinksToAgents, Fixture)
+BOOST_FIXTURE_TEST_SUITE(AgentLinksTests, Fixture)
 
 // Guards against links whose number grows with routers times engines.
 BOOST_AUTO_TEST_CASE(areOpenedOnlyToEnginesThatAreSubscribedTo)
--- a/src/direct/tests/catalogwatch_test.cpp
+++ b/src/direct/tests/catalogwatcher_test.cpp
@@ -1,4 +1,4 @@
-#include "direct/internal/catalogwatch.h"
+#include "direct/internal/catalogwatcher.h"
 #include "framework/testing/manualcontrol.h"
 
 #include <boost/test/unit_test.hpp>
@@ -87,7 +87,7 @@
     Fixture()
         : watch({ control, control, configurations, servers, decoder, Milliseconds(2000), Milliseconds(3000),
             [](const catalog::ConfigurationPointer&) {},
-            [this](const std::vector<Upstream>& list) { told.push_back(list); }, [](framework::SteadyTime) {} })
+            [this](const std::vector<Upstream>& list) { published.push_back(list); }, [](framework::SteadyTime) {} })
     {
         configure({ "engines", "plain" });
     }
@@ -139,7 +139,7 @@
 
     const Upstream* find(const std::string& name) const
     {
-        for (const Upstream& upstream : told.back()) {
+        for (const Upstream& upstream : published.back()) {
             if (upstream.instance == InstanceId(name))
                 return &upstream;
         }
@@ -150,15 +150,15 @@
     FakeFeed configurations;
     FakeFeed servers;
     FakeDecoder decoder;
-    std::vector<std::vector<Upstream>> told;
+    std::vector<std::vector<Upstream>> published;
     std::uint64_t version = 0;
     bool isStarted = false;
-    CatalogWatch watch;
+    CatalogWatcher watch;
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(TheCatalog, Fixture)
+BOOST_FIXTURE_TEST_SUITE(CatalogWatchers, Fixture)
 
 // A server's entry was overwritten by someone else. Requests still went by what it had said before, to a server that by
 // the list wasn't there.
@@ -168,7 +168,7 @@
     write("i-2", server("10.0.0.2:80", 100));
     write("i-3", std::string("garbage"));
     start();
-    BOOST_TEST(told.back().size() == 2U);
+    BOOST_TEST(published.back().size() == 2U);
     write("i-1", std::string("garbage"));
     BOOST_TEST(!find("i-1"));
     BOOST_TEST(find("i-2"));
@@ -209,10 +209,10 @@
     write("i-1", server("10.0.0.1:80", 200));
     start();
     Upstream leaving = server("10.0.0.1:80", 100);
-    leaving.state = catalog::UpstreamState::Leaving;
+    leaving.state = catalog::UpstreamState::Draining;
     write("i-1", leaving);
     BOOST_REQUIRE(find("i-1"));
-    BOOST_TEST((find("i-1")->state == catalog::UpstreamState::Leaving));
+    BOOST_TEST((find("i-1")->state == catalog::UpstreamState::Draining));
     BOOST_TEST(find("i-1")->started->value() == 200U);
     // It was a late word of the former run if the later one goes on saying that it is ready.
     write("i-1", server("10.0.0.1:80", 200));
--- a/src/engines/iengineport.h
+++ b/src/engines/iengineport.h
@@ -17,7 +17,7 @@
 
     virtual void report(framework::Deadline, ReportHandler) = 0;
     /// Sent once. The deadline is for the answer; the order itself may go on much longer.
-    virtual void order(const Order&, const OrderTerms&, framework::Deadline, OrderHandler) = 0;
+    virtual void order(const Order&, const OrderPreconditions&, framework::Deadline, OrderHandler) = 0;
 };
 
 } // namespace lagoon::engines
--- a/src/engines/ifencesource.h
+++ b/src/engines/ifencingtokensource.h
@@ -9,10 +9,10 @@
 namespace lagoon::engines {
 
 /// Where an agent gets its fencing numbers: each is greater than all that were given before, to whomever.
-class IFenceSource {
+class IFencingTokenSource {
 public:
-    virtual ~IFenceSource() = default;
-    using Handler = std::function<void(framework::Result<framework::FencingNumber>)>;
+    virtual ~IFencingTokenSource() = default;
+    using Handler = std::function<void(framework::Result<framework::FencingToken>)>;
     /// The handler runs on the control thread, once.
     virtual void next(framework::Deadline, Handler) = 0;
 };
--- a/src/engines/internal/wantedbook.cpp
+++ b/src/engines/internal/demandtable.cpp
@@ -1,4 +1,4 @@
-#include "engines/wantedbook.h"
+#include "engines/demandtable.h"
 
 #include <algorithm>
 #include <limits>
@@ -10,12 +10,12 @@
 
 namespace {
 
-using catalog::Wanted;
+using catalog::TargetDemand;
 
 /// A router speaks each second; one that has missed three has ended, or can't be reached.
-constexpr framework::Milliseconds routerSilence { 3500 };
+constexpr framework::Milliseconds routerTimeout { 3500 };
 
-void add(Wanted& into, const Wanted& from)
+void accumulate(TargetDemand& into, const TargetDemand& from)
 {
     if (from.waiting > 0)
         into.earliest = into.waiting > 0 ? std::min(into.earliest, from.earliest) : from.earliest;
@@ -31,16 +31,16 @@
 
 } // namespace
 
-void WantedBook::set(const framework::VmName& router, catalog::WantedList wanted, framework::SteadyTime now)
+void DemandTable::set(const framework::VmName& router, catalog::DemandList demand, framework::SteadyTime now)
 {
     Entry& entry = routers_[router];
-    entry.at = now;
+    entry.receivedAt = now;
     std::set<catalog::ModelTarget> touched;
-    for (const Wanted& before : std::exchange(entry.wanted, std::move(wanted))) {
+    for (const TargetDemand& before : std::exchange(entry.demand, std::move(demand))) {
         erase(before.target, router);
         touched.insert(before.target);
     }
-    for (const Wanted& one : entry.wanted) {
+    for (const TargetDemand& one : entry.demand) {
         byTarget_[one.target].emplace_back(router, one);
         touched.insert(one.target);
     }
@@ -48,29 +48,29 @@
         merge(target);
 }
 
-void WantedBook::forget(const framework::VmName& router)
+void DemandTable::forget(const framework::VmName& router)
 {
     set(router, {}, {});
     routers_.erase(router);
 }
 
-void WantedBook::forgetSilent(framework::SteadyTime now)
+void DemandTable::forgetSilentRouters(framework::SteadyTime now)
 {
     std::vector<framework::VmName> silent;
     for (const auto& [router, entry] : routers_) {
-        if (now - entry.at > routerSilence)
+        if (now - entry.receivedAt > routerTimeout)
             silent.push_back(router);
     }
     for (const framework::VmName& router : silent)
         forget(router);
 }
 
-void WantedBook::erase(const catalog::ModelTarget& target, const framework::VmName& router)
+void DemandTable::erase(const catalog::ModelTarget& target, const framework::VmName& router)
 {
     std::erase_if(byTarget_[target], [&](const auto& entry) { return entry.first == router; });
 }
 
-void WantedBook::merge(const catalog::ModelTarget& target)
+void DemandTable::merge(const catalog::ModelTarget& target)
 {
     const auto entries = byTarget_.find(target);
     if (entries->second.empty()) {
@@ -78,11 +78,11 @@
         merged_.erase(target);
         return;
     }
-    Wanted all;
+    TargetDemand all;
     all.target = target;
     all.rank = std::numeric_limits<std::uint32_t>::max();
-    for (const auto& [router, wanted] : entries->second)
-        add(all, wanted);
+    for (const auto& [router, demand] : entries->second)
+        accumulate(all, demand);
     merged_.insert_or_assign(target, std::move(all));
 }
 
--- a/src/engines/internal/placementplan.cpp
+++ b/src/engines/internal/placementplanner.cpp
@@ -1,4 +1,4 @@
-#include "engines/placementplan.h"
+#include "engines/placementplanner.h"
 
 #include "catalog/modelweights.h"
 #include "policy/modelcopies.h"
@@ -12,11 +12,11 @@
 
 namespace {
 
-using catalog::HeldModel;
+using catalog::LoadedModel;
 using catalog::MegaBytes;
 using catalog::ModelProfile;
 using catalog::ModelTarget;
-using catalog::Wanted;
+using catalog::TargetDemand;
 using framework::Deadline;
 using framework::Milliseconds;
 using framework::ModelName;
@@ -24,41 +24,41 @@
 
 /// A model that has just been loaded isn't unloaded before those who waited for it have come: the routers hear of it
 /// and send within a few network delays.
-constexpr Milliseconds residence { 300 };
+constexpr Milliseconds minResidence { 300 };
 /// A model whose requests ended this recently has probably more on their way, when nobody waits for another.
-constexpr Milliseconds settledAfter { 2000 };
+constexpr Milliseconds minIdleTime { 2000 };
 /// Loads of adapters that may be under way at one engine.
-constexpr std::size_t adaptersComing = 4;
+constexpr std::size_t maxLoadingAdapters = 4;
 /// Between the end of a model's requests and its place being free.
 constexpr Milliseconds unloadTime { 40 };
 /// While an order is under way whose end isn't known, as after this process has started anew.
-constexpr Milliseconds unknownOrder { 1000 };
+constexpr Milliseconds unknownOrderTime { 1000 };
 
-Wanted wantedOf(const PlacementInput& input, const ModelTarget& target)
+TargetDemand wantedOf(const PlacementInput& input, const ModelTarget& target)
 {
-    const auto found = input.wanted.find(target);
-    if (found != input.wanted.end())
+    const auto found = input.demand.find(target);
+    if (found != input.demand.end())
         return found->second;
-    Wanted none;
+    TargetDemand none;
     none.target = target;
     return none;
 }
 
 std::uint32_t usesOf(const PlacementInput& input, const ModelName& model)
 {
-    return engines::usesOf(input.wanted, model);
+    return engines::usesOf(input.demand, model);
 }
 
-DrainWatch::Uses usesIn(const PlacementInput& input)
+DrainTimeEstimator::Uses usesIn(const PlacementInput& input)
 {
     return [&input](const ModelName& model) { return usesOf(input, model); };
 }
 
 /// Guards against a busy model that stays on one engine: where all other models are in use, none made way for its copy,
 /// and loads that single callers wait for went before it, while its own callers were refused for seconds.
-bool isStrainedCopy(const Wanted& wanted)
+bool isOverloadedCopy(const TargetDemand& demand)
 {
-    return wanted.isCopy && wanted.waiting == 0 && policy::isStrained(wanted.work, wanted.holders);
+    return demand.isCopy && demand.waiting == 0 && policy::isStrained(demand.work, demand.holders);
 }
 
 MegaBytes adapterSize(const PlacementInput& input, const ModelName& model)
@@ -70,19 +70,19 @@
 std::uint64_t usedWeights(const PlacementInput& input)
 {
     std::uint64_t used = 0;
-    for (const HeldModel& held : input.report.held)
+    for (const LoadedModel& held : input.report.held)
         used += catalog::weightsOf(input.profile, held).value();
-    for (const ModelTarget& coming : input.report.comingAdapters)
-        used += adapterSize(input, coming.model).value();
+    for (const ModelTarget& adapter : input.report.loadingAdapters)
+        used += adapterSize(input, adapter.model).value();
     return used;
 }
 
-std::size_t adapterPlaces(const PlacementInput& input)
+std::size_t usedAdapterSlots(const PlacementInput& input)
 {
-    std::size_t places = input.report.comingAdapters.size();
-    for (const HeldModel& held : input.report.held)
-        places += held.adapters.size();
-    return places;
+    std::size_t slots = input.report.loadingAdapters.size();
+    for (const LoadedModel& held : input.report.held)
+        slots += held.adapters.size();
+    return slots;
 }
 
 bool fits(const PlacementInput& input, std::uint64_t used, std::uint64_t added)
@@ -92,22 +92,22 @@
 
 } // namespace
 
-std::uint32_t usesOf(const std::map<ModelTarget, Wanted>& wanted, const ModelName& model)
+std::uint32_t usesOf(const std::map<ModelTarget, TargetDemand>& demand, const ModelName& model)
 {
     std::uint32_t uses = 0;
-    for (const auto& [target, one] : wanted) {
+    for (const auto& [target, one] : demand) {
         if (target.model == model)
             uses += one.inFlight + one.waiting;
     }
     return uses;
 }
 
-PlacementPlan::PlacementPlan(std::unique_ptr<policy::ILoadOrder> loadOrder)
+PlacementPlanner::PlacementPlanner(std::unique_ptr<policy::ILoadOrder> loadOrder)
     : loadOrder_(std::move(loadOrder))
 {
 }
 
-void PlacementPlan::reset()
+void PlacementPlanner::reset()
 {
     uses_.clear();
     loading_ = ModelName();
@@ -117,10 +117,10 @@
     drains_.reset();
 }
 
-PlacementDecision PlacementPlan::decide(const PlacementInput& input)
+PlacementDecision PlacementPlanner::decide(const PlacementInput& input)
 {
     noteUses(input);
-    const DrainWatch::Uses uses = usesIn(input);
+    const DrainTimeEstimator::Uses uses = usesIn(input);
     drains_.noteDrained(uses, input.now);
     PlacementDecision decision;
     if (!input.report.isBusy) {
@@ -134,18 +134,18 @@
     Milliseconds soFar = untilFree(input);
     if (!loading_.value().empty())
         decision.expected.push_back({ loading_, soFar });
-    for (const Wanted& wanted : toLoad(input))
-        planModel(input, wanted, decision, soFar);
+    for (const TargetDemand& demand : missingModels(input))
+        planModel(input, demand, decision, soFar);
     if (!unloading_.value().empty())
-        decision.leaving.push_back(unloading_);
-    drains_.noteLeaving(decision.leaving, uses, input.now);
+        decision.draining.push_back(unloading_);
+    drains_.noteDraining(decision.draining, uses, input.now);
     return decision;
 }
 
-void PlacementPlan::noteUses(const PlacementInput& input)
+void PlacementPlanner::noteUses(const PlacementInput& input)
 {
     std::set<ModelTarget> held;
-    for (const HeldModel& model : input.report.held) {
+    for (const LoadedModel& model : input.report.held) {
         held.insert({ model.model, {} });
         for (const framework::AdapterName& adapter : model.adapters)
             held.insert({ model.model, adapter });
@@ -153,35 +153,36 @@
     std::erase_if(uses_, [&](const auto& entry) { return !held.contains(entry.first); });
     for (const ModelTarget& target : held)
         uses_.try_emplace(target, Use { input.now, input.now });
-    for (const auto& [target, wanted] : input.wanted) {
+    for (const auto& [target, demand] : input.demand) {
         const auto use = uses_.find(target);
-        if (use != uses_.end() && wanted.inFlight + wanted.waiting > 0)
+        if (use != uses_.end() && demand.inFlight + demand.waiting > 0)
             use->second.lastUsed = input.now;
     }
     std::erase_if(waitingSince_, [&](const auto& entry) { return wantedOf(input, { entry.first, {} }).waiting == 0; });
-    for (const auto& [target, wanted] : input.wanted) {
-        if (target.adapter.value().empty() && wanted.waiting > 0)
+    for (const auto& [target, demand] : input.demand) {
+        if (target.adapter.value().empty() && demand.waiting > 0)
             waitingSince_.try_emplace(target.model, input.now);
     }
 }
 
-std::optional<Order> PlacementPlan::adapterOrder(const PlacementInput& input) const
+std::optional<Order> PlacementPlanner::adapterOrder(const PlacementInput& input) const
 {
     // While an engine carries out an order of a model it takes none of an adapter either.
     if (input.report.isBusy)
         return std::nullopt;
-    for (const auto& [target, wanted] : input.wanted) {
-        if (target.adapter.value().empty() || wanted.waiting == 0)
+    for (const auto& [target, demand] : input.demand) {
+        if (target.adapter.value().empty() || demand.waiting == 0)
             continue;
-        const HeldModel* const model = catalog::findHeld(input.report.held, target.model);
-        const auto& coming = input.report.comingAdapters;
-        if (!model || model->has(target.adapter) || std::find(coming.begin(), coming.end(), target) != coming.end())
+        const LoadedModel* const model = catalog::findLoaded(input.report.held, target.model);
+        const auto& adapterLoads = input.report.loadingAdapters;
+        if (!model || model->has(target.adapter)
+            || std::find(adapterLoads.begin(), adapterLoads.end(), target) != adapterLoads.end())
             continue;
-        const bool hasPlace = adapterPlaces(input) < input.profile.adapters
+        const bool hasFreeSlot = usedAdapterSlots(input) < input.profile.adapters
             && fits(input, usedWeights(input), adapterSize(input, target.model).value());
-        if (hasPlace && coming.size() < adaptersComing)
+        if (hasFreeSlot && adapterLoads.size() < maxLoadingAdapters)
             return Order { OrderKind::Load, target };
-        if (hasPlace)
+        if (hasFreeSlot)
             continue;
         if (const auto idle = idleAdapter(input))
             return Order { OrderKind::Unload, *idle };
@@ -190,13 +191,13 @@
 }
 
 /// The adapter that was used longest ago, and isn't now.
-std::optional<ModelTarget> PlacementPlan::idleAdapter(const PlacementInput& input) const
+std::optional<ModelTarget> PlacementPlanner::idleAdapter(const PlacementInput& input) const
 {
     std::optional<ModelTarget> oldest;
     SteadyTime oldestUse {};
     for (const auto& [target, use] : uses_) {
-        const Wanted wanted = wantedOf(input, target);
-        if (target.adapter.value().empty() || wanted.inFlight + wanted.waiting > 0)
+        const TargetDemand demand = wantedOf(input, target);
+        if (target.adapter.value().empty() || demand.inFlight + demand.waiting > 0)
             continue;
         if (oldest && use.lastUsed >= oldestUse)
             continue;
@@ -206,83 +207,84 @@
     return oldest;
 }
 
-std::vector<Wanted> PlacementPlan::toLoad(const PlacementInput& input) const
+std::vector<TargetDemand> PlacementPlanner::missingModels(const PlacementInput& input) const
 {
-    std::vector<Wanted> all;
-    std::vector<Wanted> waited;
-    std::vector<Wanted> copies;
-    std::vector<Wanted> prefetched;
-    for (const auto& [target, wanted] : input.wanted) {
-        const bool isMissing = !catalog::findHeld(input.report.held, target.model) && loading_ != target.model;
+    std::vector<TargetDemand> all;
+    std::vector<TargetDemand> waited;
+    std::vector<TargetDemand> copies;
+    std::vector<TargetDemand> prefetched;
+    for (const auto& [target, demand] : input.demand) {
+        const bool isMissing = !catalog::findLoaded(input.report.held, target.model) && loading_ != target.model;
         if (!target.adapter.value().empty() || !isMissing || !input.profile.find(target.model))
             continue;
-        if (isStrainedCopy(wanted))
-            all.push_back(wanted);
-        else if (wanted.waiting > 0)
-            waited.push_back(wanted);
-        else if (wanted.isPrefetch)
-            prefetched.push_back(wanted);
-        else if (wanted.isCopy)
-            copies.push_back(wanted);
+        if (isOverloadedCopy(demand))
+            all.push_back(demand);
+        else if (demand.waiting > 0)
+            waited.push_back(demand);
+        else if (demand.isPrefetch)
+            prefetched.push_back(demand);
+        else if (demand.isCopy)
+            copies.push_back(demand);
     }
-    const std::vector<Wanted> ordered = byValue(input, waited);
+    const std::vector<TargetDemand> ordered = byValue(input, waited);
     all.insert(all.end(), ordered.begin(), ordered.end());
     all.insert(all.end(), copies.begin(), copies.end());
     all.insert(all.end(), prefetched.begin(), prefetched.end());
     return all;
 }
 
-std::vector<Wanted> PlacementPlan::byValue(const PlacementInput& input, const std::vector<Wanted>& waited) const
+std::vector<TargetDemand> PlacementPlanner::byValue(
+    const PlacementInput& input, const std::vector<TargetDemand>& waited) const
 {
     std::vector<policy::PendingLoad> pending;
-    for (const Wanted& wanted : waited) {
-        const ModelProfile& model = *input.profile.find(wanted.target.model);
-        pending.push_back({ model.name.value(), wanted.earliest, wanted.waiting, waitingSince_.at(model.name),
-            catalog::loadTime(model, input.report.atHand), wanted.priority });
+    for (const TargetDemand& demand : waited) {
+        const ModelProfile& model = *input.profile.find(demand.target.model);
+        pending.push_back({ model.name.value(), demand.earliest, demand.waiting, waitingSince_.at(model.name),
+            catalog::loadTime(model, input.report.cachedWeights), demand.priority });
     }
-    std::vector<Wanted> ordered;
+    std::vector<TargetDemand> ordered;
     for (const std::size_t index : policy::sequenceOf(*loadOrder_, pending, input.now))
         ordered.push_back(waited[index]);
     return ordered;
 }
 
 /// Until an order that is under way has ended.
-Milliseconds PlacementPlan::untilFree(const PlacementInput& input) const
+Milliseconds PlacementPlanner::untilFree(const PlacementInput& input) const
 {
     if (!input.report.isBusy)
         return Milliseconds(0);
     if (loading_.value().empty())
-        return unknownOrder;
+        return unknownOrderTime;
     // One that takes longer than it should is thought to need as long again as it has taken too long.
     if (loadedBy_.hasPassed(input.now))
         return std::max(unloadTime, std::chrono::duration_cast<Milliseconds>(input.now - loadedBy_.at()));
     return loadedBy_.remaining(input.now);
 }
 
-void PlacementPlan::planModel(
-    const PlacementInput& input, const Wanted& wanted, PlacementDecision& decision, Milliseconds& soFar)
+void PlacementPlanner::planModel(
+    const PlacementInput& input, const TargetDemand& demand, PlacementDecision& decision, Milliseconds& soFar)
 {
-    const ModelName& model = wanted.target.model;
-    const auto victims = victimsFor(input, wanted);
+    const ModelName& model = demand.target.model;
+    const auto victims = victimsFor(input, demand);
     if (!victims) {
-        decision.expected.push_back({ model, catalog::cannotPlace });
+        decision.expected.push_back({ model, catalog::loadImpossible });
         return;
     }
-    const bool isFirst = !decision.order && !input.report.isBusy && decision.leaving.empty();
-    soFar += catalog::loadTime(*input.profile.find(model), input.report.atHand) + unloadTime * victims->size()
+    const bool isFirst = !decision.order && !input.report.isBusy && decision.draining.empty();
+    soFar += catalog::loadTime(*input.profile.find(model), input.report.cachedWeights) + unloadTime * victims->size()
         + drains_.expected(*victims, usesIn(input), input.now);
     decision.expected.push_back({ model, soFar });
     if (!isFirst)
         return;
-    decision.reason = (wanted.waiting > 0         ? "waited for by " + std::to_string(wanted.waiting)
-                              : wanted.isPrefetch ? "nowhere at hand"
+    decision.reason = (demand.waiting > 0         ? "waited for by " + std::to_string(demand.waiting)
+                              : demand.isPrefetch ? "nowhere at hand"
                                                   : "another copy")
         + std::string(", for ") + model.value();
     if (victims->empty()) {
         decision.order = Order { OrderKind::Load, { model, {} } };
         return;
     }
-    decision.leaving = *victims;
+    decision.draining = *victims;
     for (const ModelName& victim : *victims) {
         if (usesOf(input, victim) > 0)
             continue;
@@ -292,20 +294,21 @@
 }
 
 /// What has to go for the model; empty if it fits as it is, nothing if it can't be placed.
-std::optional<std::vector<ModelName>> PlacementPlan::victimsFor(const PlacementInput& input, const Wanted& wanted) const
+std::optional<std::vector<ModelName>> PlacementPlanner::victimsFor(
+    const PlacementInput& input, const TargetDemand& demand) const
 {
-    const std::uint64_t needed = input.profile.find(wanted.target.model)->weights.value();
+    const std::uint64_t needed = input.profile.find(demand.target.model)->weights.value();
     std::uint64_t used = usedWeights(input);
     std::vector<ModelName> victims;
     if (fits(input, used, needed))
         return victims;
     // The fewer requests have to end first, the sooner the place is free.
-    std::vector<std::tuple<std::uint32_t, double, SteadyTime, const HeldModel*>> candidates;
-    for (const HeldModel& held : input.report.held) {
-        if (!mayMakeWay(input, held.model, wanted))
+    std::vector<std::tuple<std::uint32_t, double, SteadyTime, const LoadedModel*>> candidates;
+    for (const LoadedModel& held : input.report.held) {
+        if (!mayEvict(input, held.model, demand))
             continue;
         candidates.emplace_back(
-            usesOf(input, held.model), missed(input, held.model), uses_.at({ held.model, {} }).lastUsed, &held);
+            usesOf(input, held.model), retentionValue(input, held.model), uses_.at({ held.model, {} }).lastUsed, &held);
     }
     std::sort(candidates.begin(), candidates.end());
     for (const auto& [uses, value, lastUsed, held] : candidates) {
@@ -317,35 +320,35 @@
     return std::nullopt;
 }
 
-bool PlacementPlan::mayMakeWay(const PlacementInput& input, const ModelName& held, const Wanted& loaded) const
+bool PlacementPlanner::mayEvict(const PlacementInput& input, const ModelName& held, const TargetDemand& loaded) const
 {
     const Use& use = uses_.at({ held, {} });
-    if (input.now - use.since < residence)
+    if (input.now - use.since < minResidence)
         return false;
-    const Wanted wanted = wantedOf(input, { held, {} });
-    const bool isSurplus = wanted.holders > policy::wantedCopies(wanted.work);
+    const TargetDemand demand = wantedOf(input, { held, {} });
+    const bool isSurplus = demand.holders > policy::wantedCopies(demand.work);
     // A busy model may lose one of several copies, never its only one.
     if (loaded.waiting > 0)
-        return isSurplus || !policy::isBusyModel(wanted.work) || wanted.holders > 1;
-    if (isStrainedCopy(loaded))
-        return isSurplus || !policy::isBusyModel(wanted.work);
+        return isSurplus || !policy::isBusyModel(demand.work) || demand.holders > 1;
+    if (isOverloadedCopy(loaded))
+        return isSurplus || !policy::isBusyModel(demand.work);
     if (usesOf(input, held) > 0)
         return false;
     if (loaded.isPrefetch)
-        return isSurplus || (!policy::isBusyModel(wanted.work) && input.now - use.lastUsed > settledAfter);
-    return isSurplus || !policy::isBusyModel(wanted.work);
+        return isSurplus || (!policy::isBusyModel(demand.work) && input.now - use.lastUsed > minIdleTime);
+    return isSurplus || !policy::isBusyModel(demand.work);
 }
 
 /// How much the model would be missed here: nothing where enough others hold it, else by its requests' work.
-double PlacementPlan::missed(const PlacementInput& input, const ModelName& held) const
+double PlacementPlanner::retentionValue(const PlacementInput& input, const ModelName& held) const
 {
-    const Wanted wanted = wantedOf(input, { held, {} });
-    if (wanted.holders > policy::wantedCopies(wanted.work))
+    const TargetDemand demand = wantedOf(input, { held, {} });
+    if (demand.holders > policy::wantedCopies(demand.work))
         return 0;
-    return wanted.work / std::max<std::uint32_t>(1, wanted.holders);
+    return demand.work / std::max<std::uint32_t>(1, demand.holders);
 }
 
-void PlacementPlan::didOrder(const Order& order, const PlacementInput& input)
+void PlacementPlanner::didOrder(const Order& order, const PlacementInput& input)
 {
     if (!order.target.adapter.value().empty())
         return;
@@ -356,7 +359,7 @@
     const ModelProfile* const model = input.profile.find(order.target.model);
     if (!model)
         return;
-    const Milliseconds takes = catalog::loadTime(*model, input.report.atHand);
+    const Milliseconds takes = catalog::loadTime(*model, input.report.cachedWeights);
     loading_ = model->name;
     loadsFromStore_ = takes == model->loadFromStore;
     loadedBy_ = Deadline::after(input.now, takes);
--- a/src/engines/placementplan.h
+++ b/src/engines/placementplanner.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include "catalog/types/configuration.h"
+#include "catalog/types/targetdemand.h"
 #include "catalog/types/upstream.h"
-#include "catalog/types/wanted.h"
-#include "engines/drainwatch.h"
+#include "engines/draintimeestimator.h"
 #include "engines/types/enginereport.h"
 #include "framework/types/time.h"
 #include "policy/iloadorder.h"
@@ -19,7 +19,7 @@
 struct PlacementInput {
     const catalog::EngineProfile& profile;
     const EngineReport& report;
-    const std::map<catalog::ModelTarget, catalog::Wanted>& wanted;
+    const std::map<catalog::ModelTarget, catalog::TargetDemand>& demand;
     framework::SteadyTime now {};
 };
 
@@ -27,22 +27,22 @@
     /// The next order, if there is one to give now.
     std::optional<Order> order;
     /// Held models that should get no new requests, as they are about to make way.
-    std::vector<framework::ModelName> leaving;
+    std::vector<framework::ModelName> draining;
     std::vector<catalog::EngineState::Expected> expected;
     /// For the log.
     std::string reason;
 };
 
 /// Requests under way for the model, with or without an adapter, and those that wait for it or one of its adapters.
-std::uint32_t usesOf(const std::map<catalog::ModelTarget, catalog::Wanted>&, const framework::ModelName&);
+std::uint32_t usesOf(const std::map<catalog::ModelTarget, catalog::TargetDemand>&, const framework::ModelName&);
 
 /// Decides which models and adapters one engine holds. Copies of models that their engines can't serve come first; then
 /// what is waited for, by how many wait, how long the load takes and when the nearest deadline is; then further copies
 /// of busy models; then models that no engine has at hand. What makes way is what has the fewest requests, and among
 /// equals what is least missed. Without I/O or clock.
-class PlacementPlan {
+class PlacementPlanner {
 public:
-    explicit PlacementPlan(std::unique_ptr<policy::ILoadOrder>);
+    explicit PlacementPlanner(std::unique_ptr<policy::ILoadOrder>);
 
     PlacementDecision decide(const PlacementInput&);
     /// The order was accepted.
@@ -69,13 +69,15 @@
     std::optional<Order> adapterOrder(const PlacementInput&) const;
     std::optional<catalog::ModelTarget> idleAdapter(const PlacementInput&) const;
     /// Models to load, the first first.
-    std::vector<catalog::Wanted> toLoad(const PlacementInput&) const;
-    std::vector<catalog::Wanted> byValue(const PlacementInput&, const std::vector<catalog::Wanted>&) const;
-    std::optional<std::vector<framework::ModelName>> victimsFor(const PlacementInput&, const catalog::Wanted&) const;
-    bool mayMakeWay(const PlacementInput&, const framework::ModelName&, const catalog::Wanted& loaded) const;
-    double missed(const PlacementInput&, const framework::ModelName&) const;
+    std::vector<catalog::TargetDemand> missingModels(const PlacementInput&) const;
+    std::vector<catalog::TargetDemand> byValue(const PlacementInput&, const std::vector<catalog::TargetDemand>&) const;
+    std::optional<std::vector<framework::ModelName>> victimsFor(
+        const PlacementInput&, const catalog::TargetDemand&) const;
+    bool mayEvict(const PlacementInput&, const framework::ModelName&, const catalog::TargetDemand& loaded) const;
+    double retentionValue(const PlacementInput&, const framework::ModelName&) const;
     framework::Milliseconds untilFree(const PlacementInput&) const;
-    void planModel(const PlacementInput&, const catalog::Wanted&, PlacementDecision&, framework::Milliseconds& soFar);
+    void planModel(
+        const PlacementInput&, const catalog::TargetDemand&, PlacementDecision&, framework::Milliseconds& soFar);
 
     std::unique_ptr<policy::ILoadOrder> loadOrder_;
     std::map<catalog::ModelTarget, Use> uses_;
@@ -87,7 +89,7 @@
     framework::ModelName unloading_;
     bool loadsFromStore_ = false;
     framework::Deadline loadedBy_;
-    DrainWatch drains_;
+    DrainTimeEstimator drains_;
 };
 
 } // namespace lagoon::engines
--- a/src/engines/tests/enginekeeper_test.cpp
+++ b/src/engines/tests/enginecontroller_test.cpp
@@ -1,4 +1,4 @@
-#include "engines/enginekeeper.h"
+#include "engines/enginecontroller.h"
 #include "framework/testing/manualcontrol.h"
 
 #include <boost/test/unit_test.hpp>
@@ -10,11 +10,11 @@
 
 using catalog::InstanceId;
 using catalog::MegaBytes;
-using catalog::Wanted;
+using catalog::TargetDemand;
 using framework::Deadline;
 using framework::Error;
 using framework::ErrorCode;
-using framework::FencingNumber;
+using framework::FencingToken;
 using framework::ManualControl;
 using framework::Milliseconds;
 using framework::ModelName;
@@ -39,9 +39,9 @@
         });
     }
 
-    void order(const Order& order, const OrderTerms& terms, Deadline, OrderHandler handler) override
+    void order(const Order& order, const OrderPreconditions& preconditions, Deadline, OrderHandler handler) override
     {
-        orders.push_back({ order, terms });
+        orders.push_back({ order, preconditions });
         handlers.push_back(std::move(handler));
     }
 
@@ -55,21 +55,21 @@
     EngineReport state;
     bool isSilent = false;
     int reports = 0;
-    std::vector<std::pair<Order, OrderTerms>> orders;
+    std::vector<std::pair<Order, OrderPreconditions>> orders;
     std::deque<OrderHandler> handlers;
 
 private:
     ManualControl& control_;
 };
 
-class FakeFences final : public IFenceSource {
+class FakeFencingTokens final : public IFencingTokenSource {
 public:
     void next(Deadline, Handler handler) override
     {
         ++asked;
         if (isAway)
             return handler(Error { ErrorCode::PlatformUnavailable, "fence", "store", "away" });
-        handler(FencingNumber(++given));
+        handler(FencingToken(++given));
     }
 
     std::uint64_t given = 40;
@@ -99,26 +99,26 @@
 struct Fixture {
     Fixture()
         : engine(control)
-        , keeper({ control, control, engine, fences, profiles, std::make_shared<framework::Metrics>(),
-                     [this](const catalog::EngineState& state) { published.push_back(state); },
-                     [this](const catalog::EngineLoad& load) { publishedLoads.push_back(load); } },
+        , controller({ control, control, engine, fencingTokens, profiles, std::make_shared<framework::Metrics>(),
+                         [this](const catalog::EngineState& state) { published.push_back(state); },
+                         [this](const catalog::EngineLoad& load) { publishedLoads.push_back(load); } },
               { VmName("vm"), framework::ServiceName("models"), framework::Endpoint("10.0.0.1:80") })
     {
     }
 
     void start()
     {
-        keeper.start();
+        controller.start();
         control.runPosted();
     }
 
     void want(const std::string& model, const std::string& instance = "i-1")
     {
-        Wanted wanted;
-        wanted.target.model = ModelName(model);
-        wanted.waiting = 1;
-        wanted.earliest = Deadline::after(control.now(), Milliseconds(15000));
-        keeper.setWanted(VmName("router"), InstanceId(instance), { wanted });
+        TargetDemand demand;
+        demand.target.model = ModelName(model);
+        demand.waiting = 1;
+        demand.earliest = Deadline::after(control.now(), Milliseconds(15000));
+        controller.setDemand(VmName("router"), InstanceId(instance), { demand });
         control.runPosted();
     }
 
@@ -134,16 +134,16 @@
 
     ManualControl control;
     FakeEngine engine;
-    FakeFences fences;
+    FakeFencingTokens fencingTokens;
     FakeProfiles profiles;
     std::vector<catalog::EngineState> published;
     std::vector<catalog::EngineLoad> publishedLoads;
-    EngineKeeper keeper;
+    EngineController controller;
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(EngineKeepers, Fixture)
+BOOST_FIXTURE_TEST_SUITE(EngineControllers, Fixture)
 
 BOOST_AUTO_TEST_CASE(whatIsWaitedForIsOrderedWithAllThatGuardsIt)
 {
@@ -151,23 +151,23 @@
     start();
     want("a");
     BOOST_REQUIRE(engine.orders.size() == 1U);
-    const OrderTerms& terms = engine.orders[0].second;
-    BOOST_TEST(terms.fence.value() == 41U);
-    BOOST_TEST(terms.expected.value() == 7U);
-    BOOST_TEST(terms.instance.value() == "i-1");
-    BOOST_TEST(terms.holder.value() == "vm");
+    const OrderPreconditions& preconditions = engine.orders[0].second;
+    BOOST_TEST(preconditions.fence.value() == 41U);
+    BOOST_TEST(preconditions.expected.value() == 7U);
+    BOOST_TEST(preconditions.instance.value() == "i-1");
+    BOOST_TEST(preconditions.holder.value() == "vm");
 }
 
 BOOST_AUTO_TEST_CASE(withoutAFenceNothingIsOrdered)
 {
-    fences.isAway = true;
+    fencingTokens.isAway = true;
     start();
     want("a");
     pass(Milliseconds(3000));
     BOOST_TEST(engine.orders.empty());
-    BOOST_TEST(fences.asked >= 2);
-    BOOST_TEST(fences.asked <= 20);
-    fences.isAway = false;
+    BOOST_TEST(fencingTokens.asked >= 2);
+    BOOST_TEST(fencingTokens.asked <= 20);
+    fencingTokens.isAway = false;
     pass(Milliseconds(2500));
     want("a");
     pass(Milliseconds(100));
@@ -279,7 +279,7 @@
     BOOST_REQUIRE(engine.orders.size() == 2U);
     BOOST_TEST(engine.orders[1].second.expected.value() == 0U);
     BOOST_TEST(published.back().loading.value().empty());
-    BOOST_TEST(fences.asked == 1);
+    BOOST_TEST(fencingTokens.asked == 1);
 }
 
 // The same, before it had carried out an order: by its count the two runs look alike.
@@ -323,7 +323,7 @@
     pass(Milliseconds(61000));
     engine.state.started = catalog::StartTime(200);
     pass(Milliseconds(1000));
-    BOOST_TEST(fences.asked == 1);
+    BOOST_TEST(fencingTokens.asked == 1);
 }
 
 BOOST_AUTO_TEST_CASE(routersHearOfChangesAtOnceAndElseEachSecond)
--- a/src/engines/tests/placementplan_test.cpp
+++ b/src/engines/tests/placementplanner_test.cpp
@@ -1,5 +1,5 @@
-#include "engines/placementplan.h"
-#include "engines/wantedbook.h"
+#include "engines/demandtable.h"
+#include "engines/placementplanner.h"
 #include "policy/policysetup.h"
 
 #include <boost/test/unit_test.hpp>
@@ -10,7 +10,7 @@
 
 using catalog::MegaBytes;
 using catalog::ModelTarget;
-using catalog::Wanted;
+using catalog::TargetDemand;
 using framework::AdapterName;
 using framework::Deadline;
 using framework::Milliseconds;
@@ -38,9 +38,9 @@
         report.held.push_back({ ModelName(model), 1, { adapters.begin(), adapters.end() }, 0 });
     }
 
-    Wanted& want(const ModelTarget& what)
+    TargetDemand& want(const ModelTarget& what)
     {
-        Wanted& made = wanted[what];
+        TargetDemand& made = demand[what];
         made.target = what;
         made.holders = std::max<std::uint32_t>(made.holders, 1);
         return made;
@@ -48,13 +48,13 @@
 
     void wait(const ModelTarget& what, std::uint32_t count = 1, Milliseconds left = Milliseconds(15000))
     {
-        Wanted& made = want(what);
+        TargetDemand& made = want(what);
         made.waiting = count;
         made.earliest = Deadline::after(now, left);
         made.priority = 5;
     }
 
-    PlacementDecision decide() { return plan.decide({ profile, report, wanted, now }); }
+    PlacementDecision decide() { return plan.decide({ profile, report, demand, now }); }
 
     /// So that models count as held for long.
     PlacementDecision decideLater()
@@ -66,16 +66,16 @@
 
     catalog::EngineProfile profile;
     EngineReport report;
-    std::map<ModelTarget, Wanted> wanted;
+    std::map<ModelTarget, TargetDemand> demand;
     SteadyTime now { std::chrono::hours(1) };
-    PlacementPlan plan { policy::makeLoadOrder({}) };
+    PlacementPlanner plan { policy::makeLoadOrder({}) };
 };
 
 const Order loadA { OrderKind::Load, target("a") };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(PlacementPlans, Fixture)
+BOOST_FIXTURE_TEST_SUITE(PlacementPlanners, Fixture)
 
 BOOST_AUTO_TEST_CASE(whatIsWaitedForIsLoadedWhereThereIsRoom)
 {
@@ -95,14 +95,14 @@
     wait(target("a"));
     const PlacementDecision decision = decideLater();
     BOOST_TEST((decision.order == Order { OrderKind::Unload, target("c") }));
-    BOOST_TEST((decision.leaving == std::vector<ModelName> { ModelName("c") }));
+    BOOST_TEST((decision.draining == std::vector<ModelName> { ModelName("c") }));
 }
 
 BOOST_AUTO_TEST_CASE(aCopyOfWhichOthersHoldEnoughMakesWayBeforeARareModel)
 {
     hold("b");
     hold("c");
-    Wanted& busy = want(target("b"));
+    TargetDemand& busy = want(target("b"));
     busy.work = 0.4;
     busy.holders = 5;
     want(target("c")).work = 0.01;
@@ -121,7 +121,7 @@
     const PlacementDecision decision = decideLater();
     BOOST_TEST(!decision.order);
     BOOST_REQUIRE(decision.expected.size() == 1U);
-    BOOST_TEST(decision.expected.front().within.count() == catalog::cannotPlace.count());
+    BOOST_TEST(decision.expected.front().within.count() == catalog::loadImpossible.count());
 }
 
 // A model was unloaded while a review ran on it: the engine waited for its end, and took no other order for ten
@@ -136,8 +136,8 @@
     wait(target("a"));
     PlacementDecision decision = decideLater();
     BOOST_TEST(!decision.order);
-    BOOST_TEST(decision.leaving.size() == 1U);
-    want(target(decision.leaving.front().value())).inFlight = 0;
+    BOOST_TEST(decision.draining.size() == 1U);
+    want(target(decision.draining.front().value())).inFlight = 0;
     decision = decide();
     BOOST_REQUIRE(decision.order);
     BOOST_TEST((decision.order->kind == OrderKind::Unload));
@@ -160,7 +160,7 @@
     want(target("c")).isPrefetch = true;
     wait(target("a"));
     BOOST_TEST((decide().order == loadA));
-    wanted.erase(target("a"));
+    demand.erase(target("a"));
     BOOST_TEST((decide().order == Order { OrderKind::Load, target("b") }));
 }
 
@@ -177,7 +177,7 @@
 BOOST_AUTO_TEST_CASE(whileAnOrderIsUnderWayNoneIsGiven)
 {
     wait(target("a"));
-    plan.didOrder(loadA, { profile, report, wanted, now });
+    plan.didOrder(loadA, { profile, report, demand, now });
     report.isBusy = true;
     wait(target("b"));
     now += Milliseconds(1000);
@@ -192,7 +192,7 @@
 BOOST_AUTO_TEST_CASE(anOverdueLoadIsExpectedToNeedAsLongAgain)
 {
     wait(target("a"));
-    plan.didOrder(loadA, { profile, report, wanted, now });
+    plan.didOrder(loadA, { profile, report, demand, now });
     report.isBusy = true;
     now += Milliseconds(8000);
     BOOST_TEST(decide().expected.front().within.count() == 2000);
@@ -213,7 +213,7 @@
 BOOST_AUTO_TEST_CASE(adaptersOnTheirWayTakeUpPlaces)
 {
     hold("a", { "x" });
-    report.comingAdapters.push_back(target("a", "z"));
+    report.loadingAdapters.push_back(target("a", "z"));
     wait(target("a", "y"));
     want(target("a", "x")).inFlight = 1;
     BOOST_TEST(!decide().order);
@@ -224,22 +224,22 @@
 {
     profile.weights = MegaBytes(140100);
     hold("b", { "x" });
-    report.comingAdapters.push_back(target("b", "y"));
+    report.loadingAdapters.push_back(target("b", "y"));
     want(target("b")).work = 0.9;
     wait(target("a"));
     BOOST_TEST(!decideLater().order);
-    report.comingAdapters.clear();
+    report.loadingAdapters.clear();
     BOOST_TEST((decide().order == loadA));
 }
 
 BOOST_AUTO_TEST_CASE(whatARouterNoLongerWantsIsTakenAway)
 {
-    WantedBook book;
-    Wanted one;
+    DemandTable book;
+    TargetDemand one;
     one.target = target("a");
     one.waiting = 2;
     one.earliest = Deadline::after(now, Milliseconds(1000));
-    Wanted other = one;
+    TargetDemand other = one;
     other.waiting = 1;
     other.earliest = Deadline::after(now, Milliseconds(3000));
     book.set(framework::VmName("r1"), { one }, now);
@@ -254,29 +254,29 @@
 
 BOOST_AUTO_TEST_CASE(whatSeveralRoutersWantIsAddedUp)
 {
-    WantedBook book;
-    Wanted one;
+    DemandTable book;
+    TargetDemand one;
     one.target = target("a");
     one.waiting = 2;
     one.inFlight = 1;
     one.work = 0.1;
     one.holders = 2;
     one.earliest = Deadline::after(now, Milliseconds(3000));
-    Wanted other = one;
+    TargetDemand other = one;
     other.earliest = Deadline::after(now, Milliseconds(1000));
     other.isPrefetch = true;
     book.set(framework::VmName("r1"), { one }, now);
     book.set(framework::VmName("r2"), { other }, now);
-    const Wanted merged = book.merged().at(target("a"));
+    const TargetDemand merged = book.merged().at(target("a"));
     BOOST_TEST(merged.waiting == 4U);
     BOOST_TEST(merged.inFlight == 2U);
     BOOST_TEST(merged.work == 0.2, boost::test_tools::tolerance(0.001));
     BOOST_TEST(merged.holders == 2U);
     BOOST_TEST((merged.earliest == other.earliest));
     BOOST_TEST(merged.isPrefetch);
-    book.forgetSilent(now + Milliseconds(3400));
+    book.forgetSilentRouters(now + Milliseconds(3400));
     BOOST_TEST(book.routers() == 2U);
-    book.forgetSilent(now + Milliseconds(3600));
+    book.forgetSilentRouters(now + Milliseconds(3600));
     BOOST_TEST(book.routers() == 0U);
 }
 
@@ -328,12 +328,12 @@
     BOOST_REQUIRE(decision.order.has_value());
     BOOST_REQUIRE((decision.order->kind == OrderKind::Unload));
     const ModelName dropped = decision.order->target.model;
-    plan.didOrder(*decision.order, { profile, report, wanted, now });
+    plan.didOrder(*decision.order, { profile, report, demand, now });
     report.isBusy = true;
-    BOOST_TEST((decide().leaving == std::vector<ModelName> { dropped }));
+    BOOST_TEST((decide().draining == std::vector<ModelName> { dropped }));
     report.isBusy = false;
-    std::erase_if(report.held, [&](const catalog::HeldModel& held) { return held.model == dropped; });
-    BOOST_TEST(decide().leaving.empty());
+    std::erase_if(report.held, [&](const catalog::LoadedModel& held) { return held.model == dropped; });
+    BOOST_TEST(decide().draining.empty());
 }
 
 // In a burst all models of an engine are in use. It let go the one that was asked for least just then, and five streams
@@ -347,7 +347,7 @@
     want(target("b")).inFlight = 1;
     want(target("b")).work = 0.06;
     wait(target("c"));
-    BOOST_TEST((decideLater().leaving == std::vector<ModelName> { ModelName("b") }));
+    BOOST_TEST((decideLater().draining == std::vector<ModelName> { ModelName("b") }));
 }
 
 // Chats moved to a model that one engine held. Their queue there was two seconds long, and they were refused; the
@@ -359,11 +359,11 @@
     hold("b");
     want(target("a")).inFlight = want(target("b")).inFlight = 1;
     wait(target("c"));
-    Wanted& copy = want(target("d"));
+    TargetDemand& copy = want(target("d"));
     copy.isCopy = true;
     copy.work = 1.5;
     const PlacementDecision decision = decideLater();
-    BOOST_REQUIRE(decision.leaving.size() == 1u);
+    BOOST_REQUIRE(decision.draining.size() == 1u);
     BOOST_TEST((decision.expected.front().model == ModelName("d")));
 }
 
@@ -372,11 +372,11 @@
     hold("a");
     hold("b");
     want(target("a")).inFlight = want(target("b")).inFlight = 1;
-    Wanted& copy = want(target("d"));
+    TargetDemand& copy = want(target("d"));
     copy.isCopy = true;
     copy.work = 0.4;
     const PlacementDecision decision = decideLater();
-    BOOST_TEST(decision.leaving.empty());
+    BOOST_TEST(decision.draining.empty());
     BOOST_TEST(!decision.order);
 }
 
--- a/src/engines/types/enginereport.h
+++ b/src/engines/types/enginereport.h
@@ -1,8 +1,8 @@
 #pragma once
 
+#include "catalog/types/targetdemand.h"
 #include "catalog/types/units.h"
 #include "catalog/types/upstream.h"
-#include "catalog/types/wanted.h"
 #include "framework/types/ids.h"
 
 #include <cstdint>
@@ -20,10 +20,10 @@
 struct EngineReport {
     /// Of the engine's process; nothing if it doesn't say it.
     std::optional<catalog::StartTime> started;
-    std::vector<catalog::HeldModel> held;
+    std::vector<catalog::LoadedModel> held;
     /// Adapters on their way from the store; they take up places.
-    std::vector<catalog::ModelTarget> comingAdapters;
-    catalog::AtHand atHand;
+    std::vector<catalog::ModelTarget> loadingAdapters;
+    catalog::CachedWeights cachedWeights;
     /// An order is being carried out.
     bool isBusy = false;
     OrderCount orders;
@@ -43,9 +43,9 @@
 };
 
 /// What an order carries so that an engine refuses it when it isn't meant, or meant no longer.
-struct OrderTerms {
+struct OrderPreconditions {
     framework::VmName holder;
-    framework::FencingNumber fence;
+    framework::FencingToken fence;
     OrderCount expected;
     catalog::InstanceId instance;
 };
--- a/src/forwarding/internal/enginefacts.cpp
+++ b/src/forwarding/internal/enginefacts.cpp
@@ -32,8 +32,8 @@
     for (const EngineState::Expected& expected : engine.state->expected) {
         if (expected.model != model)
             continue;
-        return expected.within >= catalog::cannotPlace ? catalog::cannotPlace
-                                                       : std::max(Milliseconds(0), expected.within - age);
+        return expected.within >= catalog::loadImpossible ? catalog::loadImpossible
+                                                          : std::max(Milliseconds(0), expected.within - age);
     }
     return std::nullopt;
 }
@@ -44,10 +44,10 @@
         return *expected;
     Milliseconds queue(0);
     for (const EngineState::Expected& other : engine.state->expected) {
-        if (other.within < catalog::cannotPlace)
+        if (other.within < catalog::loadImpossible)
             queue = std::max(queue, other.within);
     }
-    return queue + catalog::loadTime(model, engine.state->atHand);
+    return queue + catalog::loadTime(model, engine.state->cachedWeights);
 }
 
 std::uint32_t loadersOf(const std::vector<EngineFacts>& engines, const ModelName& model)
--- a/src/forwarding/internal/forwarder.cpp
+++ b/src/forwarding/internal/forwarder.cpp
@@ -221,7 +221,7 @@
         terms.service = drawTarget(route).service;
         const Milliseconds patience = std::min(route.timeout, facts.timeLeft.value_or(route.timeout));
         terms.deadline = Deadline::after(exchange->receivedAt(), patience);
-        const Milliseconds untilFirst = route.patience.count() > 0 ? route.patience : patience;
+        const Milliseconds untilFirst = route.callerIdleTimeout.count() > 0 ? route.callerIdleTimeout : patience;
         terms.firstEventBy = Deadline::after(exchange->receivedAt(), std::min(patience, untilFirst));
         loads_.didArrive(terms.service, facts, now());
         terms.facts = std::move(facts);
@@ -262,7 +262,7 @@
     static std::vector<framework::ModelName> modelsOf(const catalog::EngineState& state)
     {
         std::vector<framework::ModelName> models;
-        for (const catalog::HeldModel& held : state.held)
+        for (const catalog::LoadedModel& held : state.held)
             models.push_back(held.model);
         for (const catalog::EngineState::Expected& expected : state.expected)
             models.push_back(expected.model);
--- a/src/forwarding/internal/ijobhost.h
+++ b/src/forwarding/internal/ijobhost.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "catalog/types/configuration.h"
-#include "catalog/types/wanted.h"
+#include "catalog/types/targetdemand.h"
 #include "forwarding/forwardersettings.h"
 #include "forwarding/internal/upstreamtable.h"
 #include "forwarding/irequestdialect.h"
--- a/src/forwarding/internal/loadrequests.cpp
+++ b/src/forwarding/internal/loadrequests.cpp
@@ -72,7 +72,7 @@
         if (!service.engine)
             continue;
         LoadPlan plan = planFor(service, waiting(service.name), policy, now);
-        all.wanted.merge(plan.wanted);
+        all.demand.merge(plan.demand);
         all.subscriptions.merge(plan.subscriptions);
     }
     publish_(all);
@@ -89,7 +89,7 @@
     for (const auto& [model, reading] : demand_.recent(now))
         input.work[model] += reading;
     LoadPlan plan = planners_[service.name].plan(input);
-    logNew(service.name, plan.wanted, input.engines.size());
+    logNew(service.name, plan.demand, input.engines.size());
     return plan;
 }
 
@@ -138,25 +138,25 @@
 
 /// One line for each load that this router begins to ask for.
 void LoadRequests::logNew(
-    const ServiceName& service, const std::map<Endpoint, catalog::WantedList>& plan, std::size_t agents)
+    const ServiceName& service, const std::map<Endpoint, catalog::DemandList>& plan, std::size_t agents)
 {
     Asked asked;
     for (const auto& [engine, list] : plan) {
-        for (const catalog::Wanted& wanted : list) {
-            if (!wanted.isLoad())
+        for (const catalog::TargetDemand& demand : list) {
+            if (!demand.isLoad())
                 continue;
-            asked.insert({ engine, wanted.target });
-            if (asked_[service].contains({ engine, wanted.target }))
+            asked.insert({ engine, demand.target });
+            if (asked_[service].contains({ engine, demand.target }))
                 continue;
             logDecision(LogLine("asked_to_load")
                             .text("engine", engine.value())
-                            .text("model", wanted.target.model.value())
-                            .text("adapter", wanted.target.adapter.value())
-                            .number("waiting", wanted.waiting)
-                            .flag("prefetch", wanted.isPrefetch)
-                            .number("holders", wanted.holders)
-                            .number("work", wanted.work)
-                            .number("rank", wanted.rank)
+                            .text("model", demand.target.model.value())
+                            .text("adapter", demand.target.adapter.value())
+                            .number("waiting", demand.waiting)
+                            .flag("prefetch", demand.isPrefetch)
+                            .number("holders", demand.holders)
+                            .number("work", demand.work)
+                            .number("rank", demand.rank)
                             .number("agents", agents));
         }
     }
--- a/src/forwarding/internal/loadrequests.h
+++ b/src/forwarding/internal/loadrequests.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "catalog/types/configuration.h"
-#include "catalog/types/wanted.h"
+#include "catalog/types/targetdemand.h"
 #include "forwarding/internal/upstreamtable.h"
 #include "forwarding/modeldemand.h"
 #include "forwarding/returningcallers.h"
@@ -50,7 +50,7 @@
     void forgetServed(const framework::ServiceName&, framework::SteadyTime now);
     std::vector<WaitingFor> byTarget(const framework::ServiceName&, const std::vector<WaitingFor>& requests) const;
     void logNew(
-        const framework::ServiceName&, const std::map<framework::Endpoint, catalog::WantedList>&, std::size_t agents);
+        const framework::ServiceName&, const std::map<framework::Endpoint, catalog::DemandList>&, std::size_t agents);
 
     const UpstreamTable& upstreams_;
     Publish publish_;
--- a/src/forwarding/internal/requestjob.cpp
+++ b/src/forwarding/internal/requestjob.cpp
@@ -204,7 +204,7 @@
     if (!attempt_ || !mayRepeat() || !host_.upstreams().isSilent(attempt_->use().upstream(), host_.now()))
         return;
     const bool hasTime = terms_.deadline.remaining(host_.now()) >= leastTimeToRepeat;
-    if (!hasTime || tried_.sentTo.size() >= terms_.route->mostServers || !isHeldElsewhere())
+    if (!hasTime || tried_.sentTo.size() >= terms_.route->maxServers || !isHeldElsewhere())
         return;
     if (!host_.spendRepeat(terms_.service))
         return;
@@ -345,7 +345,7 @@
     lastCause_ = cause;
     const bool mayRun = !mayHaveRun_ || mayRepeat();
     const bool hasTime = terms_.deadline.remaining(host_.now()) >= leastTimeToRepeat;
-    const bool hasServerLeft = tried_.sentTo.size() < terms_.route->mostServers;
+    const bool hasServerLeft = tried_.sentTo.size() < terms_.route->maxServers;
     const bool isRepeated = mayRun && hasTime && hasServerLeft && host_.spendRepeat(terms_.service);
     logDecision(LogLine("attempt_failed")
                     .text("id", terms_.facts.attempt)
--- a/src/forwarding/internal/roomdamage.cpp
+++ b/src/forwarding/internal/roomdamage.cpp
@@ -29,7 +29,7 @@
 std::uint64_t usedWeights(const catalog::EngineProfile& profile, const EngineState& state)
 {
     std::uint64_t used = 0;
-    for (const catalog::HeldModel& held : state.held)
+    for (const catalog::LoadedModel& held : state.held)
         used += catalog::weightsOf(profile, held).value();
     const ModelProfile* const loading = state.find(state.loading) ? nullptr : profile.find(state.loading);
     return used + (loading ? loading->weights.value() : 0);
@@ -58,7 +58,7 @@
     const std::uint64_t needed = model.weights.value();
     std::uint64_t used = usedWeights(input_.profile, *engine.state);
     std::vector<std::tuple<bool, double, std::uint64_t>> removable;
-    for (const catalog::HeldModel& held : engine.state->held) {
+    for (const catalog::LoadedModel& held : engine.state->held) {
         if (const auto damage = of(engine, held.model, isWaitedFor))
             removable.emplace_back(held.inUse > 0, *damage, catalog::weightsOf(input_.profile, held).value());
     }
--- a/src/forwarding/internal/upstreamchoice.cpp
+++ b/src/forwarding/internal/upstreamchoice.cpp
@@ -20,7 +20,7 @@
 std::vector<UpstreamPointer> allowed(
     const std::vector<UpstreamPointer>& ready, const JobTerms& terms, const ServersTried& tried)
 {
-    if (tried.sentTo.size() < terms.route->mostServers)
+    if (tried.sentTo.size() < terms.route->maxServers)
         return ready;
     std::vector<UpstreamPointer> found;
     for (const UpstreamPointer& upstream : ready) {
@@ -85,7 +85,7 @@
         const UpstreamTable& upstreams = host_.upstreams();
         if (!upstreams.hasReady(terms_.service))
             return failed(NoUpstream::NoneReady);
-        const bool mayBeSentToNew = tried_.sentTo.size() < terms_.route->mostServers;
+        const bool mayBeSentToNew = tried_.sentTo.size() < terms_.route->maxServers;
         if (!mayBeSentToNew && allowed(upstreams.ready(terms_.service), terms_, tried_).empty())
             return failed(NoUpstream::NoneLeft);
         return amongEngines(allowed(upstreams.serving(terms_.service, terms_.facts.model), terms_, tried_));
--- a/src/forwarding/internal/upstreamtable.cpp
+++ b/src/forwarding/internal/upstreamtable.cpp
@@ -40,13 +40,13 @@
     return said && known.started && *said < *known.started;
 }
 
-void removeTarget(std::vector<catalog::HeldModel>& held, const catalog::ModelTarget& target)
+void removeTarget(std::vector<catalog::LoadedModel>& held, const catalog::ModelTarget& target)
 {
     if (target.adapter.value().empty()) {
-        std::erase_if(held, [&](const catalog::HeldModel& model) { return model.model == target.model; });
+        std::erase_if(held, [&](const catalog::LoadedModel& model) { return model.model == target.model; });
         return;
     }
-    for (catalog::HeldModel& model : held) {
+    for (catalog::LoadedModel& model : held) {
         if (model.model == target.model)
             std::erase(model.adapters, target.adapter);
     }
@@ -140,13 +140,13 @@
 ReplicaIndex::Contents UpstreamTable::contentsOf(const UpstreamRecord& record) const
 {
     const HeardState* const said = heard(record);
-    const std::vector<catalog::HeldModel>& held = said ? said->state.held : record.facts.models;
-    const catalog::AtHand& cached = said ? said->state.atHand : record.facts.atHand;
+    const std::vector<catalog::LoadedModel>& held = said ? said->state.held : record.facts.models;
+    const catalog::CachedWeights& cached = said ? said->state.cachedWeights : record.facts.cachedWeights;
     const bool servesNothing
         = record.facts.state != catalog::UpstreamState::Ready || lost_.contains(record.facts.endpoint);
     ReplicaIndex::Contents contents;
-    for (const catalog::HeldModel& model : held) {
-        const bool isServed = !servesNothing && !(said && said->state.isLeaving(model.model));
+    for (const catalog::LoadedModel& model : held) {
+        const bool isServed = !servesNothing && !(said && said->state.isDraining(model.model));
         (isServed ? contents.loaded : contents.cached).push_back(model.model);
     }
     if (said && !said->state.loading.value().empty())
@@ -171,7 +171,7 @@
         const catalog::Service* const service = configuration_->find(record->facts.service);
         if (!service)
             continue;
-        const auto share = static_cast<std::size_t>(shareOfConnections * service->mostConnections / routers());
+        const auto share = static_cast<std::size_t>(shareOfConnections * service->maxConnections / routers());
         record->connections.setMost(std::max(fewestConnections, share));
     }
 }
@@ -368,10 +368,10 @@
     if (!record.lostUntil.hasPassed(now))
         return false;
     const auto isThis
-        = [&](const catalog::HeldModel& held) { return held.model == target.model && held.has(target.adapter); };
+        = [&](const catalog::LoadedModel& held) { return held.model == target.model && held.has(target.adapter); };
     if (const HeardState* const heard = state(record, now)) {
-        const catalog::HeldModel* const held = heard->state.find(target.model);
-        return held && !heard->state.isLeaving(target.model) && isThis(*held);
+        const catalog::LoadedModel* const held = heard->state.find(target.model);
+        return held && !heard->state.isDraining(target.model) && isThis(*held);
     }
     return std::any_of(record.facts.models.begin(), record.facts.models.end(), isThis);
 }
--- a/src/forwarding/internal/upstreamuse.h
+++ b/src/forwarding/internal/upstreamuse.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "catalog/types/wanted.h"
+#include "catalog/types/targetdemand.h"
 #include "forwarding/internal/upstreamtable.h"
 
 #include <cstdint>
--- a/src/forwarding/internal/wantedplanner.cpp
+++ b/src/forwarding/internal/wantedplanner.cpp
@@ -19,7 +19,7 @@
 
 using catalog::EngineState;
 using catalog::ModelProfile;
-using catalog::Wanted;
+using catalog::TargetDemand;
 using framework::Endpoint;
 using framework::Milliseconds;
 using framework::ModelName;
@@ -97,7 +97,7 @@
 {
     workOfAll_.clear();
     for (const EngineFacts& engine : input.engines) {
-        for (const catalog::HeldModel& held : engine.state->held) {
+        for (const catalog::LoadedModel& held : engine.state->held) {
             double& work = workOfAll_[held.model];
             work = std::max(work, held.work);
         }
@@ -194,7 +194,8 @@
 
 bool WantedPlanner::needsStore(const EngineFacts& engine, const ModelProfile& model)
 {
-    return engine.state->loading != model.name && catalog::loadTime(model, engine.state->atHand) >= model.loadFromStore;
+    return engine.state->loading != model.name
+        && catalog::loadTime(model, engine.state->cachedWeights) >= model.loadFromStore;
 }
 
 /// Whether the load may be asked for: from the store only while it serves no more than it can at full speed. Beyond
@@ -209,7 +210,7 @@
     return true;
 }
 
-/// Time until the model would be there, and what else its load costs in terms of time; `cannotPlace` if there's no
+/// Time until the model would be there, and what else its load costs in terms of time; `loadImpossible` if there's no
 /// room.
 ///
 /// Guards against asking the engine at which the model is just making way: it has the weights at hand, so it seems the
@@ -219,13 +220,13 @@
 {
     ++placementsWeighed_;
     const Milliseconds byRank = perRank * rankOf(input, model.name, engine.engine);
-    if (hasRefused(model.name, engine.engine) || engine.state->isLeaving(model.name))
-        return catalog::cannotPlace + byRank;
+    if (hasRefused(model.name, engine.engine) || engine.state->isDraining(model.name))
+        return catalog::loadImpossible + byRank;
     if (expectedAt(engine, model.name, input.now))
         return loadCost(engine, model, input.now) + byRank;
     const auto room = RoomDamage(input, workOfAll_).ofRoom(engine, model, isWaitedFor);
     if (!room)
-        return catalog::cannotPlace + byRank;
+        return catalog::loadImpossible + byRank;
     return loadCost(engine, model, input.now) + byRank
         + (room->isInUse && input.policy.avoidsDrains ? input.runTime : Milliseconds(0))
         + Milliseconds(static_cast<std::int64_t>(room->damage * static_cast<double>(perDamage.count())));
@@ -238,7 +239,7 @@
     std::erase_if(refusals_, [&](const auto& entry) { return input.now - entry.second > refusalHolds; });
     for (const EngineFacts& engine : input.engines) {
         for (const EngineState::Expected& expected : engine.state->expected) {
-            if (expected.within >= catalog::cannotPlace)
+            if (expected.within >= catalog::loadImpossible)
                 refusals_[{ expected.model, engine.engine }] = input.now;
         }
     }
@@ -253,17 +254,17 @@
 void WantedPlanner::planHeld(const PlannerInput& input)
 {
     for (const EngineFacts& engine : input.engines) {
-        for (const catalog::HeldModel& held : engine.state->held) {
-            Wanted wanted;
-            wanted.target.model = held.model;
-            add(input, engine.engine, wanted);
+        for (const catalog::LoadedModel& held : engine.state->held) {
+            TargetDemand demand;
+            demand.target.model = held.model;
+            add(input, engine.engine, demand);
         }
         for (const auto& [target, inFlight] : engine.inFlight) {
             if (target.adapter.value().empty())
                 continue;
-            Wanted wanted;
-            wanted.target = target;
-            add(input, engine.engine, wanted);
+            TargetDemand demand;
+            demand.target = target;
+            add(input, engine.engine, demand);
         }
     }
 }
@@ -273,17 +274,17 @@
     heldBack_.clear();
     std::set<ModelName> waitedFor;
     for (const WaitingFor& waiting : bySequence(input)) {
-        Wanted wanted;
-        wanted.target = waiting.target;
-        wanted.waiting = waiting.waiting;
-        wanted.earliest = waiting.earliest;
-        wanted.priority = waiting.priority;
+        TargetDemand demand;
+        demand.target = waiting.target;
+        demand.waiting = waiting.waiting;
+        demand.earliest = waiting.earliest;
+        demand.priority = waiting.priority;
         if (!waiting.at.value().empty()) {
-            add(input, waiting.at, wanted);
+            add(input, waiting.at, demand);
             continue;
         }
         waitedFor.insert(waiting.target.model);
-        planWaitingForModel(input, waiting, wanted);
+        planWaitingForModel(input, waiting, demand);
     }
     std::erase_if(choices_, [&](const auto& entry) { return !waitedFor.contains(entry.first); });
 }
@@ -306,14 +307,15 @@
     return sequence;
 }
 
-void WantedPlanner::planWaitingForModel(const PlannerInput& input, const WaitingFor& waiting, const Wanted& wanted)
+void WantedPlanner::planWaitingForModel(
+    const PlannerInput& input, const WaitingFor& waiting, const TargetDemand& demand)
 {
     const Endpoint* const loader = chooseLoader(input, waiting);
     if (!loader)
         return;
     const ModelProfile& model = *input.profile.find(waiting.target.model);
     if (takeStorePlace(input, *loader, model))
-        return add(input, *loader, wanted);
+        return add(input, *loader, demand);
     heldBack_[model.name] = framework::Deadline::after(input.now, storeQueue_.add(model.loadFromStore));
 }
 
@@ -375,11 +377,11 @@
         for (const Endpoint& engine : cheapestFor(input, *model, candidates, missing, askedBefore[name])) {
             if (!takeStorePlace(input, engine, *model))
                 break;
-            Wanted wanted;
-            wanted.target.model = name;
-            wanted.isCopy = true;
+            TargetDemand demand;
+            demand.target.model = name;
+            demand.isCopy = true;
             copyLoaders_[name].insert(engine);
-            add(input, engine, wanted);
+            add(input, engine, demand);
         }
     }
 }
@@ -394,7 +396,7 @@
         if (!engine || engine->state->find(model.name) || engine->state->loading == model.name)
             continue;
         const Milliseconds cost = placingCost(input, *engine, model, false);
-        if (cost < catalog::cannotPlace)
+        if (cost < catalog::loadImpossible)
             costs.emplace_back(cost - (askedBefore.contains(candidate) ? changeGain : Milliseconds(0)), candidate);
     }
     std::sort(costs.begin(), costs.end());
@@ -429,10 +431,10 @@
                 || std::find(taken.begin(), taken.end(), engine) != taken.end();
             if (isBusy)
                 continue;
-            Wanted wanted;
-            wanted.target.model = model->name;
-            wanted.isPrefetch = true;
-            add(input, engine, wanted);
+            TargetDemand demand;
+            demand.target.model = model->name;
+            demand.isPrefetch = true;
+            add(input, engine, demand);
             taken.push_back(engine);
             break;
         }
@@ -466,24 +468,24 @@
     return uncached_;
 }
 
-void WantedPlanner::add(const PlannerInput& input, const Endpoint& endpoint, Wanted wanted)
+void WantedPlanner::add(const PlannerInput& input, const Endpoint& endpoint, TargetDemand demand)
 {
     const auto list = lists_.find(endpoint);
     if (list == lists_.end())
         return;
     const EngineFacts* const engine = factsOf(endpoint);
-    const ModelName& model = wanted.target.model;
-    wanted.work = workOf(input, model);
-    wanted.rank = wanted.isLoad() ? rankOf(input, model, endpoint) : 0;
-    wanted.holders = replicasOf(input, model);
-    const auto inFlight = engine->inFlight.find(wanted.target);
-    wanted.inFlight = inFlight == engine->inFlight.end() ? 0 : inFlight->second;
-    const auto same = std::find_if(
-        list->second.begin(), list->second.end(), [&](const Wanted& other) { return other.target == wanted.target; });
+    const ModelName& model = demand.target.model;
+    demand.work = workOf(input, model);
+    demand.rank = demand.isLoad() ? rankOf(input, model, endpoint) : 0;
+    demand.holders = replicasOf(input, model);
+    const auto inFlight = engine->inFlight.find(demand.target);
+    demand.inFlight = inFlight == engine->inFlight.end() ? 0 : inFlight->second;
+    const auto same = std::find_if(list->second.begin(), list->second.end(),
+        [&](const TargetDemand& other) { return other.target == demand.target; });
     if (same == list->second.end())
-        list->second.push_back(std::move(wanted));
-    else if (wanted.isLoad() && same->waiting == 0)
-        *same = std::move(wanted);
+        list->second.push_back(std::move(demand));
+    else if (demand.isLoad() && same->waiting == 0)
+        *same = std::move(demand);
 }
 
 std::uint32_t WantedPlanner::rankOf(const PlannerInput& input, const ModelName& model, const Endpoint& engine)
@@ -499,7 +501,7 @@
         return least;
     for (const EngineFacts& engine : engines) {
         const auto expected = expectedAt(engine, waiting.target.model, now);
-        if (expected && *expected < catalog::cannotPlace && (!least || *expected < *least))
+        if (expected && *expected < catalog::loadImpossible && (!least || *expected < *least))
             least = expected;
     }
     const auto held = heldBack_.find(waiting.target.model);
--- a/src/forwarding/tests/forwarder_test.cpp
+++ b/src/forwarding/tests/forwarder_test.cpp
@@ -259,7 +259,7 @@
         forwarder.setEngineState(state);
         forwarder.handle(exchange);
         BOOST_TEST(forwarder.requests() == 1u);
-        server.state = catalog::UpstreamState::Leaving;
+        server.state = catalog::UpstreamState::Draining;
         forwarder.setUpstreams({ server });
     });
     tcp::socket accepted = acceptor.accept();
--- a/src/forwarding/tests/loadrequests_test.cpp
+++ b/src/forwarding/tests/loadrequests_test.cpp
@@ -60,9 +60,9 @@
     {
         requests.plan(
             configuration, [](const ServiceName&) { return std::vector<WaitingFor>(); }, {}, now);
-        for (const catalog::Wanted& wanted : told.at(endpoint)) {
-            if (wanted.target.model == chat)
-                return wanted.work;
+        for (const catalog::TargetDemand& demand : told.at(endpoint)) {
+            if (demand.target.model == chat)
+                return demand.work;
         }
         return 0;
     }
@@ -70,9 +70,9 @@
     boost::asio::io_context context;
     UpstreamTable table { context };
     catalog::Configuration configuration;
-    std::map<Endpoint, catalog::WantedList> told;
+    std::map<Endpoint, catalog::DemandList> told;
     SteadyTime now { std::chrono::hours(1) };
-    LoadRequests requests { table, [this](const auto& plan) { told = plan.wanted; }, now };
+    LoadRequests requests { table, [this](const auto& plan) { told = plan.demand; }, now };
 };
 
 } // namespace
--- a/src/forwarding/tests/upstreamtable_test.cpp
+++ b/src/forwarding/tests/upstreamtable_test.cpp
@@ -243,7 +243,7 @@
 {
     Upstream listed = upstream(0);
     listed.models.push_back({ target.model, 1, {}, 0, 0 });
-    listed.atHand.disk.push_back(ModelName("cached"));
+    listed.cachedWeights.disk.push_back(ModelName("cached"));
     table.setUpstreams({ listed });
     BOOST_TEST(table.serving(service, target.model).size() == 1u);
     BOOST_TEST(table.replicas(service).availableAt(ModelName("cached")).size() == 1u);
--- a/src/forwarding/tests/wantedplanner_test.cpp
+++ b/src/forwarding/tests/wantedplanner_test.cpp
@@ -9,7 +9,7 @@
 
 using catalog::EngineState;
 using catalog::MegaBytes;
-using catalog::Wanted;
+using catalog::TargetDemand;
 using framework::Deadline;
 using framework::Endpoint;
 using framework::Milliseconds;
@@ -50,9 +50,9 @@
     void index(const EngineState& state)
     {
         ReplicaIndex::Contents contents;
-        for (const catalog::HeldModel& held : state.held)
-            (state.isLeaving(held.model) ? contents.cached : contents.loaded).push_back(held.model);
-        contents.cached.insert(contents.cached.end(), state.atHand.disk.begin(), state.atHand.disk.end());
+        for (const catalog::LoadedModel& held : state.held)
+            (state.isDraining(held.model) ? contents.cached : contents.loaded).push_back(held.model);
+        contents.cached.insert(contents.cached.end(), state.cachedWeights.disk.begin(), state.cachedWeights.disk.end());
         if (!state.loading.value().empty())
             contents.cached.push_back(state.loading);
         replicas.set(state.engine, contents);
@@ -67,9 +67,9 @@
     std::vector<std::string> asked(const std::string& model)
     {
         std::vector<std::string> engines;
-        for (const auto& [engine, list] : planner.plan(input()).wanted) {
-            for (const Wanted& wanted : list) {
-                if (wanted.isLoad() && wanted.target.model.value() == model)
+        for (const auto& [engine, list] : planner.plan(input()).demand) {
+            for (const TargetDemand& demand : list) {
+                if (demand.isLoad() && demand.target.model.value() == model)
                     engines.push_back(engine.value());
             }
         }
@@ -94,7 +94,7 @@
 BOOST_AUTO_TEST_CASE(theEngineWithTheWeightsAtHandIsAsked)
 {
     engine("1", { "a", "b" });
-    engine("2", { "c", "d" }).atHand.disk.push_back(ModelName("e"));
+    engine("2", { "c", "d" }).cachedWeights.disk.push_back(ModelName("e"));
     engine("3", { "a", "b" });
     wait("e");
     BOOST_TEST(asked("e") == std::vector<std::string> { "2" });
@@ -116,7 +116,7 @@
     runTime = Milliseconds(1500);
     for (const std::string name : { "1", "2", "3", "4", "5" }) {
         EngineState& state = engine(name, { "a", "b" });
-        state.atHand.disk.push_back(ModelName("e"));
+        state.cachedWeights.disk.push_back(ModelName("e"));
         state.held[0].inUse = state.held[1].inUse = name == "3" ? 0 : 2;
     }
     wait("e");
@@ -128,7 +128,7 @@
 BOOST_AUTO_TEST_CASE(anEngineThatNeedsASecondMoreThanItsNeighbourIsLeft)
 {
     for (const std::string name : { "1", "2" })
-        engine(name, {}).atHand.disk.push_back(ModelName("e"));
+        engine(name, {}).cachedWeights.disk.push_back(ModelName("e"));
     wait("e");
     const std::string first = asked("e").at(0);
     EngineState& state = states.front().engine.value() == first ? states.front() : states.back();
@@ -140,7 +140,7 @@
 BOOST_AUTO_TEST_CASE(anEngineThatNeedsAMomentMoreThanItsNeighbourIsKeptTo)
 {
     for (const std::string name : { "1", "2" })
-        engine(name, {}).atHand.disk.push_back(ModelName("e"));
+        engine(name, {}).cachedWeights.disk.push_back(ModelName("e"));
     wait("e");
     const std::string first = asked("e").at(0);
     EngineState& state = states.front().engine.value() == first ? states.front() : states.back();
@@ -153,9 +153,9 @@
 BOOST_AUTO_TEST_CASE(anEngineThatTheModelIsLeavingIsNotAskedForIt)
 {
     EngineState& left = engine("1", { "e" });
-    left.leaving.push_back(ModelName("e"));
-    left.atHand.memory.push_back(ModelName("e"));
-    engine("2", {}).atHand.disk.push_back(ModelName("e"));
+    left.draining.push_back(ModelName("e"));
+    left.cachedWeights.memory.push_back(ModelName("e"));
+    engine("2", {}).cachedWeights.disk.push_back(ModelName("e"));
     wait("e");
     BOOST_TEST(asked("e") == std::vector<std::string> { "2" });
 }
@@ -168,9 +168,9 @@
     const auto first = asked("e");
     WantedPlanner other;
     std::vector<std::string> second;
-    for (const auto& [endpoint, list] : other.plan(input()).wanted) {
-        for (const Wanted& wanted : list) {
-            if (wanted.waiting > 0)
+    for (const auto& [endpoint, list] : other.plan(input()).demand) {
+        for (const TargetDemand& demand : list) {
+            if (demand.waiting > 0)
                 second.push_back(endpoint.value());
         }
     }
@@ -220,7 +220,7 @@
     }
     engine("5", {});
     EngineState& onDisk = engine("6", {});
-    onDisk.atHand.disk.push_back(ModelName("f"));
+    onDisk.cachedWeights.disk.push_back(ModelName("f"));
     wait("e");
     wait("f");
     BOOST_TEST(asked("e").empty());
@@ -231,11 +231,11 @@
 BOOST_AUTO_TEST_CASE(anAgentThatSaidNoIsPassedByForAWhile)
 {
     EngineState& first = engine("1", {});
-    first.atHand.disk.push_back(ModelName("e"));
+    first.cachedWeights.disk.push_back(ModelName("e"));
     engine("2", {});
     wait("e");
     BOOST_TEST(asked("e") == std::vector<std::string> { "1" });
-    first.expected.push_back({ ModelName("e"), catalog::cannotPlace });
+    first.expected.push_back({ ModelName("e"), catalog::loadImpossible });
     BOOST_TEST(asked("e") == std::vector<std::string> { "2" });
     first.expected.clear();
     now += Milliseconds(500);
@@ -245,7 +245,7 @@
 BOOST_AUTO_TEST_CASE(aModelThatNoEngineHasAtHandIsFetchedAhead)
 {
     engine("1", { "a", "b" });
-    engine("2", { "c", "d" }).atHand.disk.push_back(ModelName("e"));
+    engine("2", { "c", "d" }).cachedWeights.disk.push_back(ModelName("e"));
     engine("3", {});
     BOOST_TEST(asked("f") == std::vector<std::string> { "3" });
     BOOST_TEST(asked("e").empty());
@@ -267,7 +267,7 @@
 BOOST_AUTO_TEST_CASE(theSoonestEndIsToldFromThen)
 {
     engine("1", {}).expected.push_back({ ModelName("e"), Milliseconds(900) });
-    engine("2", {}).expected.push_back({ ModelName("e"), catalog::cannotPlace });
+    engine("2", {}).expected.push_back({ ModelName("e"), catalog::loadImpossible });
     PlannerInput made = input();
     WaitingFor waitingFor;
     waitingFor.target.model = ModelName("e");
@@ -330,7 +330,7 @@
 {
     EngineState& only = engine("1", {});
     for (const std::string name : { "a", "b", "c", "d", "e" })
-        only.atHand.disk.emplace_back(name);
+        only.cachedWeights.disk.emplace_back(name);
     isDemandKnown = false;
     BOOST_TEST(asked("f").empty());
     isDemandKnown = true;
@@ -344,7 +344,7 @@
     engine("1", { "a" }).held[0].work = 0.9;
     for (const std::string name : { "2", "3" }) {
         EngineState& state = engine(name, { "b", "c" });
-        state.atHand.disk.push_back(ModelName("a"));
+        state.cachedWeights.disk.push_back(ModelName("a"));
     }
     work[ModelName("a")] = 0.9;
     runTime = Milliseconds(500);
@@ -377,7 +377,7 @@
             state.engine = engine(number);
             for (const ModelName& name : contents.loaded)
                 state.held.push_back({ name, 1, {}, 0.05, 0 });
-            state.atHand.disk = contents.cached;
+            state.cachedWeights.disk = contents.cached;
         }
     }
 
@@ -435,9 +435,9 @@
 std::vector<std::string> loaders(const LoadPlan& plan, const std::string& model)
 {
     std::vector<std::string> engines;
-    for (const auto& [engine, list] : plan.wanted) {
-        for (const Wanted& wanted : list) {
-            if (wanted.waiting > 0 && wanted.target.model.value() == model)
+    for (const auto& [engine, list] : plan.demand) {
+        for (const TargetDemand& demand : list) {
+            if (demand.waiting > 0 && demand.target.model.value() == model)
                 engines.push_back(engine.value());
         }
     }
@@ -501,7 +501,7 @@
     const auto before = fleet.firstOf("absent1", 8);
     for (EngineState& state : fleet.states) {
         if (before.contains(state.engine))
-            state.expected.push_back({ ModelName("absent1"), catalog::cannotPlace });
+            state.expected.push_back({ ModelName("absent1"), catalog::loadImpossible });
     }
     (void)fleet.plan();
     const auto chosen = loaders(fleet.plan(), "absent1");
--- a/src/forwarding/wantedplanner.h
+++ b/src/forwarding/wantedplanner.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "catalog/types/configuration.h"
+#include "catalog/types/targetdemand.h"
 #include "catalog/types/upstream.h"
-#include "catalog/types/wanted.h"
 #include "forwarding/replicaindex.h"
 #include "framework/types/time.h"
 #include "policy/iloadorder.h"
@@ -69,7 +69,7 @@
 
 struct LoadPlan {
     /// Published to the agents of the engines that have been heard.
-    std::map<framework::Endpoint, catalog::WantedList> wanted;
+    std::map<framework::Endpoint, catalog::DemandList> demand;
     /// Engines whose agents this router is to hear.
     std::set<framework::Endpoint> subscriptions;
 };
@@ -122,16 +122,16 @@
     void planHeld(const PlannerInput&);
     void planWaiting(const PlannerInput&);
     std::vector<WaitingFor> bySequence(const PlannerInput&) const;
-    void planWaitingForModel(const PlannerInput&, const WaitingFor&, const catalog::Wanted&);
+    void planWaitingForModel(const PlannerInput&, const WaitingFor&, const catalog::TargetDemand&);
     void planCopies(const PlannerInput&);
     void planPrefetch(const PlannerInput&);
     static bool isCachedEnough(const PlannerInput&, const catalog::ModelProfile&);
     const std::vector<framework::ModelName>& uncached(const PlannerInput&);
-    void add(const PlannerInput&, const framework::Endpoint&, catalog::Wanted);
+    void add(const PlannerInput&, const framework::Endpoint&, catalog::TargetDemand);
     const framework::Endpoint* chooseLoader(const PlannerInput&, const WaitingFor&);
     static std::uint32_t rankOf(const PlannerInput&, const framework::ModelName&, const framework::Endpoint&);
 
-    std::map<framework::Endpoint, catalog::WantedList> lists_;
+    std::map<framework::Endpoint, catalog::DemandList> lists_;
     std::map<framework::ModelName, Choice> choices_;
     /// Engines that were asked for further copies in the last plan.
     std::map<framework::ModelName, std::set<framework::Endpoint>> copyLoaders_;
--- a/src/framework/types/ids.h
+++ b/src/framework/types/ids.h
@@ -31,7 +31,7 @@
 /// Names a request for callers and logs: `<router incarnation>-<counter>`.
 using RequestName = StrongType<struct RequestNameTag, std::string>;
 /// A fencing number that upstreams may check; grows with each claim of a replica.
-using FencingNumber = StrongType<struct FencingNumberTag, std::uint64_t>;
+using FencingToken = StrongType<struct FencingNumberTag, std::uint64_t>;
 /// Accelerator memory in MiB.
 using MebiBytes = StrongType<struct MebiBytesTag, std::uint64_t>;
 /// `address:port` with a numeric address.
