--- a/src/catalog/icatalogdecoder.h
+++ b/src/catalog/icatalogdecoder.h
@@ -9,7 +9,7 @@
 
 namespace lagoon::catalog {
 
-/// Reads what the object store's feeds hand over. `BadObject` for what can't be read.
+/// Decodes objects from the object store's feeds. Returns `BadObject` for content that can't be decoded.
 class ICatalogDecoder {
 public:
     virtual ~ICatalogDecoder() = default;
--- a/src/catalog/internal/routetable.cpp
+++ b/src/catalog/internal/routetable.cpp
@@ -12,7 +12,7 @@
     std::string key(host.substr(0, host.find(':')));
     std::transform(key.begin(), key.end(), key.begin(),
         [](char letter) { return letter >= 'A' && letter <= 'Z' ? static_cast<char>(letter - 'A' + 'a') : letter; });
-    // No host holds a line end, so that host and prefix can't run into each other.
+    // A host name contains no line break, so the boundary between host and prefix in a key is unambiguous.
     return key + '\n';
 }
 
--- a/src/catalog/modelweights.h
+++ b/src/catalog/modelweights.h
@@ -5,11 +5,11 @@
 
 namespace lagoon::catalog {
 
-/// How long a load takes from where the weights are.
+/// Returns the load time from the fastest source that has the weights: memory, disk or the weight store.
 framework::Milliseconds loadTime(const ModelProfile&, const CachedWeights&);
 
-/// What a held model takes up with its adapters. One that isn't in the profile any more still takes its place; how
-/// much, nobody says, so nothing is thought to fit beside it.
+/// Returns the memory that a loaded model occupies together with its adapters. The size of a model that is no longer in
+/// the profile is unknown, so it counts as the engine's whole capacity and nothing else fits beside it.
 MegaBytes weightsOf(const EngineProfile&, const LoadedModel&);
 
 } // namespace lagoon::catalog
--- a/src/catalog/routetable.h
+++ b/src/catalog/routetable.h
@@ -8,14 +8,14 @@
 
 namespace lagoon::catalog {
 
-/// Finds the route of a request: of those for its host, the one with the longest prefix that begins its path. A look-up
-/// costs one hash per slash of the path, whatever the number of routes.
+/// Finds the route of a request: among the routes for its host, the one with the longest matching path prefix. A lookup
+/// costs one hash per slash in the path, independent of the number of routes.
 class RouteTable {
 public:
     explicit RouteTable(ConfigurationPointer);
 
-    /// `host` may carry a port, and its case doesn't matter; `target` may carry a query. Nothing if no route fits.
-    /// Lives as long as the table.
+    /// `host` may include a port and is compared case-insensitively; `target` may include a query string. Returns
+    /// nullptr if no route matches. The result lives as long as the table.
     const Route* find(std::string_view host, std::string_view target) const;
     const ConfigurationPointer& configuration() const { return configuration_; }
 
--- a/src/catalog/tests/lookups_test.cpp
+++ b/src/catalog/tests/lookups_test.cpp
@@ -41,7 +41,7 @@
     BOOST_TEST(profiles.size() == 100u);
 }
 
-// Guards against a configuration that is copied and whose look-ups lead into the original.
+// Prevents dangling lookups: a copied configuration must not look models up in the original.
 BOOST_AUTO_TEST_CASE(aCopyOfProfilesIsComplete)
 {
     auto original = std::make_unique<ModelProfiles>();
@@ -51,7 +51,7 @@
     BOOST_TEST(copy.find(ModelName("m"))->weights.value() == 7u);
 }
 
-BOOST_AUTO_TEST_CASE(aLoadBringsItsStateUpToDate)
+BOOST_AUTO_TEST_CASE(applyLoadUpdatesTheState)
 {
     EngineState state = stateOf({ "a", "b" });
     EngineLoad load = loadOf(state);
@@ -63,7 +63,7 @@
     BOOST_TEST(state.held[1].inUse == 9u);
 }
 
-BOOST_AUTO_TEST_CASE(aLoadOfAnotherNumberOfModelsChangesNothing)
+BOOST_AUTO_TEST_CASE(aLoadWithAnotherNumberOfModelsChangesNothing)
 {
     EngineState state = stateOf({ "a", "b" });
     EngineLoad load = loadOf(stateOf({ "a" }));
--- a/src/catalog/tests/routetable_test.cpp
+++ b/src/catalog/tests/routetable_test.cpp
@@ -53,7 +53,7 @@
     BOOST_TEST(foundName(table, "other.example", "/x/1").empty());
 }
 
-BOOST_AUTO_TEST_CASE(portCaseAndQueryDontMatter)
+BOOST_AUTO_TEST_CASE(portCaseAndQueryAreIgnored)
 {
     const RouteTable table = tableOf({ route("one", "a.example", "/x/") });
     BOOST_TEST(foundName(table, "A.Example:8080", "/x/1?to=/y/z") == "one");
--- a/src/catalog/types/configuration.h
+++ b/src/catalog/types/configuration.h
@@ -11,19 +11,19 @@
 #include <unordered_map>
 #include <vector>
 
-/// What the operator has decided: which requests go to which services, and what the engines may hold.
+/// The operator's configuration: which requests go to which services, and which models the engines may load.
 namespace lagoon::catalog {
 
 enum class RouteKind : std::uint8_t {
     Idempotent, ///< may run more than once
-    NonIdempotent, ///< runs once at most
-    Streaming, ///< a stream of events; runs once at most unless it may be resumed
+    NonIdempotent, ///< runs at most once
+    Streaming, ///< a stream of events; runs at most once unless it is resumable
 };
 
-/// One of the services that share a route's requests.
+/// One of the services among which a route's requests are distributed.
 struct RouteTarget {
     framework::ServiceName service;
-    /// Relative to the other targets' weights.
+    /// Share of the route's requests, relative to the other targets' weights.
     double weight = 1;
 };
 
@@ -33,19 +33,20 @@
     /// Begins and ends with a slash.
     std::string prefix;
     RouteKind kind = RouteKind::NonIdempotent;
-    /// Longest time to the final answer.
+    /// Maximum time until the final answer.
     framework::Milliseconds timeout { 0 };
-    /// An answer, or a stream's first event, within this is on time.
+    /// An answer, or a stream's first event, that arrives within this time is on time.
     framework::Milliseconds targetLatency { 0 };
-    /// Longest pause between a stream's events for which it is still on time.
+    /// A stream is on time only while the gaps between its events don't exceed this time.
     framework::Milliseconds maxEventGap { 0 };
-    /// Callers leave when nothing has come for so long; 0: they wait for the whole answer until their deadline.
+    /// Callers disconnect after receiving nothing for this time; 0 if they wait for the whole answer until their
+    /// deadline.
     framework::Milliseconds callerIdleTimeout { 0 };
     /// 0 is the most urgent.
     std::uint32_t priority = 0;
-    /// At least one.
+    /// Contains at least one target.
     std::vector<RouteTarget> targets;
-    /// Servers to which one request may be sent, at least 1.
+    /// Maximum number of servers to which one request may be sent, at least 1.
     std::uint32_t maxServers = 1;
     bool isResumable = false;
 };
@@ -53,20 +54,20 @@
 struct ModelProfile {
     framework::ModelName name;
     MegaBytes weights;
-    /// Times of a load by where the weights are.
+    /// Load times, depending on where the weights are.
     framework::Milliseconds loadFromStore { 0 };
     framework::Milliseconds loadFromDisk { 0 };
     framework::Milliseconds loadFromMemory { 0 };
     MegaBytes adapterWeights;
-    /// How many adapters there are of it.
+    /// Number of adapters that exist for this model.
     std::uint32_t adapters = 0;
 };
 
-/// A service's models, found by name with one hash.
+/// A service's models. A lookup by name costs one hash.
 class ModelProfiles {
 public:
     void add(ModelProfile);
-    /// Null if there is none of the name.
+    /// Returns nullptr if there is no model of this name.
     const ModelProfile* find(const framework::ModelName&) const;
 
     auto begin() const { return profiles_.begin(); }
@@ -78,15 +79,15 @@
     std::unordered_map<framework::ModelName, std::size_t> byName_;
 };
 
-/// What is common to the engines of one service.
+/// Properties shared by all engines of one service.
 struct EngineProfile {
-    /// Requests that run at once.
+    /// Number of requests that run concurrently.
     std::uint32_t slots = 0;
     Tokens memory;
-    /// Room for models and adapters together.
+    /// Capacity for models and adapters together.
     MegaBytes weights;
     std::uint32_t adapters = 0;
-    /// Loads that the weight store may begin in a second, over all engines.
+    /// Loads per second that the weight store may start, over all engines.
     double storeLoadsPerSecond = 0;
     ModelProfiles models;
 
@@ -95,13 +96,13 @@
 
 struct Service {
     framework::ServiceName name;
-    /// Connections that one server accepts from all callers.
+    /// Maximum number of connections that one server accepts from all callers together.
     std::uint32_t maxConnections = 0;
-    /// Only for services of model engines.
+    /// std::nullopt for plain services, which have no model engines.
     std::optional<EngineProfile> engine;
 };
 
-/// What a caller may send.
+/// Limits on callers' requests and connections.
 struct CallerLimits {
     std::uint32_t headerBytes = 16 * 1024;
     std::uint64_t bodyBytes = 4 * 1024 * 1024;
--- a/src/catalog/types/targetdemand.h
+++ b/src/catalog/types/targetdemand.h
@@ -19,29 +19,29 @@
     friend auto operator<=>(const ModelTarget&, const ModelTarget&) = default;
 };
 
-/// What one router's callers want of a model or adapter at one engine.
+/// One router's demand for a model or adapter at one engine.
 struct TargetDemand {
     ModelTarget target;
-    /// Requests that wait for it to be loaded there.
+    /// Requests that wait until the target is loaded there.
     std::uint32_t waiting = 0;
-    /// Of those that wait.
+    /// Earliest deadline of the waiting requests.
     framework::Deadline earliest;
-    /// This router's requests for it that are under way there.
+    /// This router's requests for the target that are in progress there.
     std::uint32_t inFlight = 0;
-    /// Part of one engine's time that this router's requests for the model take, wherever they run.
+    /// Fraction of one engine's time that this router's requests for the model take, on whichever engines they run.
     double work = 0;
-    /// The engine's place in the model's order of engines, from 0.
+    /// Position of the engine in the model's order of engines, from 0.
     std::uint32_t rank = 0;
-    /// Engines that hold the model now.
+    /// Number of engines that have the model loaded now.
     std::uint32_t holders = 0;
-    /// Nobody waits, but no engine has the weights at hand.
+    /// The model should be loaded although no request waits for it, since no engine has its weights cached.
     bool isPrefetch = false;
-    /// Nobody waits, but more engines should hold it.
+    /// The model should be loaded although no request waits for it, since more engines should have it.
     bool isCopy = false;
-    /// The highest among those that wait: 0 lowest, 9 highest.
+    /// Highest priority of the waiting requests: 0 is the lowest, 9 the highest.
     std::uint8_t priority = 0;
 
-    /// Whether the engine is to load it; else this only says what its models are worth.
+    /// Whether the engine should load the target. Otherwise the entry only reports how much the target is used.
     bool isLoad() const { return waiting > 0 || isPrefetch || isCopy; }
 };
 
--- a/src/catalog/types/upstream.h
+++ b/src/catalog/types/upstream.h
@@ -16,20 +16,20 @@
     framework::ModelName model;
     std::uint32_t version = 0;
     std::vector<framework::AdapterName> adapters;
-    /// Part of one engine's time that all routers' requests for the model take, wherever they run; as far as its agent
-    /// has heard from them.
+    /// Fraction of one engine's time that all routers' requests for the model take, on whichever engines they run.
+    /// Covers the routers that report to the engine's agent.
     double work = 0;
-    /// Requests of all routers that run there or wait for one of its adapters: it can't make way before they have
-    /// ended.
+    /// Requests of all routers that run on the model or wait for one of its adapters. The model can't be unloaded
+    /// before they have ended.
     std::uint32_t inUse = 0;
 
     bool has(const framework::AdapterName&) const;
 };
 
-/// Nothing if it isn't held.
+/// Returns nullptr if the model isn't loaded.
 const LoadedModel* findLoaded(const std::vector<LoadedModel>&, const framework::ModelName&);
 
-/// Weights that an engine has at hand without the weight store.
+/// Models whose weights an engine has cached in memory or on disk, so that it can load them without the weight store.
 struct CachedWeights {
     std::vector<framework::ModelName> memory;
     std::vector<framework::ModelName> disk;
@@ -40,22 +40,22 @@
 
 enum class UpstreamState : std::uint8_t {
     Ready,
-    Draining, ///< serves what it has and soon ends
+    Draining, ///< finishes its requests and ends soon
 };
 
-/// One run of an upstream's process. What is known of one doesn't hold for another of the same id.
+/// One run of an upstream's process. What is known about one run doesn't apply to another run under the same ID.
 struct UpstreamRun {
     InstanceId instance;
-    /// Nothing if the upstream doesn't say it.
+    /// std::nullopt if the upstream doesn't report it.
     std::optional<StartTime> started;
 
     friend auto operator<=>(const UpstreamRun&, const UpstreamRun&) = default;
 };
 
-/// One server as the platform's list describes it. The list lags.
+/// One server as the platform lists it. The list lags behind the server's actual state.
 struct Upstream {
     InstanceId instance;
-    /// Nothing if the server doesn't say it.
+    /// std::nullopt if the server doesn't report it.
     std::optional<StartTime> started;
     framework::ServiceName service;
     framework::Endpoint endpoint;
@@ -65,34 +65,34 @@
     /// Empty for plain services.
     std::vector<LoadedModel> models;
     CachedWeights cachedWeights;
-    /// When it was listed first, in the list's own count: greater is later.
+    /// The list's own sequence number of the server's first listing: greater is later.
     std::uint64_t listed = 0;
 
     UpstreamRun run() const { return { instance, started }; }
 };
 
-/// What an agent says it takes until a model is there when it can't place it now.
+/// Load time that an agent reports for a model that it can't load at present.
 inline constexpr framework::Milliseconds loadImpossible { 3600 * 1000 };
 
-/// An engine's state as its agent tells the routers.
+/// An engine's state as its agent publishes it to the routers.
 struct EngineState {
     framework::Endpoint engine;
-    /// Of the engine's process; nothing if the engine doesn't say it.
+    /// Start of the engine's process; std::nullopt if the engine doesn't report it.
     std::optional<StartTime> started;
     std::vector<LoadedModel> held;
-    /// Held models that are about to be unloaded: they take no new requests.
+    /// Loaded models that are about to be unloaded and accept no new requests.
     std::vector<framework::ModelName> draining;
     CachedWeights cachedWeights;
-    /// Being loaded now; empty for none.
+    /// Model that is being loaded now; empty if there is none.
     framework::ModelName loading;
     bool loadsFromStore = false;
     std::uint32_t running = 0;
     std::uint32_t queued = 0;
     Tokens usedMemory;
     Tokens memory;
-    /// Routers that this agent hears from.
+    /// Number of routers that report their demand to this agent.
     std::uint32_t routers = 0;
-    /// When a model that routers want will be there, from now; `loadImpossible` if nothing can make way for it.
+    /// Time from now until a model in demand will be loaded; `loadImpossible` if no model can be evicted for it.
     struct Expected {
         framework::ModelName model;
         framework::Milliseconds within { 0 };
@@ -103,9 +103,9 @@
     bool isDraining(const framework::ModelName&) const;
 };
 
-/// The figures of an engine's state that change with every request, for a state that is otherwise as last told.
+/// The figures of an engine's state that change with every request. The rest of the state is as published last.
 struct EngineLoad {
-    /// Of one held model.
+    /// Load of one loaded model.
     struct ModelLoad {
         double work = 0;
         std::uint32_t inUse = 0;
@@ -121,7 +121,7 @@
 };
 
 EngineLoad loadOf(const EngineState&);
-/// False if the load is of another state than this.
+/// Returns false, and changes nothing, if the load has another number of models than the state.
 [[nodiscard]] bool applyLoad(EngineState&, const EngineLoad&);
 
 } // namespace lagoon::catalog
