--- a/src/engines/demandtable.h
+++ b/src/engines/demandtable.h
@@ -11,17 +11,17 @@
 
 namespace lagoon::engines {
 
-/// What all routers together want of one engine. Forgets routers that have fallen silent. A router's update costs what
-/// the routers say of the models that it names, before or after.
+/// The demand of all routers at one engine. Removes routers that have fallen silent. The cost of a router's update
+/// grows with the number of entries that all routers have for the models of its old and new demand.
 class DemandTable {
 public:
-    /// Replaces what the router wanted before.
+    /// Replaces the router's previous demand.
     void set(const framework::VmName& router, catalog::DemandList, framework::SteadyTime now);
     void forget(const framework::VmName& router);
     void forgetSilentRouters(framework::SteadyTime now);
     std::size_t routers() const { return routers_.size(); }
 
-    /// Over all routers: sums of those that wait, that are under way, and of the work; the nearest deadline.
+    /// Demand over all routers: sums of waiting requests, requests in progress and work; the earliest deadline.
     const std::map<catalog::ModelTarget, catalog::TargetDemand>& merged() const { return merged_; }
 
 private:
--- a/src/engines/draintimeestimator.h
+++ b/src/engines/draintimeestimator.h
@@ -10,26 +10,28 @@
 
 namespace lagoon::engines {
 
-/// How long models that are to make way stay in use, learned from those that have. Without I/O or clock.
+/// Estimates how long models that are to be unloaded stay in use, from the drain times observed so far. Does no I/O and
+/// reads no clock.
 class DrainTimeEstimator {
 public:
-    /// Requests that use a model now.
+    /// Returns the number of requests that use a model now.
     using Uses = std::function<std::uint32_t(const framework::ModelName&)>;
 
     DrainTimeEstimator();
 
-    /// Called at each decision, before it: learns from what has drained since.
+    /// Called before each decision: records the drain times of models that are no longer in use.
     void noteDrained(const Uses&, framework::SteadyTime now);
-    /// And after it, with the models that are to make way.
+    /// Called after each decision, with the models that are to be unloaded.
     void noteDraining(const std::vector<framework::ModelName>&, const Uses&, framework::SteadyTime now);
-    /// Until all of the models are free. One that drains for longer than usual is thought to need as long again, so
-    /// that routers stop waiting for an engine that one long stream keeps from loading.
+    /// Returns the expected time until none of the models is in use. A model that has been draining for longer than
+    /// usual is expected to need as long again, so that routers stop waiting for an engine that one long stream keeps
+    /// from loading.
     framework::Milliseconds expected(
         const std::vector<framework::ModelName>&, const Uses&, framework::SteadyTime now) const;
     void reset() { drainingSince_.clear(); }
 
 private:
-    /// Models in use that are making way.
+    /// Models in use that are to be unloaded, with the time since which they have been draining.
     std::map<framework::ModelName, framework::SteadyTime> drainingSince_;
     policy::MeanDuration mean_;
 };
--- a/src/engines/enginecontroller.h
+++ b/src/engines/enginecontroller.h
@@ -24,12 +24,12 @@
     framework::Endpoint engine;
 };
 
-/// Keeps one engine's models as its routers want them: reads its state, gives one order after the other, and tells the
-/// routers what changes. Belongs to the control thread.
+/// Reconciles one engine's models with its routers' demand: reads the engine's state, gives one order at a time, and
+/// publishes changes to the routers. Runs on the control thread.
 ///
-/// There is one keeper per engine, on its VM, so that orders have one source. What a former process ordered, and what
-/// this one ordered without an answer, may still be carried out: fence, expected count and instance go with each order,
-/// and the engine's own report decides what holds.
+/// There is one controller per engine, on its VM, so that orders have one source. The engine may still carry out orders
+/// of a former agent process, and orders of this one that got no answer. Therefore each order carries a fencing token,
+/// the expected order count and the engine's instance, and the engine's own report is authoritative.
 class EngineController {
 public:
     struct Context {
@@ -41,7 +41,7 @@
         std::shared_ptr<framework::Metrics> metrics;
         /// Publishes the state to all subscribers.
         std::function<void(const catalog::EngineState&)> publish;
-        /// Publishes its load; the rest is as in the state that was published last.
+        /// Publishes the engine's load; the rest of its state is as published last.
         std::function<void(const catalog::EngineLoad&)> publishLoad;
     };
 
@@ -51,7 +51,8 @@
     EngineController& operator=(const EngineController&) = delete;
 
     void start();
-    /// `instance` is the engine's as that router's list names it; empty if the list has none.
+    /// Replaces the router's demand. `instance` is the engine's instance in that router's list of servers; empty if the
+    /// list has none.
     void setDemand(const framework::VmName& router, const catalog::InstanceId& instance, catalog::DemandList);
     void forgetRouter(const framework::VmName&);
 
@@ -81,23 +82,23 @@
     std::optional<EngineReport> report_;
     framework::SteadyTime reportedAt_ {};
     std::optional<framework::FencingToken> fencingToken_;
-    /// Of the engine's process, as it says; nothing if it doesn't.
+    /// Start of the engine's process as it reports it; std::nullopt if it doesn't.
     std::optional<catalog::StartTime> started_;
     catalog::InstanceId instance_;
-    /// The engine said that it isn't this one; routers may go on naming it while their list lags.
+    /// Instance that the engine has said it isn't. Routers may continue to name it while their list lags.
     catalog::InstanceId rejectedInstance_;
-    /// Orders that the engine has accepted at least; a report with fewer is older than the last answer.
+    /// Lower bound of the orders that the engine has accepted. A report with fewer is stale, or of a restarted engine.
     OrderCount acceptedOrders_;
     framework::SteadyTime acceptedOrdersSeenAt_ {};
     bool isReporting_ = false;
     bool isOrdering_ = false;
     bool isAcquiringToken_ = false;
     bool isEngineLost_ = false;
-    /// No order before this: the engine was busy with another.
+    /// No order is given before this time, as the engine was busy with another one or refused the last one.
     framework::Deadline ordersAllowedAt_;
-    /// Until then an order that got no answer may still be carried out.
+    /// Until this time the engine may still carry out an order that got no answer.
     framework::Deadline lateOrdersUntil_;
-    /// Digests of what was published last.
+    /// Digests of the state and the load that were published last.
     std::string publishedState_;
     std::string publishedLoad_;
     framework::SteadyTime publishedAt_ {};
--- a/src/engines/iengineport.h
+++ b/src/engines/iengineport.h
@@ -8,7 +8,7 @@
 
 namespace lagoon::engines {
 
-/// The calls of the engine beside the agent. They don't block; handlers run on the control thread, each once.
+/// Calls to the engine on the agent's VM. They don't block; each handler runs once, on the control thread.
 class IEnginePort {
 public:
     virtual ~IEnginePort() = default;
@@ -16,7 +16,7 @@
     using OrderHandler = std::function<void(const OrderAnswer&)>;
 
     virtual void report(framework::Deadline, ReportHandler) = 0;
-    /// Sent once. The deadline is for the answer; the order itself may go on much longer.
+    /// Sends the order once, without retries. The deadline is for the answer; the order itself may take much longer.
     virtual void order(const Order&, const OrderPreconditions&, framework::Deadline, OrderHandler) = 0;
 };
 
--- a/src/engines/ifencingtokensource.h
+++ b/src/engines/ifencingtokensource.h
@@ -8,12 +8,12 @@
 
 namespace lagoon::engines {
 
-/// Where an agent gets its fencing numbers: each is greater than all that were given before, to whomever.
+/// Issues an agent's fencing tokens. Each token is greater than all tokens issued before, to any agent.
 class IFencingTokenSource {
 public:
     virtual ~IFencingTokenSource() = default;
     using Handler = std::function<void(framework::Result<framework::FencingToken>)>;
-    /// The handler runs on the control thread, once.
+    /// The handler runs once, on the control thread.
     virtual void next(framework::Deadline, Handler) = 0;
 };
 
--- a/src/engines/internal/demandtable.cpp
+++ b/src/engines/internal/demandtable.cpp
@@ -12,7 +12,7 @@
 
 using catalog::TargetDemand;
 
-/// A router speaks each second; one that has missed three has ended, or can't be reached.
+/// A router sends its demand each second. One that has missed three updates has ended or can't be reached.
 constexpr framework::Milliseconds routerTimeout { 3500 };
 
 void accumulate(TargetDemand& into, const TargetDemand& from)
--- a/src/engines/internal/draintimeestimator.cpp
+++ b/src/engines/internal/draintimeestimator.cpp
@@ -10,7 +10,7 @@
 using framework::ModelName;
 using framework::SteadyTime;
 
-/// Until some drains have been seen.
+/// Drain time that is expected before any has been observed.
 constexpr Milliseconds initialEstimate { 500 };
 
 } // namespace
--- a/src/engines/internal/enginecontroller.cpp
+++ b/src/engines/internal/enginecontroller.cpp
@@ -16,33 +16,38 @@
 using framework::Milliseconds;
 using framework::Result;
 
-/// Reading the state costs the engine nothing, and this VM a millisecond of a slow processor: often while something is
-/// waited for, seldom otherwise.
+/// Longest interval between reports, used while no request waits and no order is in progress. A report costs the engine
+/// nothing, and this VM a millisecond on a slow processor, so reports are frequent only while something is in progress.
 constexpr Milliseconds idlePollInterval { 200 };
+/// Shortest interval while a model is being loaded.
 constexpr Milliseconds loadingPollInterval { 25 };
+/// Interval while adapters are being loaded, or after a stale report.
 constexpr Milliseconds fastPollInterval { 12 };
-/// Routers say when a model that is in the way falls idle; reports only confirm it.
+/// Interval while requests wait and no order is in progress, usually since a model to be evicted is still in use.
+/// Routers report when that model falls idle, so the engine's reports only confirm it.
 constexpr Milliseconds waitingPollInterval { 50 };
+/// While a model is being loaded, the interval is the time to or since the expected end of the load divided by this.
 constexpr int loadTimeDivisor = 8;
-/// On the same VM an answer takes a few milliseconds; an engine that needs longer is as good as silent.
+/// On the same VM an answer takes a few milliseconds. An engine that takes longer than this counts as lost.
 constexpr Milliseconds reportTimeout { 600 };
 constexpr Milliseconds orderTimeout { 1000 };
-/// Routers take an agent that is silent for two of these for gone.
+/// Routers consider an agent lost that is silent for more than two of these intervals.
 constexpr Milliseconds publishInterval { 900 };
-/// A report that is younger than this is good enough to decide by.
+/// Decisions use a report without reading a new one if it is younger than this.
 constexpr Milliseconds maxReportAge { 8 };
-/// Model sizes hardly change, and a reading that may be seconds old costs a tenth.
+/// Model sizes rarely change, and a read that allows data that is seconds old costs a tenth of an exact one.
 constexpr Milliseconds profileInterval { 6000 };
 constexpr Milliseconds profileRetryInterval { 400 };
 constexpr Milliseconds storeTimeout { 1000 };
 constexpr Milliseconds minTokenBackoff { 200 };
 constexpr Milliseconds maxTokenBackoff { 2000 };
-/// After the engine said that it is busy with something that this process doesn't know of.
+/// Delay before the next order after the engine refused one, or was busy with an order unknown to this process.
 constexpr Milliseconds busyBackoff { 60 };
-/// A report that goes on showing fewer orders than were accepted is a restarted engine's, not an old one.
+/// If reports show fewer orders than were accepted for longer than this, the engine has restarted; until then they are
+/// considered stale.
 constexpr Milliseconds staleReportWindow { 700 };
 
-/// How long an order without an answer may still be carried out.
+/// Time for which an order without an answer may still be carried out.
 constexpr Milliseconds lateOrderWindow { 30000 };
 
 std::string targetText(const catalog::ModelTarget& target)
@@ -69,7 +74,7 @@
     return "";
 }
 
-/// Of everything but the load.
+/// Digest of the state without the load.
 std::string stateDigest(const catalog::EngineState& state)
 {
     std::string digest = std::to_string(state.started ? state.started->value() : 0) + '|' + state.loading.value() + '|';
@@ -88,7 +93,7 @@
     return digest;
 }
 
-/// Coarse: a change here is published at once, others with the next heartbeat.
+/// Coarse digest of the load: a change of the digest is published at once, smaller changes with the next heartbeat.
 std::string loadDigest(const catalog::EngineState& state)
 {
     constexpr std::uint64_t tokenStep = 20000;
@@ -135,8 +140,8 @@
         });
 }
 
-/// Guards against two lives of this agent at one engine: what an earlier one sent and the network still holds has a
-/// lower number, which the engine refuses.
+/// Replaces the fencing token by a newer one. Prevents orders of an earlier agent process, which the network may still
+/// deliver, from being carried out: they have a lower token, which the engine refuses.
 void EngineController::acquireFencingToken()
 {
     if (std::exchange(isAcquiringToken_, true))
@@ -167,7 +172,7 @@
         instance_ = instance;
     }
     demand_.set(router, std::move(demand), context_.clock.now());
-    // A report that is a moment old decides at once; else the next one does.
+    // Decides at once if the last report is recent, otherwise when the next one arrives.
     if (report_ && context_.clock.now() - reportedAt_ < maxReportAge)
         decide();
     else
@@ -200,7 +205,7 @@
     if (report.has_error()) {
         if (!std::exchange(isEngineLost_, true))
             logDecision(LogLine("engine_lost").text("cause", describe(report.error())));
-        // Without a report nothing is known, and nothing is said: routers go on by the platform's list.
+        // Without a report nothing is published, and routers fall back on the platform's list.
         report_.reset();
         return pollAfter(idlePollInterval);
     }
@@ -234,9 +239,9 @@
     resetForNewRun(report);
 }
 
-/// Nothing holds of the engine's former run. Guards against what that one was ordered and didn't answer: it may be
-/// carried out now, since the engine has forgotten the fences and its count comes to the expected one again. With a
-/// newer number from the first order on the engine refuses it.
+/// Discards what is known about the engine's former run. Prevents an unanswered order to the former run from being
+/// carried out by the new one: a restart clears the engine's highest fencing token, and its order count reaches the
+/// expected one again. If the first order to the new run carries a newer token, the engine refuses the old order.
 void EngineController::resetForNewRun(const EngineReport& report)
 {
     const framework::SteadyTime now = context_.clock.now();
@@ -269,7 +274,7 @@
     return idlePollInterval;
 }
 
-/// Often around the time at which the load should end, seldom long before and long after it.
+/// Returns short intervals around the time at which the load should end, longer ones well before and after it.
 Milliseconds EngineController::pollIntervalWhileLoading() const
 {
     const auto loadedBy = planner_.loadedBy();
@@ -352,8 +357,8 @@
         acceptedOrders_ = OrderCount();
         break;
     case OrderOutcome::Unknown:
-        // It may still come, for many seconds. The next order carries the same expected count, so that the engine takes
-        // at most one of the two.
+        // The order may still arrive many seconds later. The next one carries the same expected count, so that the
+        // engine accepts at most one of the two.
         ordersAllowedAt_ = Deadline::after(now, busyBackoff);
         lateOrdersUntil_ = Deadline::after(now, lateOrderWindow);
         break;
@@ -393,7 +398,7 @@
     publishedState_ = std::move(stateNow);
     publishedLoad_ = std::move(loadNow);
     publishedAt_ = context_.clock.now();
-    // The times of what is expected change without a change of the digest.
+    // Expected load times change without a change of the digest, so a state with any of them is published in full.
     if (isSameState && state.expected.empty())
         context_.publishLoad(catalog::loadOf(state));
     else
--- a/src/engines/internal/placementplanner.cpp
+++ b/src/engines/internal/placementplanner.cpp
@@ -22,19 +22,20 @@
 using framework::ModelName;
 using framework::SteadyTime;
 
-/// A model that has just been loaded isn't unloaded before those who waited for it have come: the routers hear of it
-/// and send within a few network delays.
+/// A loaded model stays for at least this time, so that the requests that waited for it arrive before it is unloaded:
+/// routers receive the new state and send them within a few network delays.
 constexpr Milliseconds minResidence { 300 };
-/// A model whose requests ended this recently has probably more on their way, when nobody waits for another.
+/// A model is evicted for a prefetch only after it has been idle for longer than this, since more requests for it are
+/// likely until then and no request waits for the prefetched one.
 constexpr Milliseconds minIdleTime { 2000 };
-/// Loads of adapters that may be under way at one engine.
+/// Maximum number of adapter loads in progress at one engine.
 constexpr std::size_t maxLoadingAdapters = 4;
-/// Between the end of a model's requests and its place being free.
+/// Time from the end of a model's requests until its memory is free.
 constexpr Milliseconds unloadTime { 40 };
-/// While an order is under way whose end isn't known, as after this process has started anew.
+/// Expected remaining time of an order in progress whose end isn't known, for example after a restart of this process.
 constexpr Milliseconds unknownOrderTime { 1000 };
 
-TargetDemand wantedOf(const PlacementInput& input, const ModelTarget& target)
+TargetDemand demandOf(const PlacementInput& input, const ModelTarget& target)
 {
     const auto found = input.demand.find(target);
     if (found != input.demand.end())
@@ -54,8 +55,9 @@
     return [&input](const ModelName& model) { return usesOf(input, model); };
 }
 
-/// Guards against a busy model that stays on one engine: where all other models are in use, none made way for its copy,
-/// and loads that single callers wait for went before it, while its own callers were refused for seconds.
+/// Whether the demand is for a copy of a model whose engines are overloaded. Such a copy takes precedence. Prevents a
+/// busy model from staying on one engine: where all other models were in use, none was evicted for the copy, and loads
+/// that single callers waited for went first, while the busy model's callers were refused for seconds.
 bool isOverloadedCopy(const TargetDemand& demand)
 {
     return demand.isCopy && demand.waiting == 0 && policy::isStrained(demand.work, demand.holders);
@@ -130,7 +132,7 @@
     }
     decision.order = adapterOrder(input);
     if (decision.order)
-        decision.reason = "adapter waited for";
+        decision.reason = "requests wait for adapter";
     Milliseconds soFar = untilFree(input);
     if (!loading_.value().empty())
         decision.expected.push_back({ loading_, soFar });
@@ -158,7 +160,7 @@
         if (use != uses_.end() && demand.inFlight + demand.waiting > 0)
             use->second.lastUsed = input.now;
     }
-    std::erase_if(waitingSince_, [&](const auto& entry) { return wantedOf(input, { entry.first, {} }).waiting == 0; });
+    std::erase_if(waitingSince_, [&](const auto& entry) { return demandOf(input, { entry.first, {} }).waiting == 0; });
     for (const auto& [target, demand] : input.demand) {
         if (target.adapter.value().empty() && demand.waiting > 0)
             waitingSince_.try_emplace(target.model, input.now);
@@ -167,7 +169,7 @@
 
 std::optional<Order> PlacementPlanner::adapterOrder(const PlacementInput& input) const
 {
-    // While an engine carries out an order of a model it takes none of an adapter either.
+    // While an engine carries out an order for a model it accepts no orders for adapters.
     if (input.report.isBusy)
         return std::nullopt;
     for (const auto& [target, demand] : input.demand) {
@@ -190,13 +192,13 @@
     return std::nullopt;
 }
 
-/// The adapter that was used longest ago, and isn't now.
+/// Returns the least recently used adapter that isn't in use; std::nullopt if all are in use.
 std::optional<ModelTarget> PlacementPlanner::idleAdapter(const PlacementInput& input) const
 {
     std::optional<ModelTarget> oldest;
     SteadyTime oldestUse {};
     for (const auto& [target, use] : uses_) {
-        const TargetDemand demand = wantedOf(input, target);
+        const TargetDemand demand = demandOf(input, target);
         if (target.adapter.value().empty() || demand.inFlight + demand.waiting > 0)
             continue;
         if (oldest && use.lastUsed >= oldestUse)
@@ -210,7 +212,7 @@
 std::vector<TargetDemand> PlacementPlanner::missingModels(const PlacementInput& input) const
 {
     std::vector<TargetDemand> all;
-    std::vector<TargetDemand> waited;
+    std::vector<TargetDemand> awaited;
     std::vector<TargetDemand> copies;
     std::vector<TargetDemand> prefetched;
     for (const auto& [target, demand] : input.demand) {
@@ -220,13 +222,13 @@
         if (isOverloadedCopy(demand))
             all.push_back(demand);
         else if (demand.waiting > 0)
-            waited.push_back(demand);
+            awaited.push_back(demand);
         else if (demand.isPrefetch)
             prefetched.push_back(demand);
         else if (demand.isCopy)
             copies.push_back(demand);
     }
-    const std::vector<TargetDemand> ordered = byValue(input, waited);
+    const std::vector<TargetDemand> ordered = byValue(input, awaited);
     all.insert(all.end(), ordered.begin(), ordered.end());
     all.insert(all.end(), copies.begin(), copies.end());
     all.insert(all.end(), prefetched.begin(), prefetched.end());
@@ -234,28 +236,28 @@
 }
 
 std::vector<TargetDemand> PlacementPlanner::byValue(
-    const PlacementInput& input, const std::vector<TargetDemand>& waited) const
+    const PlacementInput& input, const std::vector<TargetDemand>& awaited) const
 {
     std::vector<policy::PendingLoad> pending;
-    for (const TargetDemand& demand : waited) {
+    for (const TargetDemand& demand : awaited) {
         const ModelProfile& model = *input.profile.find(demand.target.model);
         pending.push_back({ model.name.value(), demand.earliest, demand.waiting, waitingSince_.at(model.name),
             catalog::loadTime(model, input.report.cachedWeights), demand.priority });
     }
     std::vector<TargetDemand> ordered;
     for (const std::size_t index : policy::sequenceOf(*loadOrder_, pending, input.now))
-        ordered.push_back(waited[index]);
+        ordered.push_back(awaited[index]);
     return ordered;
 }
 
-/// Until an order that is under way has ended.
+/// Returns the expected time until the order in progress has ended; 0 if there is none.
 Milliseconds PlacementPlanner::untilFree(const PlacementInput& input) const
 {
     if (!input.report.isBusy)
         return Milliseconds(0);
     if (loading_.value().empty())
         return unknownOrderTime;
-    // One that takes longer than it should is thought to need as long again as it has taken too long.
+    // An overdue load is expected to take as long again as it is overdue.
     if (loadedBy_.hasPassed(input.now))
         return std::max(unloadTime, std::chrono::duration_cast<Milliseconds>(input.now - loadedBy_.at()));
     return loadedBy_.remaining(input.now);
@@ -276,9 +278,9 @@
     decision.expected.push_back({ model, soFar });
     if (!isFirst)
         return;
-    decision.reason = (demand.waiting > 0         ? "waited for by " + std::to_string(demand.waiting)
-                              : demand.isPrefetch ? "nowhere at hand"
-                                                  : "another copy")
+    decision.reason = (demand.waiting > 0         ? "requests waiting: " + std::to_string(demand.waiting)
+                              : demand.isPrefetch ? "weights cached at no engine"
+                                                  : "additional copy")
         + std::string(", for ") + model.value();
     if (victims->empty()) {
         decision.order = Order { OrderKind::Load, { model, {} } };
@@ -293,7 +295,8 @@
     }
 }
 
-/// What has to go for the model; empty if it fits as it is, nothing if it can't be placed.
+/// Returns the models to evict for the load; empty if the model fits without evictions, std::nullopt if it can't be
+/// loaded.
 std::optional<std::vector<ModelName>> PlacementPlanner::victimsFor(
     const PlacementInput& input, const TargetDemand& demand) const
 {
@@ -302,7 +305,7 @@
     std::vector<ModelName> victims;
     if (fits(input, used, needed))
         return victims;
-    // The fewer requests have to end first, the sooner the place is free.
+    // The fewer requests a model has to finish, the sooner its memory is free.
     std::vector<std::tuple<std::uint32_t, double, SteadyTime, const LoadedModel*>> candidates;
     for (const LoadedModel& held : input.report.held) {
         if (!mayEvict(input, held.model, demand))
@@ -320,29 +323,30 @@
     return std::nullopt;
 }
 
-bool PlacementPlanner::mayEvict(const PlacementInput& input, const ModelName& held, const TargetDemand& loaded) const
+bool PlacementPlanner::mayEvict(const PlacementInput& input, const ModelName& held, const TargetDemand& requested) const
 {
     const Use& use = uses_.at({ held, {} });
-    if (input.now - use.since < minResidence)
+    if (input.now - use.loadedSince < minResidence)
         return false;
-    const TargetDemand demand = wantedOf(input, { held, {} });
+    const TargetDemand demand = demandOf(input, { held, {} });
     const bool isSurplus = demand.holders > policy::wantedCopies(demand.work);
-    // A busy model may lose one of several copies, never its only one.
-    if (loaded.waiting > 0)
+    // A busy model may lose one of several copies, but never its only one.
+    if (requested.waiting > 0)
         return isSurplus || !policy::isBusyModel(demand.work) || demand.holders > 1;
-    if (isOverloadedCopy(loaded))
+    if (isOverloadedCopy(requested))
         return isSurplus || !policy::isBusyModel(demand.work);
     if (usesOf(input, held) > 0)
         return false;
-    if (loaded.isPrefetch)
+    if (requested.isPrefetch)
         return isSurplus || (!policy::isBusyModel(demand.work) && input.now - use.lastUsed > minIdleTime);
     return isSurplus || !policy::isBusyModel(demand.work);
 }
 
-/// How much the model would be missed here: nothing where enough others hold it, else by its requests' work.
+/// Returns the value of keeping the model loaded: 0 if more engines than needed have it, otherwise the work of its
+/// requests per engine.
 double PlacementPlanner::retentionValue(const PlacementInput& input, const ModelName& held) const
 {
-    const TargetDemand demand = wantedOf(input, { held, {} });
+    const TargetDemand demand = demandOf(input, { held, {} });
     if (demand.holders > policy::wantedCopies(demand.work))
         return 0;
     return demand.work / std::max<std::uint32_t>(1, demand.holders);
--- a/src/engines/iprofilesource.h
+++ b/src/engines/iprofilesource.h
@@ -8,12 +8,12 @@
 
 namespace lagoon::engines {
 
-/// Where an agent gets the sizes and load times of models.
+/// Provides an agent with the sizes and load times of models.
 class IProfileSource {
 public:
     virtual ~IProfileSource() = default;
     using Handler = std::function<void(framework::Result<catalog::ConfigurationPointer>)>;
-    /// A recent configuration, which may be seconds old. The handler runs on the control thread, once.
+    /// Reads a recent configuration, which may be seconds old. The handler runs once, on the control thread.
     virtual void read(framework::Deadline, Handler) = 0;
 };
 
--- a/src/engines/placementplanner.h
+++ b/src/engines/placementplanner.h
@@ -24,36 +24,36 @@
 };
 
 struct PlacementDecision {
-    /// The next order, if there is one to give now.
+    /// The order to give now; std::nullopt if there is none.
     std::optional<Order> order;
-    /// Held models that should get no new requests, as they are about to make way.
+    /// Loaded models that should get no new requests, as they are about to be unloaded.
     std::vector<framework::ModelName> draining;
     std::vector<catalog::EngineState::Expected> expected;
-    /// For the log.
+    /// Reason of the order, for the log.
     std::string reason;
 };
 
-/// Requests under way for the model, with or without an adapter, and those that wait for it or one of its adapters.
+/// Returns the number of requests that are in progress or waiting for the model or one of its adapters.
 std::uint32_t usesOf(const std::map<catalog::ModelTarget, catalog::TargetDemand>&, const framework::ModelName&);
 
-/// Decides which models and adapters one engine holds. Copies of models that their engines can't serve come first; then
-/// what is waited for, by how many wait, how long the load takes and when the nearest deadline is; then further copies
-/// of busy models; then models that no engine has at hand. What makes way is what has the fewest requests, and among
-/// equals what is least missed. Without I/O or clock.
+/// Decides which models and adapters one engine has loaded. Loads are given in this order: copies of models whose
+/// engines are overloaded; models with waiting requests, by their number, the load time and the earliest deadline;
+/// further copies of busy models; models that no engine has cached. Models with the fewest requests are evicted first,
+/// among these the ones with the lowest retention value. Does no I/O and reads no clock.
 class PlacementPlanner {
 public:
     explicit PlacementPlanner(std::unique_ptr<policy::ILoadOrder>);
 
     PlacementDecision decide(const PlacementInput&);
-    /// The order was accepted.
+    /// Called when the engine has accepted the order.
     void didOrder(const Order&, const PlacementInput&);
-    /// The engine has started anew: nothing is under way.
+    /// Called when the engine has restarted and no order is in progress.
     void reset();
 
-    /// What is being loaded, while the engine is busy.
+    /// The model that is being loaded; empty if there is none.
     framework::ModelName loading() const { return loading_; }
     bool loadsFromStore() const { return loadsFromStore_; }
-    /// When that should end; nothing if no load is under way.
+    /// When the load should end; std::nullopt if none is in progress.
     std::optional<framework::Deadline> loadedBy() const
     {
         return loading_.value().empty() ? std::nullopt : std::optional(loadedBy_);
@@ -62,18 +62,18 @@
 private:
     struct Use {
         framework::SteadyTime lastUsed {};
-        framework::SteadyTime since {};
+        framework::SteadyTime loadedSince {};
     };
 
     void noteUses(const PlacementInput&);
     std::optional<Order> adapterOrder(const PlacementInput&) const;
     std::optional<catalog::ModelTarget> idleAdapter(const PlacementInput&) const;
-    /// Models to load, the first first.
+    /// Models that should be loaded, most urgent first.
     std::vector<catalog::TargetDemand> missingModels(const PlacementInput&) const;
     std::vector<catalog::TargetDemand> byValue(const PlacementInput&, const std::vector<catalog::TargetDemand>&) const;
     std::optional<std::vector<framework::ModelName>> victimsFor(
         const PlacementInput&, const catalog::TargetDemand&) const;
-    bool mayEvict(const PlacementInput&, const framework::ModelName&, const catalog::TargetDemand& loaded) const;
+    bool mayEvict(const PlacementInput&, const framework::ModelName&, const catalog::TargetDemand& requested) const;
     double retentionValue(const PlacementInput&, const framework::ModelName&) const;
     framework::Milliseconds untilFree(const PlacementInput&) const;
     void planModel(
@@ -81,11 +81,11 @@
 
     std::unique_ptr<policy::ILoadOrder> loadOrder_;
     std::map<catalog::ModelTarget, Use> uses_;
-    /// When someone began to wait for it.
+    /// Since when requests have been waiting for a model.
     std::map<framework::ModelName, framework::SteadyTime> waitingSince_;
     framework::ModelName loading_;
-    /// Guards against requests for a model that the engine is dropping: while that order is under way the engine still
-    /// lists the model, and refuses whatever comes for it.
+    /// Model that is being unloaded; empty if there is none. Prevents requests from being sent to it: until the unload
+    /// has ended the engine still lists the model, but refuses its requests.
     framework::ModelName unloading_;
     bool loadsFromStore_ = false;
     framework::Deadline loadedBy_;
--- a/src/engines/tests/draintimeestimator_test.cpp
+++ b/src/engines/tests/draintimeestimator_test.cpp
@@ -21,14 +21,14 @@
 
 BOOST_AUTO_TEST_SUITE(DrainTimeEstimators)
 
-BOOST_AUTO_TEST_CASE(whatIsFreeNeedsNoTime)
+BOOST_AUTO_TEST_CASE(aModelThatIsNotInUseNeedsNoTime)
 {
     DrainTimeEstimator drains;
     BOOST_TEST(drains.expected(draining, free, start).count() == 0);
     BOOST_TEST(drains.expected(draining, inUse, start).count() > 0);
 }
 
-BOOST_AUTO_TEST_CASE(aModelThatIsKeptAfterAllTeachesNothing)
+BOOST_AUTO_TEST_CASE(aCancelledDrainIsNotRecorded)
 {
     DrainTimeEstimator drains;
     const Milliseconds before = drains.expected(draining, inUse, start);
@@ -38,7 +38,7 @@
     BOOST_TEST((drains.expected(draining, inUse, start + Milliseconds(9000)) == before));
 }
 
-BOOST_AUTO_TEST_CASE(whatWasFreeAtOnceTeachesNothing)
+BOOST_AUTO_TEST_CASE(aModelThatWasIdleFromTheStartIsNotRecorded)
 {
     DrainTimeEstimator drains;
     const Milliseconds before = drains.expected(draining, inUse, start);
--- a/src/engines/tests/enginecontroller_test.cpp
+++ b/src/engines/tests/enginecontroller_test.cpp
@@ -20,7 +20,7 @@
 using framework::ModelName;
 using framework::VmName;
 
-/// An engine whose answers the test gives; reports are answered at once with `state`.
+/// An engine that answers reports with `state` when the control thread runs next; the test answers its orders.
 class FakeEngine final : public IEnginePort {
 public:
     explicit FakeEngine(ManualControl& control)
@@ -66,15 +66,15 @@
 public:
     void next(Deadline, Handler handler) override
     {
-        ++asked;
-        if (isAway)
+        ++acquisitions;
+        if (isUnavailable)
             return handler(Error { ErrorCode::PlatformUnavailable, "fence", "store", "away" });
-        handler(FencingToken(++given));
+        handler(FencingToken(++lastToken));
     }
 
-    std::uint64_t given = 40;
-    int asked = 0;
-    bool isAway = false;
+    std::uint64_t lastToken = 40;
+    int acquisitions = 0;
+    bool isUnavailable = false;
 };
 
 class FakeProfiles final : public IProfileSource {
@@ -112,7 +112,7 @@
         control.runPosted();
     }
 
-    void want(const std::string& model, const std::string& instance = "i-1")
+    void setWaitingRequest(const std::string& model, const std::string& instance = "i-1")
     {
         TargetDemand demand;
         demand.target.model = ModelName(model);
@@ -122,7 +122,7 @@
         control.runPosted();
     }
 
-    void pass(Milliseconds time)
+    void advanceTime(Milliseconds time)
     {
         for (Milliseconds passed(0); passed < time; passed += Milliseconds(5)) {
             control.advance(Milliseconds(5));
@@ -145,11 +145,11 @@
 
 BOOST_FIXTURE_TEST_SUITE(EngineControllers, Fixture)
 
-BOOST_AUTO_TEST_CASE(whatIsWaitedForIsOrderedWithAllThatGuardsIt)
+BOOST_AUTO_TEST_CASE(aLoadOrderCarriesAllPreconditions)
 {
     engine.state.orders = OrderCount(7);
     start();
-    want("a");
+    setWaitingRequest("a");
     BOOST_REQUIRE(engine.orders.size() == 1U);
     const OrderPreconditions& preconditions = engine.orders[0].second;
     BOOST_TEST(preconditions.fence.value() == 41U);
@@ -158,196 +158,199 @@
     BOOST_TEST(preconditions.holder.value() == "vm");
 }
 
-BOOST_AUTO_TEST_CASE(withoutAFenceNothingIsOrdered)
+BOOST_AUTO_TEST_CASE(noOrderIsGivenWithoutAFencingToken)
 {
-    fencingTokens.isAway = true;
+    fencingTokens.isUnavailable = true;
     start();
-    want("a");
-    pass(Milliseconds(3000));
+    setWaitingRequest("a");
+    advanceTime(Milliseconds(3000));
     BOOST_TEST(engine.orders.empty());
-    BOOST_TEST(fencingTokens.asked >= 2);
-    BOOST_TEST(fencingTokens.asked <= 20);
-    fencingTokens.isAway = false;
-    pass(Milliseconds(2500));
-    want("a");
-    pass(Milliseconds(100));
+    BOOST_TEST(fencingTokens.acquisitions >= 2);
+    BOOST_TEST(fencingTokens.acquisitions <= 20);
+    fencingTokens.isUnavailable = false;
+    advanceTime(Milliseconds(2500));
+    setWaitingRequest("a");
+    advanceTime(Milliseconds(100));
     BOOST_TEST(engine.orders.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(oneOrderAtATime)
+BOOST_AUTO_TEST_CASE(onlyOneOrderIsGivenAtATime)
 {
     start();
-    want("a");
-    want("b");
-    pass(Milliseconds(500));
+    setWaitingRequest("a");
+    setWaitingRequest("b");
+    advanceTime(Milliseconds(500));
     BOOST_TEST(engine.orders.size() == 1U);
 }
 
-// An order's answer was lost. The same order was given again, the engine carried out both, one of them ten seconds
-// later after newer ones, and crashed for want of room.
-BOOST_AUTO_TEST_CASE(anOrderWithoutAnswerIsGivenAgainOnTheSameCount)
+// Prevents an order whose answer is lost from being carried out twice: the engine carried out the retried order and,
+// ten seconds later and after newer ones, the first one too, and crashed for lack of memory.
+BOOST_AUTO_TEST_CASE(anOrderWithoutAnswerIsRetriedWithTheSameCount)
 {
     engine.state.orders = OrderCount(3);
     start();
-    want("a");
+    setWaitingRequest("a");
     engine.answer(OrderOutcome::Unknown);
-    pass(Milliseconds(200));
+    advanceTime(Milliseconds(200));
     BOOST_REQUIRE(engine.orders.size() == 2U);
     BOOST_TEST(engine.orders[1].second.expected.value() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(anOrderWithoutAnswerThatWasCarriedOutIsNotGivenAgain)
+BOOST_AUTO_TEST_CASE(anOrderWithoutAnswerThatWasCarriedOutIsNotRetried)
 {
     start();
-    want("a");
+    setWaitingRequest("a");
     engine.answer(OrderOutcome::Unknown);
     engine.state.orders = OrderCount(1);
     engine.state.isBusy = true;
-    pass(Milliseconds(500));
+    advanceTime(Milliseconds(500));
     BOOST_TEST(engine.orders.size() == 1U);
 }
 
-// Another agent had taken over an engine. This one went on ordering with its old number, and each order was refused.
-BOOST_AUTO_TEST_CASE(aFencedAgentTakesANewNumberBeforeItOrdersAgain)
+// Prevents endless refusals after another agent has taken over the engine for a time: an agent that goes on with its
+// old fencing token has each order refused.
+BOOST_AUTO_TEST_CASE(aFencedAgentAcquiresANewTokenBeforeItOrdersAgain)
 {
     start();
-    want("a");
+    setWaitingRequest("a");
     engine.answer(OrderOutcome::Fenced);
-    pass(Milliseconds(100));
+    advanceTime(Milliseconds(100));
     BOOST_REQUIRE(engine.orders.size() == 2U);
     BOOST_TEST(engine.orders[1].second.fence.value() == 42U);
 }
 
-// After a power loss the list named the engine's former instance for two seconds more. The agent gave it 100 orders,
-// each refused by the new one.
-BOOST_AUTO_TEST_CASE(anInstanceThatTheEngineDeniedIsNotTriedAgain)
+// Prevents repeated orders to a former instance: after a power loss the list named it for another two seconds, and the
+// agent gave 100 orders that the new instance refused.
+BOOST_AUTO_TEST_CASE(aRejectedInstanceIsNotTriedAgain)
 {
     start();
-    want("a");
+    setWaitingRequest("a");
     engine.answer(OrderOutcome::OtherInstance);
-    want("a");
-    pass(Milliseconds(1000));
+    setWaitingRequest("a");
+    advanceTime(Milliseconds(1000));
     BOOST_TEST(engine.orders.size() == 1U);
-    want("a", "i-2");
-    pass(Milliseconds(100));
+    setWaitingRequest("a", "i-2");
+    advanceTime(Milliseconds(100));
     BOOST_REQUIRE(engine.orders.size() == 2U);
     BOOST_TEST(engine.orders[1].second.instance.value() == "i-2");
 }
 
-BOOST_AUTO_TEST_CASE(theDeniedInstancesSuccessorIsTakenFromItsAnswer)
+BOOST_AUTO_TEST_CASE(theNewInstanceIsTakenFromTheRejection)
 {
     start();
-    want("a");
+    setWaitingRequest("a");
     engine.answer(OrderOutcome::OtherInstance, "i-9");
-    want("a");
-    pass(Milliseconds(100));
+    setWaitingRequest("a");
+    advanceTime(Milliseconds(100));
     BOOST_REQUIRE(engine.orders.size() == 2U);
     BOOST_TEST(engine.orders[1].second.instance.value() == "i-9");
 }
 
-BOOST_AUTO_TEST_CASE(anOldReportDecidesNothing)
+BOOST_AUTO_TEST_CASE(aStaleReportTriggersNoOrder)
 {
     start();
-    want("a");
+    setWaitingRequest("a");
     engine.answer(OrderOutcome::Accepted);
-    pass(Milliseconds(10));
+    advanceTime(Milliseconds(10));
     engine.state.orders = OrderCount(1);
     engine.state.held.push_back({ ModelName("a"), 1, {}, 0 });
-    pass(Milliseconds(100));
+    advanceTime(Milliseconds(100));
     engine.state.held.clear();
     engine.state.orders = OrderCount(0);
-    pass(Milliseconds(300));
+    advanceTime(Milliseconds(300));
     BOOST_TEST(engine.orders.size() <= 2U);
 }
 
-// An engine crashed while a model was loaded and started again under its id, with its count of orders at 0. Its agent
-// took the smaller count for an old report, and for 0.7 s nobody gave the empty engine an order.
-BOOST_AUTO_TEST_CASE(anEngineThatStartsAgainUnderItsIdIsBegunAnewAtOnce)
+// Prevents a restart under the same ID from being mistaken for a stale report: an engine crashed during a load and
+// restarted with an order count of 0, and for 0.7 s the empty engine got no orders.
+BOOST_AUTO_TEST_CASE(aRestartUnderTheSameIdIsHandledAtOnce)
 {
     engine.state.started = catalog::StartTime(100);
     engine.state.orders = OrderCount(7);
     start();
-    want("a");
+    setWaitingRequest("a");
     engine.answer(OrderOutcome::Accepted);
     engine.state.orders = OrderCount(8);
     engine.state.isBusy = true;
-    pass(Milliseconds(100));
+    advanceTime(Milliseconds(100));
     BOOST_TEST(published.back().loading.value() == "a");
     engine.state = {};
     engine.state.started = catalog::StartTime(200);
-    pass(Milliseconds(100));
+    advanceTime(Milliseconds(100));
     BOOST_REQUIRE(engine.orders.size() == 2U);
     BOOST_TEST(engine.orders[1].second.expected.value() == 0U);
     BOOST_TEST(published.back().loading.value().empty());
-    BOOST_TEST(fencingTokens.asked == 1);
+    BOOST_TEST(fencingTokens.acquisitions == 1);
 }
 
-// The same, before it had carried out an order: by its count the two runs look alike.
-BOOST_AUTO_TEST_CASE(routersHearOfARestartAtOnce)
+// Prevents a restart from going unnoticed if the engine had accepted no order before: both runs have the same order
+// count, so only the start time differs.
+BOOST_AUTO_TEST_CASE(aRestartIsPublishedAtOnce)
 {
     engine.state.started = catalog::StartTime(100);
     start();
     BOOST_REQUIRE(!published.empty());
     BOOST_CHECK(published.back().started == catalog::StartTime(100));
-    pass(Milliseconds(1000));
+    advanceTime(Milliseconds(1000));
     engine.state.started = catalog::StartTime(200);
     const std::size_t before = published.size();
-    pass(Milliseconds(210));
+    advanceTime(Milliseconds(210));
     BOOST_REQUIRE(published.size() > before);
     BOOST_CHECK(published[before].started == catalog::StartTime(200));
 }
 
-// An order got no answer, as the engine crashed. It started again under its id, was given other models, and seconds
-// later carried out the old order: its id, fence and, by then, its count were right. It had no room and crashed again.
-BOOST_AUTO_TEST_CASE(afterARestartWhatTheFormerRunWasOrderedIsFenced)
+// Prevents a restarted engine from carrying out an order to its former run. The engine crashed before it answered,
+// restarted under the same ID and loaded other models. Seconds later the old order arrived with a matching ID, fencing
+// token and order count; the engine carried it out and crashed again for lack of memory.
+BOOST_AUTO_TEST_CASE(anUnansweredOrderIsFencedAfterARestart)
 {
     engine.state.started = catalog::StartTime(100);
     start();
-    want("a");
+    setWaitingRequest("a");
     engine.answer(OrderOutcome::Unknown);
     engine.state.started = catalog::StartTime(200);
-    pass(Milliseconds(200));
+    advanceTime(Milliseconds(200));
     BOOST_REQUIRE(engine.orders.size() == 2U);
     BOOST_TEST(engine.orders[0].second.fence.value() == 41U);
     BOOST_TEST(engine.orders[1].second.fence.value() == 42U);
 }
 
-// Long after it, an order without an answer isn't on its way any more, and a restart costs the store no call.
-BOOST_AUTO_TEST_CASE(anOldOrderWithoutAnswerTakesNoNewNumber)
+// Prevents a needless store call at a restart long after an unanswered order, which can't arrive any more.
+BOOST_AUTO_TEST_CASE(noTokenIsAcquiredLongAfterAnUnansweredOrder)
 {
     engine.state.started = catalog::StartTime(100);
     start();
-    want("a");
+    setWaitingRequest("a");
     engine.answer(OrderOutcome::Unknown);
     engine.state.held.push_back({ ModelName("a"), 1, {}, 0 });
-    pass(Milliseconds(61000));
+    advanceTime(Milliseconds(61000));
     engine.state.started = catalog::StartTime(200);
-    pass(Milliseconds(1000));
-    BOOST_TEST(fencingTokens.asked == 1);
+    advanceTime(Milliseconds(1000));
+    BOOST_TEST(fencingTokens.acquisitions == 1);
 }
 
-BOOST_AUTO_TEST_CASE(routersHearOfChangesAtOnceAndElseEachSecond)
+BOOST_AUTO_TEST_CASE(changesArePublishedAtOnceAndOtherwiseEachSecond)
 {
     start();
-    pass(Milliseconds(5000));
+    advanceTime(Milliseconds(5000));
     const std::size_t regular = publications();
     BOOST_TEST(regular >= 5U);
     BOOST_TEST(regular <= 8U);
     engine.state.held.push_back({ ModelName("b"), 1, {}, 0 });
-    pass(Milliseconds(220));
+    advanceTime(Milliseconds(220));
     BOOST_TEST(published.back().find(ModelName("b")) != nullptr);
 }
 
-// Guards against control traffic that grows with the number of models and cached weights at each request.
+// Prevents control traffic at each request that grows with the number of models and cached weights.
 BOOST_AUTO_TEST_CASE(aChangeOfLoadIsPublishedWithoutTheState)
 {
     engine.state.held.push_back({ ModelName("b"), 1, {}, 0 });
     start();
-    pass(Milliseconds(2000));
+    advanceTime(Milliseconds(2000));
     const std::size_t states = published.size();
     engine.state.running = 12;
     engine.state.usedMemory = catalog::Tokens(50000);
-    pass(Milliseconds(220));
+    advanceTime(Milliseconds(220));
     BOOST_TEST(published.size() == states);
     BOOST_REQUIRE(!publishedLoads.empty());
     BOOST_TEST(publishedLoads.back().running == 12u);
@@ -355,29 +358,29 @@
     BOOST_TEST(publishedLoads.back().held.size() == 1u);
 }
 
-// Guards against a processor that is spent on asking about a load whose end is known.
-BOOST_AUTO_TEST_CASE(aLongLoadIsAskedAboutSeldomUntilItsEndIsNear)
+// Prevents processor time from being spent on polling during a load whose end is known.
+BOOST_AUTO_TEST_CASE(aLongLoadIsPolledRarelyUntilItsEndIsNear)
 {
     start();
-    want("a");
+    setWaitingRequest("a");
     engine.answer(OrderOutcome::Accepted);
     engine.state.isBusy = true;
     const int before = engine.reports;
-    pass(Milliseconds(4000));
+    advanceTime(Milliseconds(4000));
     BOOST_TEST(engine.reports - before <= 25);
-    pass(Milliseconds(1900));
+    advanceTime(Milliseconds(1900));
     const int nearEnd = engine.reports;
-    pass(Milliseconds(100));
+    advanceTime(Milliseconds(100));
     BOOST_TEST(engine.reports - nearEnd >= 3);
 }
 
-BOOST_AUTO_TEST_CASE(aSilentEngineIsNotSpokenFor)
+BOOST_AUTO_TEST_CASE(nothingIsPublishedForASilentEngine)
 {
     start();
-    pass(Milliseconds(1000));
+    advanceTime(Milliseconds(1000));
     engine.isSilent = true;
     const std::size_t before = publications();
-    pass(Milliseconds(5000));
+    advanceTime(Milliseconds(5000));
     BOOST_TEST(publications() == before);
     BOOST_TEST(engine.reports < 60);
 }
--- a/src/engines/tests/placementplanner_test.cpp
+++ b/src/engines/tests/placementplanner_test.cpp
@@ -22,7 +22,7 @@
     return { ModelName(model), AdapterName(adapter) };
 }
 
-/// An engine of 200 GB for models of 70 GB, of which two fit, and two adapters.
+/// An engine with a capacity of 200 GB, enough for two models of 70 GB each, and with two adapter slots.
 struct Fixture {
     Fixture()
     {
@@ -33,12 +33,12 @@
                 Milliseconds(600), MegaBytes(60), 0 });
     }
 
-    void hold(const std::string& model, const std::vector<std::string>& adapters = {})
+    void addLoaded(const std::string& model, const std::vector<std::string>& adapters = {})
     {
         report.held.push_back({ ModelName(model), 1, { adapters.begin(), adapters.end() }, 0 });
     }
 
-    TargetDemand& want(const ModelTarget& what)
+    TargetDemand& demandFor(const ModelTarget& what)
     {
         TargetDemand& made = demand[what];
         made.target = what;
@@ -46,9 +46,9 @@
         return made;
     }
 
-    void wait(const ModelTarget& what, std::uint32_t count = 1, Milliseconds left = Milliseconds(15000))
+    void addWaiting(const ModelTarget& what, std::uint32_t count = 1, Milliseconds left = Milliseconds(15000))
     {
-        TargetDemand& made = want(what);
+        TargetDemand& made = demandFor(what);
         made.waiting = count;
         made.earliest = Deadline::after(now, left);
         made.priority = 5;
@@ -56,7 +56,7 @@
 
     PlacementDecision decide() { return plan.decide({ profile, report, demand, now }); }
 
-    /// So that models count as held for long.
+    /// Decides after the models' minimum residence has passed.
     PlacementDecision decideLater()
     {
         (void)decide();
@@ -77,109 +77,110 @@
 
 BOOST_FIXTURE_TEST_SUITE(PlacementPlanners, Fixture)
 
-BOOST_AUTO_TEST_CASE(whatIsWaitedForIsLoadedWhereThereIsRoom)
+BOOST_AUTO_TEST_CASE(aModelWithWaitingRequestsIsLoadedIfItFits)
 {
-    hold("b");
-    wait(target("a"));
+    addLoaded("b");
+    addWaiting(target("a"));
     const PlacementDecision decision = decide();
     BOOST_TEST((decision.order == loadA));
     BOOST_TEST(decision.expected.front().within.count() == 6000);
 }
 
-BOOST_AUTO_TEST_CASE(withoutRoomWhatIsMissedLeastMakesWayFirst)
+BOOST_AUTO_TEST_CASE(theModelWithTheLowestRetentionValueIsEvictedFirst)
 {
-    hold("b");
-    hold("c");
-    want(target("b")).work = 0.1;
-    want(target("c")).work = 0.05;
-    wait(target("a"));
+    addLoaded("b");
+    addLoaded("c");
+    demandFor(target("b")).work = 0.1;
+    demandFor(target("c")).work = 0.05;
+    addWaiting(target("a"));
     const PlacementDecision decision = decideLater();
     BOOST_TEST((decision.order == Order { OrderKind::Unload, target("c") }));
     BOOST_TEST((decision.draining == std::vector<ModelName> { ModelName("c") }));
 }
 
-BOOST_AUTO_TEST_CASE(aCopyOfWhichOthersHoldEnoughMakesWayBeforeARareModel)
+BOOST_AUTO_TEST_CASE(aSurplusCopyIsEvictedBeforeARareModel)
 {
-    hold("b");
-    hold("c");
-    TargetDemand& busy = want(target("b"));
+    addLoaded("b");
+    addLoaded("c");
+    TargetDemand& busy = demandFor(target("b"));
     busy.work = 0.4;
     busy.holders = 5;
-    want(target("c")).work = 0.01;
-    wait(target("a"));
+    demandFor(target("c")).work = 0.01;
+    addWaiting(target("a"));
     BOOST_TEST((decideLater().order == Order { OrderKind::Unload, target("b") }));
 }
 
-// The one engine that held the busiest model of the hour dropped it for a model that one caller waited for.
-BOOST_AUTO_TEST_CASE(aBusyModelDoesNotMakeWay)
+// Prevents the only copy of the busiest model from being evicted for a model that one caller waits for.
+BOOST_AUTO_TEST_CASE(theOnlyCopyOfABusyModelIsNotEvicted)
 {
-    hold("b");
-    hold("c");
-    want(target("b")).work = 0.6;
-    want(target("c")).work = 0.6;
-    wait(target("a"));
+    addLoaded("b");
+    addLoaded("c");
+    demandFor(target("b")).work = 0.6;
+    demandFor(target("c")).work = 0.6;
+    addWaiting(target("a"));
     const PlacementDecision decision = decideLater();
     BOOST_TEST(!decision.order);
     BOOST_REQUIRE(decision.expected.size() == 1U);
     BOOST_TEST(decision.expected.front().within.count() == catalog::loadImpossible.count());
 }
 
-// A model was unloaded while a review ran on it: the engine waited for its end, and took no other order for ten
-// seconds.
-BOOST_AUTO_TEST_CASE(aModelInUseIsAnnouncedAsLeavingAndUnloadedWhenItsRequestsHaveEnded)
+// Prevents an unload order for a model in use: the engine waited until the model's request had ended, and accepted no
+// other order for ten seconds.
+BOOST_AUTO_TEST_CASE(aModelInUseDrainsBeforeItIsUnloaded)
 {
-    hold("b");
-    hold("c");
-    want(target("b")).inFlight = 1;
-    want(target("c")).inFlight = 2;
-    want(target("c")).work = 0.01;
-    wait(target("a"));
+    addLoaded("b");
+    addLoaded("c");
+    demandFor(target("b")).inFlight = 1;
+    demandFor(target("c")).inFlight = 2;
+    demandFor(target("c")).work = 0.01;
+    addWaiting(target("a"));
     PlacementDecision decision = decideLater();
     BOOST_TEST(!decision.order);
     BOOST_TEST(decision.draining.size() == 1U);
-    want(target(decision.draining.front().value())).inFlight = 0;
+    demandFor(target(decision.draining.front().value())).inFlight = 0;
     decision = decide();
     BOOST_REQUIRE(decision.order);
     BOOST_TEST((decision.order->kind == OrderKind::Unload));
 }
 
-// Four callers waited for a model. It was loaded and, since they hadn't reached it yet, pushed out by the next one.
-BOOST_AUTO_TEST_CASE(aModelThatWasJustLoadedStaysForThoseWhoWaited)
+// Prevents a model from being evicted for the next one right after its load, before the requests that waited for it
+// (four in the observed case) have arrived.
+BOOST_AUTO_TEST_CASE(aModelThatWasJustLoadedIsNotEvicted)
 {
-    hold("b");
-    hold("c");
-    wait(target("a"));
+    addLoaded("b");
+    addLoaded("c");
+    addWaiting(target("a"));
     BOOST_TEST(!decide().order);
     now += Milliseconds(400);
     BOOST_TEST((decide().order.has_value()));
 }
 
-BOOST_AUTO_TEST_CASE(whatIsWaitedForGoesBeforeCopiesAndWhatIsFetchedAhead)
+BOOST_AUTO_TEST_CASE(waitingRequestsTakePrecedenceOverCopiesAndPrefetches)
 {
-    want(target("b")).isCopy = true;
-    want(target("c")).isPrefetch = true;
-    wait(target("a"));
+    demandFor(target("b")).isCopy = true;
+    demandFor(target("c")).isPrefetch = true;
+    addWaiting(target("a"));
     BOOST_TEST((decide().order == loadA));
     demand.erase(target("a"));
     BOOST_TEST((decide().order == Order { OrderKind::Load, target("b") }));
 }
 
-BOOST_AUTO_TEST_CASE(nothingInUseMakesWayForACopyOrWhatIsFetchedAhead)
+BOOST_AUTO_TEST_CASE(noModelInUseIsEvictedForACopy)
 {
-    hold("b");
-    hold("c");
-    want(target("b")).inFlight = 1;
-    want(target("c")).inFlight = 1;
-    want(target("a")).isCopy = true;
+    addLoaded("b");
+    addLoaded("c");
+    demandFor(target("b")).inFlight = 1;
+    demandFor(target("c")).inFlight = 1;
+    demandFor(target("a")).isCopy = true;
     BOOST_TEST(!decideLater().order);
 }
 
-BOOST_AUTO_TEST_CASE(whileAnOrderIsUnderWayNoneIsGiven)
+BOOST_AUTO_TEST_CASE(noOrderIsGivenWhileAnotherIsInProgress)
 {
-    wait(target("a"));
+    addWaiting(target("a"));
     plan.didOrder(loadA, { profile, report, demand, now });
     report.isBusy = true;
-    wait(target("b"));
+    addWaiting(target("b"));
     now += Milliseconds(1000);
     const PlacementDecision decision = decide();
     BOOST_TEST(!decision.order);
@@ -189,50 +190,51 @@
     BOOST_TEST(decision.expected.at(1).within.count() == 11000);
 }
 
-BOOST_AUTO_TEST_CASE(anOverdueLoadIsExpectedToNeedAsLongAgain)
+BOOST_AUTO_TEST_CASE(anOverdueLoadIsExpectedToTakeAsLongAgainAsItIsOverdue)
 {
-    wait(target("a"));
+    addWaiting(target("a"));
     plan.didOrder(loadA, { profile, report, demand, now });
     report.isBusy = true;
     now += Milliseconds(8000);
     BOOST_TEST(decide().expected.front().within.count() == 2000);
 }
 
-BOOST_AUTO_TEST_CASE(anAdapterIsLoadedOnItsModelAndTheOneUsedLongestAgoMakesWay)
+BOOST_AUTO_TEST_CASE(anAdapterIsLoadedAndTheLeastRecentlyUsedOneIsEvicted)
 {
-    hold("a", { "x" });
-    wait(target("a", "y"));
+    addLoaded("a", { "x" });
+    addWaiting(target("a", "y"));
     BOOST_TEST((decide().order == Order { OrderKind::Load, target("a", "y") }));
     report.held.front().adapters.emplace_back("z");
-    want(target("a", "x")).inFlight = 1;
+    demandFor(target("a", "x")).inFlight = 1;
     BOOST_TEST((decide().order == Order { OrderKind::Unload, target("a", "z") }));
-    want(target("a", "z")).inFlight = 1;
+    demandFor(target("a", "z")).inFlight = 1;
     BOOST_TEST(!decide().order);
 }
 
-BOOST_AUTO_TEST_CASE(adaptersOnTheirWayTakeUpPlaces)
+BOOST_AUTO_TEST_CASE(loadingAdaptersOccupySlots)
 {
-    hold("a", { "x" });
+    addLoaded("a", { "x" });
     report.loadingAdapters.push_back(target("a", "z"));
-    wait(target("a", "y"));
-    want(target("a", "x")).inFlight = 1;
+    addWaiting(target("a", "y"));
+    demandFor(target("a", "x")).inFlight = 1;
     BOOST_TEST(!decide().order);
 }
 
-// An engine was ordered to hold more than fits, and crashed with all that ran on it. The adapters hadn't been counted.
-BOOST_AUTO_TEST_CASE(neverMoreIsOrderedThanFits)
+// Prevents loads beyond the engine's capacity: the adapters weren't counted, and the engine crashed with all requests
+// that ran on it.
+BOOST_AUTO_TEST_CASE(noLoadExceedsTheCapacity)
 {
     profile.weights = MegaBytes(140100);
-    hold("b", { "x" });
+    addLoaded("b", { "x" });
     report.loadingAdapters.push_back(target("b", "y"));
-    want(target("b")).work = 0.9;
-    wait(target("a"));
+    demandFor(target("b")).work = 0.9;
+    addWaiting(target("a"));
     BOOST_TEST(!decideLater().order);
     report.loadingAdapters.clear();
     BOOST_TEST((decide().order == loadA));
 }
 
-BOOST_AUTO_TEST_CASE(whatARouterNoLongerWantsIsTakenAway)
+BOOST_AUTO_TEST_CASE(demandThatARouterWithdrawsIsRemoved)
 {
     DemandTable book;
     TargetDemand one;
@@ -252,7 +254,7 @@
     BOOST_TEST(book.routers() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(whatSeveralRoutersWantIsAddedUp)
+BOOST_AUTO_TEST_CASE(demandOfSeveralRoutersIsAddedUp)
 {
     DemandTable book;
     TargetDemand one;
@@ -280,36 +282,37 @@
     BOOST_TEST(book.routers() == 0U);
 }
 
-// Two streams of a model that was to make way ran on for three seconds. Callers of the next model were told half a
-// second, waited, and left before it was there; the forecast had never learned what streams take here.
-BOOST_AUTO_TEST_CASE(whatDrainsHaveTakenIsExpectedOfTheNext)
+// Prevents a forecast that ignores observed drain times: two streams of a model that was to be evicted ran for another
+// three seconds. The forecast for the next model stayed at half a second, so its callers waited and disconnected before
+// it was loaded.
+BOOST_AUTO_TEST_CASE(expectedDrainTimesFollowObservedOnes)
 {
-    hold("a");
-    hold("b");
-    want(target("a")).inFlight = want(target("b")).inFlight = 1;
-    wait(target("c"));
+    addLoaded("a");
+    addLoaded("b");
+    demandFor(target("a")).inFlight = demandFor(target("b")).inFlight = 1;
+    addWaiting(target("c"));
     const auto expected = [this] { return decide().expected.at(0).within; };
     (void)decideLater();
     const Milliseconds first = expected();
     for (int drain = 0; drain < 20; ++drain) {
         now += Milliseconds(3000);
-        want(target("a")).inFlight = want(target("b")).inFlight = 0;
+        demandFor(target("a")).inFlight = demandFor(target("b")).inFlight = 0;
         (void)decide();
-        want(target("a")).inFlight = want(target("b")).inFlight = 1;
+        demandFor(target("a")).inFlight = demandFor(target("b")).inFlight = 1;
         (void)decide();
     }
     BOOST_TEST((expected() - first).count() > 1500);
     BOOST_TEST((expected() - first).count() < 2600);
 }
 
-// One stream of six seconds kept an engine from loading a model for which eight callers waited, while its neighbours
-// had room. The engine went on saying that it needed another second and a half.
-BOOST_AUTO_TEST_CASE(aDrainThatTakesLongIsExpectedToTakeAsLongAgain)
+// Prevents routers from waiting for an engine with a long drain: one stream of six seconds kept it from loading a model
+// for which eight callers waited. It kept forecasting another second and a half while its neighbours had free memory.
+BOOST_AUTO_TEST_CASE(aLongDrainIsExpectedToTakeAsLongAgain)
 {
-    hold("a");
-    hold("b");
-    want(target("a")).inFlight = want(target("b")).inFlight = 1;
-    wait(target("c"));
+    addLoaded("a");
+    addLoaded("b");
+    demandFor(target("a")).inFlight = demandFor(target("b")).inFlight = 1;
+    addWaiting(target("c"));
     const Milliseconds first = decideLater().expected.at(0).within;
     now += Milliseconds(4000);
     const Milliseconds second = decide().expected.at(0).within;
@@ -317,13 +320,13 @@
     BOOST_TEST((second - first).count() <= 4000);
 }
 
-// A summary waited for a model that was making way. In the moment in which its unload was ordered the agent said no
-// longer that the model was leaving, though the engine still listed it: the summary was sent there, and refused.
-BOOST_AUTO_TEST_CASE(aModelIsLeavingUntilItsUnloadHasEnded)
+// Prevents requests from being sent to a model that is being unloaded: when the unload was ordered the agent stopped
+// publishing the model as draining, though the engine still listed it. A waiting request was sent there and refused.
+BOOST_AUTO_TEST_CASE(aModelIsDrainingUntilItsUnloadHasEnded)
 {
-    hold("a");
-    hold("b");
-    wait(target("c"));
+    addLoaded("a");
+    addLoaded("b");
+    addWaiting(target("c"));
     const PlacementDecision decision = decideLater();
     BOOST_REQUIRE(decision.order.has_value());
     BOOST_REQUIRE((decision.order->kind == OrderKind::Unload));
@@ -336,30 +339,30 @@
     BOOST_TEST(decide().draining.empty());
 }
 
-// In a burst all models of an engine are in use. It let go the one that was asked for least just then, and five streams
-// of it ran on for four seconds, while its neighbour's only one ended in one.
-BOOST_AUTO_TEST_CASE(theModelWithTheFewestRequestsMakesWay)
+// Prevents long drains in a burst, when all models of an engine are in use: the model with the least work was evicted,
+// and five streams of it ran for another four seconds, while the only stream of the other model ended after one second.
+BOOST_AUTO_TEST_CASE(theModelWithTheFewestRequestsIsEvicted)
 {
-    hold("a");
-    hold("b");
-    want(target("a")).inFlight = 5;
-    want(target("a")).work = 0.05;
-    want(target("b")).inFlight = 1;
-    want(target("b")).work = 0.06;
-    wait(target("c"));
+    addLoaded("a");
+    addLoaded("b");
+    demandFor(target("a")).inFlight = 5;
+    demandFor(target("a")).work = 0.05;
+    demandFor(target("b")).inFlight = 1;
+    demandFor(target("b")).work = 0.06;
+    addWaiting(target("c"));
     BOOST_TEST((decideLater().draining == std::vector<ModelName> { ModelName("b") }));
 }
 
-// Chats moved to a model that one engine held. Their queue there was two seconds long, and they were refused; the
-// engine that was asked for a copy had only models in use, and others that single callers waited for. It took seven
-// seconds.
-BOOST_AUTO_TEST_CASE(aCopyOfAModelThatItsEnginesCannotServeGoesFirst)
+// Prevents refusals while a copy of an overloaded model is delayed: only one engine had the model, with a queue of two
+// seconds. The engine that was to load a copy had only models in use and other loads that single callers waited for, so
+// the copy took seven seconds.
+BOOST_AUTO_TEST_CASE(aCopyOfAnOverloadedModelIsLoadedFirst)
 {
-    hold("a");
-    hold("b");
-    want(target("a")).inFlight = want(target("b")).inFlight = 1;
-    wait(target("c"));
-    TargetDemand& copy = want(target("d"));
+    addLoaded("a");
+    addLoaded("b");
+    demandFor(target("a")).inFlight = demandFor(target("b")).inFlight = 1;
+    addWaiting(target("c"));
+    TargetDemand& copy = demandFor(target("d"));
     copy.isCopy = true;
     copy.work = 1.5;
     const PlacementDecision decision = decideLater();
@@ -367,12 +370,12 @@
     BOOST_TEST((decision.expected.front().model == ModelName("d")));
 }
 
-BOOST_AUTO_TEST_CASE(aCopyForSafetyWaitsForItsTurn)
+BOOST_AUTO_TEST_CASE(aCopyForRedundancyEvictsNoModelInUse)
 {
-    hold("a");
-    hold("b");
-    want(target("a")).inFlight = want(target("b")).inFlight = 1;
-    TargetDemand& copy = want(target("d"));
+    addLoaded("a");
+    addLoaded("b");
+    demandFor(target("a")).inFlight = demandFor(target("b")).inFlight = 1;
+    TargetDemand& copy = demandFor(target("d"));
     copy.isCopy = true;
     copy.work = 0.4;
     const PlacementDecision decision = decideLater();
--- a/src/engines/types/enginereport.h
+++ b/src/engines/types/enginereport.h
@@ -12,19 +12,19 @@
 
 namespace lagoon::engines {
 
-/// Orders that an engine has accepted since its start. An order says which number it expects, so that one that is
-/// carried out late, behind newer ones, is refused.
+/// Number of orders that an engine has accepted since its start. An order carries the count that it expects, so that
+/// the engine refuses an order that arrives late, after newer ones.
 using OrderCount = framework::StrongType<struct OrderCountTag, std::uint64_t>;
 
-/// An engine's state as it says itself.
+/// An engine's state as the engine itself reports it.
 struct EngineReport {
-    /// Of the engine's process; nothing if it doesn't say it.
+    /// Start of the engine's process; std::nullopt if the engine doesn't report it.
     std::optional<catalog::StartTime> started;
     std::vector<catalog::LoadedModel> held;
-    /// Adapters on their way from the store; they take up places.
+    /// Adapters that are being loaded from the store. They occupy adapter slots already.
     std::vector<catalog::ModelTarget> loadingAdapters;
     catalog::CachedWeights cachedWeights;
-    /// An order is being carried out.
+    /// Whether an order is being carried out.
     bool isBusy = false;
     OrderCount orders;
     std::uint32_t running = 0;
@@ -42,7 +42,7 @@
     friend bool operator==(const Order&, const Order&) = default;
 };
 
-/// What an order carries so that an engine refuses it when it isn't meant, or meant no longer.
+/// Conditions that an order carries. The engine refuses the order if it is addressed to another instance or outdated.
 struct OrderPreconditions {
     framework::VmName holder;
     framework::FencingToken fence;
@@ -51,17 +51,17 @@
 };
 
 enum class OrderOutcome : std::uint8_t {
-    Accepted, ///< is being carried out, or already holds
-    Busy, ///< another order is under way, or the count is another
-    Fenced, ///< the engine has seen a newer fence
-    OtherInstance, ///< the engine has started anew
-    Refused, ///< it can't be carried out
-    Unknown, ///< no answer: it may be carried out, now or seconds later
+    Accepted, ///< the order is being carried out, or its effect is already in place
+    Busy, ///< another order is in progress, or the expected count differs from the engine's
+    Fenced, ///< the engine has seen a newer fencing token
+    OtherInstance, ///< the engine has restarted as another instance
+    Refused, ///< the order can't be carried out
+    Unknown, ///< no answer: the order may be carried out now, seconds later or never
 };
 
 struct OrderAnswer {
     OrderOutcome outcome = OrderOutcome::Unknown;
-    /// For `OtherInstance`: who is there.
+    /// For `OtherInstance`: the instance that answered.
     catalog::InstanceId instance;
     std::string detail;
 };
