--- a/src/direct/directagent.h
+++ b/src/direct/directagent.h
@@ -12,7 +12,7 @@
 
 namespace lagoon::direct {
 
-/// What a direct agent speaks to the outside with.
+/// External dependencies of a direct agent.
 struct DirectAgentPorts {
     framework::ControlThread& control;
     framework::EventThread& traffic;
@@ -28,8 +28,8 @@
     framework::Endpoint ops;
 };
 
-/// The process beside an engine: has it hold the models that routers want. No request passes through it. Wires its
-/// parts together.
+/// The agent process beside an engine. Makes the engine load the models that routers have demand for; handles no
+/// requests itself. This class connects the process's parts.
 class DirectAgent {
 public:
     DirectAgent(const DirectAgentPorts&, const DirectAgentSettings&);
--- a/src/direct/directrouter.h
+++ b/src/direct/directrouter.h
@@ -10,10 +10,10 @@
 
 #include <memory>
 
-/// The processes of deployments whose servers are reached straight: see docs/PLATFORM.md.
+/// The processes of deployments in which routers send requests directly to servers: see docs/PLATFORM.md.
 namespace lagoon::direct {
 
-/// What a direct router speaks to the outside with.
+/// External dependencies of a direct router.
 struct DirectRouterPorts {
     framework::ControlThread& control;
     framework::EventThread& traffic;
@@ -31,7 +31,7 @@
     framework::Endpoint ops;
 };
 
-/// Takes callers' requests and sends them straight to servers. Wires its parts together.
+/// Accepts callers' requests and sends them directly to servers. This class connects the process's parts.
 class DirectRouter {
 public:
     DirectRouter(const DirectRouterPorts&, const DirectRouterSettings&);
@@ -39,13 +39,14 @@
     DirectRouter(const DirectRouter&) = delete;
     DirectRouter& operator=(const DirectRouter&) = delete;
 
-    /// Listens and begins to read configuration and servers; ready for callers once it has both.
+    /// Listens and starts to read the configuration and the list of servers. Becomes ready for callers once both are
+    /// known.
     framework::Result<DirectRouterEndpoints> start();
-    /// Takes up what may change while it runs: the bounds of repeats, and the grace period.
+    /// Applies the settings that may change at run time: the bounds of retries, and the grace period.
     void reload(const DirectRouterSettings&);
-    /// Not ready at once; takes and finishes what still comes until balancers have noticed, then what is under way, as
-    /// long as the grace period allows. Each request has its final answer by then: what can't be served any more is
-    /// refused. Blocks until then.
+    /// Shuts the router down and blocks until that is done. Reports not ready at once; accepts new requests until load
+    /// balancers have noticed, then finishes the requests in progress, as far as the grace period allows. By its end
+    /// each request has its final answer: requests that can't be served any more are refused.
     void drain();
 
 private:
--- a/src/direct/directsettings.h
+++ b/src/direct/directsettings.h
@@ -11,30 +11,31 @@
 
 namespace lagoon::direct {
 
-/// What a direct router is told. See docs/OPERATING.md for the keys.
+/// Settings of a direct router. See docs/OPERATING.md for the keys.
 struct DirectRouterSettings {
     framework::ProcessIdentity identity;
     framework::Endpoint callers;
-    /// Any `GET` there is answered 200 while new callers are welcome, else 503.
+    /// Endpoint for load balancers: any `GET` is answered with 200 while the router accepts new callers, otherwise with
+    /// 503.
     framework::Endpoint readiness;
-    /// Any `GET` there is answered with the counters.
+    /// Endpoint for metrics: any `GET` is answered with the counters.
     framework::Endpoint ops;
     framework::Endpoint objectStore;
-    /// Where agents listen, on the VM of their engine.
+    /// Port on which each agent listens, on the VM of its engine.
     std::uint16_t agentPort = 0;
-    /// Repeats that a service may get from all routers together.
+    /// Bounds of the retries that a service may get from all routers together.
     double repeatShare = 0.2;
     double repeatReserve = 50;
     policy::PolicySwitches policy;
-    /// From the request to end until the process is ended by force.
+    /// Time from the request to shut down until the process is killed.
     framework::Milliseconds grace { 8000 };
-    /// A server that leaves is passed by this soon after the store was told.
+    /// Maximum time after the store lists a server as draining until the router excludes it from selection.
     framework::Milliseconds leavingNotice { 2000 };
-    /// One that left while the store couldn't be reached is passed by this soon after it can be again.
+    /// Maximum time after an outage of the store until the router excludes servers that began to drain during it.
     framework::Milliseconds outageNotice { 3000 };
 };
 
-/// What the agent beside an engine is told.
+/// Settings of the agent beside an engine.
 struct DirectAgentSettings {
     framework::ProcessIdentity identity;
     framework::Endpoint link;
@@ -44,7 +45,8 @@
     framework::ServiceName service;
 };
 
-/// Read and check a settings text; the first fault names the source, the key and what was expected.
+/// Parses and validates a settings text. The error of the first invalid setting names the source, the key and what was
+/// expected.
 framework::Result<DirectRouterSettings> parseDirectRouterSettings(const std::string& text, const std::string& source);
 framework::Result<DirectAgentSettings> parseDirectAgentSettings(const std::string& text, const std::string& source);
 
--- a/src/direct/internal/agentlinks.cpp
+++ b/src/direct/internal/agentlinks.cpp
@@ -18,14 +18,14 @@
 using framework::Milliseconds;
 
 constexpr Milliseconds tickInterval { 250 };
-/// Agents forget a router that is silent for three and a half seconds.
+/// Agents remove the demand of a router that is silent for three and a half seconds.
 constexpr Milliseconds publishInterval { 900 };
-/// Agents speak at least each second.
+/// Agents send at least one message per second.
 constexpr Milliseconds maxSilence { 2400 };
-/// Before a lost link is tried again.
+/// Backoff before a lost link is opened again.
 constexpr Milliseconds minBackoff { 100 };
 constexpr Milliseconds maxBackoff { 2000 };
-/// The same for an agent that was never heard: there may be none.
+/// Maximum backoff for an agent that has never sent a message: there may be no agent.
 constexpr Milliseconds maxBackoffWithoutContact { 8000 };
 
 Endpoint agentEndpoint(const Endpoint& engine, std::uint16_t port)
@@ -34,8 +34,8 @@
     return Endpoint(text.substr(0, text.rfind(':') + 1) + std::to_string(port));
 }
 
-/// What an agent decides by, so that it isn't told the same again. Work is compared coarsely, since it fades all the
-/// time; the next regular word brings it up to date.
+/// Digest of the values that an agent decides by; demand with an unchanged digest isn't published again. Work is
+/// compared coarsely, since it decays all the time; the next regular message brings it up to date.
 std::string digestOf(const catalog::DemandList& demand)
 {
     std::string digest;
@@ -158,7 +158,7 @@
     auto handlers = onControlThread(context_.control, alive_, std::move(events));
     agent.link = context_.transport.connect(agentEndpoint(engine, context_.agentPort), std::move(handlers));
     agent.hasReceived = false;
-    // Counts as heard, so that the new link has its time to stand.
+    // Counts as a received message, so that the new link has time to be established before it counts as silent.
     agent.receivedAt = context_.clock.now();
     publish(agent);
 }
@@ -202,7 +202,7 @@
     if (!state)
         return;
     catalog::EngineState heard = fromWire(*state);
-    // The link's own engine, whatever the frame says.
+    // The link determines the engine, regardless of the endpoint in the frame.
     heard.engine = engine;
     context_.didReceiveState(std::move(heard));
 }
--- a/src/direct/internal/agentlinks.h
+++ b/src/direct/internal/agentlinks.h
@@ -18,10 +18,10 @@
 
 namespace lagoon::direct {
 
-/// A router's links to the agents of the engines that it subscribes to. Belongs to the control thread.
+/// A router's links to the agents of the engines that it subscribes to. Runs on the control thread.
 ///
-/// Both ends speak at least each second. A link from which nothing came for longer is taken for silent, however open it
-/// looks, and replaced.
+/// Both ends send at least one message per second. A link without messages for longer counts as dead, even if its
+/// connection is still open, and is replaced.
 class AgentLinks {
 public:
     struct Context {
@@ -32,9 +32,9 @@
         std::uint16_t agentPort = 0;
         std::function<void(catalog::EngineState)> didReceiveState;
         std::function<void(catalog::EngineLoad)> didReceiveLoad;
-        /// The agent can't be reached, or has fallen silent.
+        /// Called when the agent can't be reached or has fallen silent.
         std::function<void(const framework::Endpoint& engine)> didLoseAgent;
-        /// The link was closed since the subscription ended.
+        /// Called when the link was closed because the subscription ended.
         std::function<void(const framework::Endpoint& engine)> didUnsubscribe;
     };
 
@@ -43,10 +43,10 @@
     AgentLinks(const AgentLinks&) = delete;
     AgentLinks& operator=(const AgentLinks&) = delete;
 
-    /// The engines that have agents. Subscriptions to others end.
+    /// Sets the engines that have agents. Subscriptions to other engines end.
     void setEngines(const std::vector<catalog::Upstream>&);
-    /// Opens and closes links as the plan's subscriptions say, and publishes what changed to each agent; one that the
-    /// plan doesn't name goes on with what it was told before.
+    /// Opens and closes links according to the plan's subscriptions, and publishes changed demand to each agent. The
+    /// demand at an engine that the plan doesn't name stays as it was.
     void apply(const forwarding::LoadPlan&);
 
 private:
@@ -55,8 +55,9 @@
 
         catalog::InstanceId instance;
         std::shared_ptr<wire::ILink> link;
-        /// Over the link that stands.
+        /// Whether a message has been received over the current link.
         bool hasReceived = false;
+        /// Whether a message has been received over any link to the agent.
         bool hasEverReceived = false;
         framework::SteadyTime receivedAt {};
         framework::SteadyTime publishedAt {};
@@ -78,7 +79,7 @@
 
     Context context_;
     std::map<framework::Endpoint, catalog::InstanceId> engines_;
-    /// Of the engines that this router subscribes to.
+    /// Agents of the engines that this router subscribes to.
     std::map<framework::Endpoint, Agent> agents_;
     std::unique_ptr<framework::Timer> timer_;
     std::shared_ptr<int> alive_ = std::make_shared<int>(0);
--- a/src/direct/internal/catalogwatcher.cpp
+++ b/src/direct/internal/catalogwatcher.cpp
@@ -15,19 +15,19 @@
 using objectstore::FeedObject;
 using objectstore::MirrorSettings;
 
-/// The object that holds the configuration in force.
+/// Name of the object with the configuration in force.
 const std::string configurationName = "main";
-/// Engines say each load and unload in their entries, and reading several together costs one call: after each reading
-/// the next waits for this part of the time in which a leaving server must be known.
+/// After each read of the servers' entries the next one is delayed by the leaving notice divided by this. Engines
+/// update their entries at each load and unload, and one call reads several updates.
 constexpr int noticeDivisor = 5;
-/// A watch whose connection has gone silent has to end well within the notice after an outage.
+/// A watch lasts for the outage notice divided by this, so that one with a dead connection ends well within the notice.
 constexpr int outageNoticeDivisor = 2;
-/// Of the configuration, which has no such notice.
+/// Duration of a watch of the configuration, for which no notice is set.
 constexpr Milliseconds configurationWatchTime { 2500 };
-/// A storm of changes of the configuration costs a call each 100 ms.
+/// Limits a burst of configuration changes to one call each 100 ms.
 constexpr Milliseconds configurationMinInterval { 100 };
 
-/// Names and services are their writers' choice, of any length.
+/// Truncates a text for the log: whoever writes an entry chooses its name and service, of any length.
 std::string shortened(const std::string& text)
 {
     constexpr std::size_t maxLoggedBytes = 64;
@@ -41,14 +41,14 @@
     return text.substr(0, end) + "...";
 }
 
-/// Guards against what a server wrote before it started again, and the store carried out only after its new entry.
+/// Detects an entry that a server wrote before it restarted, but that the store applied only after the new run's entry.
 bool isEarlier(const std::optional<catalog::StartTime>& started, const std::optional<catalog::StartTime>& latest)
 {
     return started && latest && *started < *latest;
 }
 
-/// Of two servers at one address: a server that starts again keeps the age of its entry, so the start decides. One that
-/// says no start doesn't displace one that does; the age of the entry is left for those that say none.
+/// Compares two servers at one address. The start time decides, since a restarted server keeps the age of its entry. A
+/// server without a start time doesn't displace one that has it; among servers without, the age of the entry decides.
 bool isNewer(const catalog::Upstream& upstream, const catalog::Upstream& other)
 {
     return std::tie(upstream.started, upstream.listed) > std::tie(other.started, other.listed);
@@ -96,7 +96,8 @@
     servers_.start();
 }
 
-/// Guards against going back: a request that was handled by a version is never followed by one handled by an older.
+/// Ignores versions that aren't newer than the current one, so that no request is handled by an older version than an
+/// earlier request.
 void CatalogWatcher::applyConfiguration(const FeedObject& object)
 {
     if (object.name != configurationName)
@@ -122,7 +123,8 @@
         schedulePublish();
 }
 
-/// An entry is what was last written there: one that isn't a server's, or can't be read, names no server any more.
+/// The last content of an entry counts: if it doesn't describe a server or can't be decoded, the entry lists no server
+/// any more.
 void CatalogWatcher::applyServer(const FeedObject& object)
 {
     Entry& entry = entries_[object.name];
@@ -153,8 +155,9 @@
     schedulePublish();
 }
 
-/// Guards against a server whose clock was set back before it started again: all that it says seems to come from
-/// before. If it was the former run after all, the later one says within a heartbeat that it is ready.
+/// Applies the draining state of an entry with an earlier start time. Prevents requests to a draining server whose
+/// clock was set back before it restarted, so that all its entries seem to be of an earlier run. If the entry really is
+/// of the earlier run, the later run lists itself as ready again within a heartbeat.
 void CatalogWatcher::applyDraining(Entry& entry, const catalog::Upstream& earlier)
 {
     if (!entry.upstream || earlier.state != catalog::UpstreamState::Draining)
@@ -168,7 +171,7 @@
     auto read = context_.decoder.upstream(object.name, object.value);
     if (read.has_value() && before.started && !read.value().started)
         return framework::Error { framework::ErrorCode::BadObject, "read server", {},
-            "no start, which it said before" };
+            "no start time, although the entry had one before" };
     return read;
 }
 
@@ -196,7 +199,7 @@
     schedulePublish();
 }
 
-/// Once for all changes that came together.
+/// Publishes changes that arrive together only once.
 void CatalogWatcher::schedulePublish()
 {
     if (std::exchange(isPublishScheduled_, true))
@@ -213,8 +216,8 @@
     context_.didListServers(newestByEndpoint());
 }
 
-/// Guards against an entry that hides a server by naming its address for a service that the operator doesn't have.
-/// Which services there are may change at any time, so the entry is kept.
+/// Marks entries of services that the configuration doesn't have. Prevents such an entry from hiding a server at the
+/// same address. The entry is kept, since the configured services may change at any time.
 bool CatalogWatcher::updateUnknownServices()
 {
     bool hasChanged = false;
@@ -231,8 +234,8 @@
     return hasChanged;
 }
 
-/// Guards against the entry of a server that has ended and whose successor is at its address already: the platform
-/// takes seconds to notice, and until then all that is sent to the old one is refused.
+/// Returns the newest server at each address. Leaves out a server that has ended and whose successor already uses its
+/// address: the platform takes seconds to notice, and until then every request for the old one would be refused.
 std::vector<catalog::Upstream> CatalogWatcher::newestByEndpoint() const
 {
     std::map<framework::Endpoint, const catalog::Upstream*> newest;
--- a/src/direct/internal/catalogwatcher.h
+++ b/src/direct/internal/catalogwatcher.h
@@ -14,7 +14,7 @@
 
 namespace lagoon::direct {
 
-/// Keeps the operator's configuration and the list of servers up to date. Belongs to the control thread.
+/// Keeps the operator's configuration and the list of servers up to date. Runs on the control thread.
 class CatalogWatcher {
 public:
     struct Context {
@@ -23,13 +23,13 @@
         objectstore::IObjectFeed& configurations;
         objectstore::IObjectFeed& servers;
         const catalog::ICatalogDecoder& decoder;
-        /// As `DirectRouterSettings::leavingNotice`.
+        /// See `DirectRouterSettings::leavingNotice`.
         framework::Milliseconds leavingNotice;
-        /// As `DirectRouterSettings::outageNotice`.
+        /// See `DirectRouterSettings::outageNotice`.
         framework::Milliseconds outageNotice;
         std::function<void(catalog::ConfigurationPointer)> didConfigure;
         std::function<void(const std::vector<catalog::Upstream>&)> didListServers;
-        /// The list of servers was current as of this time.
+        /// Called with a time as of which the list of servers was up to date.
         std::function<void(framework::SteadyTime)> didConfirmServers;
     };
 
@@ -38,17 +38,17 @@
     CatalogWatcher& operator=(const CatalogWatcher&) = delete;
 
     void start();
-    /// Whether both are known.
+    /// Whether both the configuration and the list of servers are known.
     bool isComplete() const { return configuration_ && servers_.hasListed(); }
 
 private:
-    /// What the list says under one name.
+    /// The list's entry with one name.
     struct Entry {
-        /// Nothing if the newest content isn't a server's.
+        /// std::nullopt if the newest content doesn't describe a server.
         std::optional<catalog::Upstream> upstream;
-        /// The latest start that was ever said there.
+        /// The latest start time that was accepted for this entry.
         std::optional<catalog::StartTime> started;
-        /// The content isn't used, as no service of the configuration is meant.
+        /// The entry isn't used, as the configuration has no service of its name.
         bool isOfUnknownService = false;
     };
 
@@ -60,7 +60,7 @@
     void removeServer(const std::string& name);
     void schedulePublish();
     void publishServers();
-    /// Whether other entries than before are left out.
+    /// Returns whether the set of entries left out for an unknown service has changed.
     bool updateUnknownServices();
     std::vector<catalog::Upstream> newestByEndpoint() const;
 
--- a/src/direct/internal/directrouter.cpp
+++ b/src/direct/internal/directrouter.cpp
@@ -20,7 +20,7 @@
 using framework::Milliseconds;
 
 constexpr Milliseconds drainCheckInterval { 30 };
-/// For a caller whose request this router no longer takes: other routers do at once.
+/// Retry delay for a caller whose request this router no longer accepts; other routers accept it at once.
 constexpr Milliseconds retryAfterRefusal { 250 };
 
 forwarding::ForwarderSettings forwarderSettings(const DirectRouterSettings& settings)
@@ -106,8 +106,9 @@
         return answer.get_future().get();
     }
 
-    /// On the traffic thread, before anyone can see that this router isn't ready any more: from then on each answer
-    /// says that its connection ends, and each request has an end. Returns how many requests there are.
+    /// Starts the shutdown and returns the number of requests in progress. Runs on the traffic thread, before the
+    /// router reports that it isn't ready: from then on each answer announces that its connection closes, and each
+    /// request has a deadline.
     std::size_t startShutdown(const framework::ServiceEnd& end)
     {
         const std::size_t requests = forwarder_.requests();
@@ -116,7 +117,7 @@
         return requests;
     }
 
-    /// Twice, since the control thread may be about to say that it is ready.
+    /// Clears the readiness a second time on the control thread, since that thread may just be about to set it.
     void clearReadiness()
     {
         isDraining_ = true;
@@ -124,13 +125,13 @@
         ports_.control.post([this] { readinessHandler_.setReady(false); });
     }
 
-    /// Guards against a request of which a part has come when no more are taken. It surely hasn't run, and other
-    /// routers have time for it; here its answer could be cut by the end.
+    /// Refuses requests that have been received only in part when no more are accepted. Such a request certainly hasn't
+    /// run, and other routers have time for it, whereas here the end of the process could cut its answer.
     void refuseComing() { callers_.refuseComing(ports_.dialect.refusal(503, retryAfterRefusal)); }
 
-    /// On the traffic thread, last thing; returns how many requests have no answer. Guards against a request that is
-    /// read between the last look at the connections and the process's end, which would be sent to a server and never
-    /// answered; and against those whose timers haven't run, since the VM stood still or was busy until the end.
+    /// Answers or refuses all remaining requests and returns how many have no answer. Runs on the traffic thread as the
+    /// last step. Prevents a request that is read after the last check of the connections from being sent to a server
+    /// and never answered. Also covers requests whose timers haven't run because the VM was suspended or busy.
     std::size_t stopAccepting()
     {
         forwarder_.answerNow();
@@ -195,7 +196,7 @@
         updateReadiness();
     }
 
-    /// Agents are beside the servers of the services that have engines.
+    /// Passes on the servers that have agents: those of services with engines.
     void updateAgentLinks()
     {
         if (!configuration_)
@@ -224,7 +225,7 @@
     std::shared_ptr<wire::ILinkTransport> transport_;
     std::atomic<bool> isDraining_ { false };
     forwarding::Forwarder forwarder_;
-    // Control thread.
+    // `configuration_`, `servers_`, `links_` and `catalog_` are used on the control thread only.
     catalog::ConfigurationPointer configuration_;
     std::vector<catalog::Upstream> servers_;
     AgentLinks links_;
--- a/src/direct/internal/directsettings.cpp
+++ b/src/direct/internal/directsettings.cpp
@@ -24,7 +24,7 @@
     CheckedObject repeats = object.object("repeats");
     settings.repeatShare = repeats.fractionOr("share", settings.repeatShare, 0, 1);
     settings.repeatReserve = repeats.fractionOr("reserve", settings.repeatReserve, 0, 100000);
-    // A part's unknown keys are its own to find.
+    // The enclosing object only checks its own keys, so unknown keys of this one are detected here.
     (void)repeats.finish();
 }
 
--- a/src/direct/internal/enginewire.h
+++ b/src/direct/internal/enginewire.h
@@ -5,7 +5,7 @@
 #include "framework/types/time.h"
 #include "wire/types/message.h"
 
-/// The frames between direct routers and agents. Times on the wire are from receipt.
+/// Conversion of the frames between direct routers and agents. Times on the wire are relative to the frame's receipt.
 namespace lagoon::direct {
 
 wire::Message toWire(const catalog::EngineState&);
--- a/src/direct/internal/routerlinks.cpp
+++ b/src/direct/internal/routerlinks.cpp
@@ -14,7 +14,7 @@
 
 using framework::LogLine;
 
-/// Routers speak at least each second.
+/// Routers send at least one message per second.
 constexpr framework::Milliseconds maxSilence { 3500 };
 
 } // namespace
@@ -60,7 +60,7 @@
         return;
     const framework::VmName name = router->second.name;
     routers_.erase(router);
-    // A router that has already opened another link isn't lost.
+    // A router with another open link isn't lost.
     if (hasOtherLink(name))
         return;
     logDecision(LogLine("router_lost").text("router", name.value()));
--- a/src/direct/internal/routerlinks.h
+++ b/src/direct/internal/routerlinks.h
@@ -13,7 +13,7 @@
 
 namespace lagoon::direct {
 
-/// An agent's links from the routers. Belongs to the control thread.
+/// An agent's links from the routers. Runs on the control thread.
 class RouterLinks {
 public:
     struct Context {
@@ -27,10 +27,10 @@
     RouterLinks(const RouterLinks&) = delete;
     RouterLinks& operator=(const RouterLinks&) = delete;
 
-    /// For the transport; from any thread.
+    /// Returns the handlers for the link transport. The transport may call them from any thread.
     wire::LinkHandlers handlers();
     void publish(const catalog::EngineState&);
-    /// The rest of the state is as published last.
+    /// Publishes the load alone; the rest of the state is as published last.
     void publishLoad(const catalog::EngineLoad&);
     /// Closes links whose routers have fallen silent.
     void closeSilent();
--- a/src/direct/internal/statushandlers.h
+++ b/src/direct/internal/statushandlers.h
@@ -8,7 +8,7 @@
 
 namespace lagoon::direct {
 
-/// Answers the balancer: 200 while new callers are welcome, else 503.
+/// Answers load balancers: 200 while the router accepts new callers, otherwise 503.
 class ReadinessHandler final : public http::IExchangeHandler {
 public:
     void handle(const std::shared_ptr<http::IExchange>& exchange) override
@@ -22,7 +22,7 @@
     std::atomic<bool> isReady_ { false };
 };
 
-/// Answers with all counters in Prometheus' text format.
+/// Answers with all metrics in Prometheus text format.
 class MetricsHandler final : public http::IExchangeHandler {
 public:
     explicit MetricsHandler(std::shared_ptr<framework::Metrics> metrics)
--- a/src/direct/tests/agentlinks_test.cpp
+++ b/src/direct/tests/agentlinks_test.cpp
@@ -53,13 +53,13 @@
 
     framework::ManualControl control;
     wire::FakeTransport transport;
-    std::vector<catalog::EngineState> heard;
-    std::vector<catalog::EngineLoad> heardLoads;
+    std::vector<catalog::EngineState> receivedStates;
+    std::vector<catalog::EngineLoad> receivedLoads;
     std::vector<Endpoint> lost;
     std::vector<Endpoint> unsubscribed;
     AgentLinks links { { control, control, transport, framework::VmName("router"), 7000,
-        [this](catalog::EngineState state) { heard.push_back(std::move(state)); },
-        [this](const catalog::EngineLoad& load) { heardLoads.push_back(load); },
+        [this](catalog::EngineState state) { receivedStates.push_back(std::move(state)); },
+        [this](const catalog::EngineLoad& load) { receivedLoads.push_back(load); },
         [this](const Endpoint& engine) { lost.push_back(engine); },
         [this](const Endpoint& engine) { unsubscribed.push_back(engine); } } };
 };
@@ -68,8 +68,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(AgentLinksTests, Fixture)
 
-// Guards against links whose number grows with routers times engines.
-BOOST_AUTO_TEST_CASE(areOpenedOnlyToEnginesThatAreSubscribedTo)
+// Prevents a number of links that grows with the product of routers and engines.
+BOOST_AUTO_TEST_CASE(linksAreOpenedOnlyToSubscribedEngines)
 {
     BOOST_TEST(transport.connections() == 0u);
     subscribe({ first });
@@ -79,7 +79,7 @@
     BOOST_TEST(transport.connections() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(areClosedWhenTheSubscriptionEnds)
+BOOST_AUTO_TEST_CASE(aLinkIsClosedWhenItsSubscriptionEnds)
 {
     subscribe({ first, second });
     deliver(firstAgent, toWire(stateOf(first)));
@@ -92,14 +92,14 @@
     BOOST_TEST(transport.newest(firstAgent)->isClosed());
 }
 
-BOOST_AUTO_TEST_CASE(areNotOpenedToEnginesThatAreNotListed)
+BOOST_AUTO_TEST_CASE(noLinkIsOpenedToAnUnlistedEngine)
 {
     subscribe({ Endpoint("10.0.0.3:80") });
     BOOST_TEST(transport.connections() == 0u);
 }
 
-// Guards against a request that waits for the word of an agent that isn't there.
-BOOST_AUTO_TEST_CASE(tellOfAnAgentThatCannotBeReached)
+// Prevents a request from waiting for the messages of an agent that doesn't exist.
+BOOST_AUTO_TEST_CASE(anUnreachableAgentIsReportedAsLost)
 {
     subscribe({ first });
     transport.newest(firstAgent)->cut("connect");
@@ -109,7 +109,7 @@
     BOOST_TEST(transport.connections() > 1u);
 }
 
-BOOST_AUTO_TEST_CASE(carryStatesAndLoads)
+BOOST_AUTO_TEST_CASE(statesAndLoadsAreReceived)
 {
     subscribe({ first });
     deliver(firstAgent, toWire(stateOf(first)));
@@ -117,16 +117,16 @@
     load.running = 7;
     load.held[0] = { 0.5, 3 };
     deliver(firstAgent, toWire(load));
-    BOOST_REQUIRE(heard.size() == 1u);
-    BOOST_REQUIRE(heardLoads.size() == 1u);
-    BOOST_TEST(heardLoads[0].engine == first);
-    BOOST_TEST(catalog::applyLoad(heard[0], heardLoads[0]));
-    BOOST_TEST(heard[0].running == 7u);
-    BOOST_TEST(heard[0].held[0].inUse == 3u);
+    BOOST_REQUIRE(receivedStates.size() == 1u);
+    BOOST_REQUIRE(receivedLoads.size() == 1u);
+    BOOST_TEST(receivedLoads[0].engine == first);
+    BOOST_TEST(catalog::applyLoad(receivedStates[0], receivedLoads[0]));
+    BOOST_TEST(receivedStates[0].running == 7u);
+    BOOST_TEST(receivedStates[0].held[0].inUse == 3u);
 }
 
-// Guards against a router that takes a silent agent's last word for its engine's state.
-BOOST_AUTO_TEST_CASE(areReplacedWhenTheirAgentFallsSilent)
+// Prevents a router from relying on the last state that a silent agent has published.
+BOOST_AUTO_TEST_CASE(aSilentLinkIsReplaced)
 {
     subscribe({ first });
     deliver(firstAgent, toWire(stateOf(first)));
--- a/src/direct/tests/catalogwatcher_test.cpp
+++ b/src/direct/tests/catalogwatcher_test.cpp
@@ -23,7 +23,7 @@
 using objectstore::FeedPage;
 using objectstore::StoreRevision;
 
-/// Answers a list at once with what the test has put, and keeps the watch until the test answers it.
+/// Answers a list call at once with the objects that the test has put, and keeps a watch until the test answers it.
 class FakeFeed final : public objectstore::IObjectFeed {
 public:
     void list(const std::string&, framework::Deadline, PageHandler handler) override
@@ -54,7 +54,7 @@
     std::deque<ChangesHandler> watches;
 };
 
-/// Values are the decoded objects themselves; anything else can't be read.
+/// Accepts decoded objects as values; any other value is refused.
 class FakeDecoder final : public catalog::ICatalogDecoder {
 public:
     Result<catalog::Configuration> configuration(const std::any& value) const override
@@ -109,7 +109,7 @@
         const FeedObject object = configurations.put("main", configuration(++version, services), 1);
         if (isStarted) {
             configurations.answerWatch({ { { object, false } }, {} });
-            pass();
+            settle();
         }
     }
 
@@ -117,11 +117,11 @@
     {
         isStarted = true;
         watch.start();
-        pass();
+        settle();
     }
 
-    /// Longer than the pause after a change.
-    void pass()
+    /// Advances the time by more than the pause after a change.
+    void settle()
     {
         control.runPosted();
         control.advance(Milliseconds(500));
@@ -133,7 +133,7 @@
         const FeedObject object = servers.put(name, std::move(value), created);
         if (isStarted) {
             servers.answerWatch({ { { object, false } }, {} });
-            pass();
+            settle();
         }
     }
 
@@ -160,9 +160,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(CatalogWatchers, Fixture)
 
-// A server's entry was overwritten by someone else. Requests still went by what it had said before, to a server that by
-// the list wasn't there.
-BOOST_AUTO_TEST_CASE(anEntryThatCannotBeReadNamesNoServerAndTheOthersHold)
+// Prevents requests to a server that is no longer listed: another writer overwrote the server's entry, and routers
+// still used its former content.
+BOOST_AUTO_TEST_CASE(anUndecodableEntryListsNoServerAndLeavesOthersInPlace)
 {
     write("i-1", server("10.0.0.1:80", 100));
     write("i-2", server("10.0.0.2:80", 100));
@@ -176,7 +176,7 @@
     BOOST_TEST(find("i-1"));
 }
 
-BOOST_AUTO_TEST_CASE(aServerThatStartsAgainUnderItsIdIsTold)
+BOOST_AUTO_TEST_CASE(aRestartUnderTheSameIdIsPublished)
 {
     write("i-1", server("10.0.0.1:80", 100));
     start();
@@ -185,9 +185,9 @@
     BOOST_TEST(find("i-1")->started->value() == 200U);
 }
 
-// A server crashed and started again under its id. What it had written before the crash reached the store after its new
-// entry, and routers went by the models that it had held then.
-BOOST_AUTO_TEST_CASE(aLateEntryOfTheFormerRunDoesNotComeBack)
+// Prevents a late entry of a server's former run from replacing the new one: a server crashed and restarted under its
+// ID. Its last update before the crash reached the store after the new entry, and routers used the models listed there.
+BOOST_AUTO_TEST_CASE(aLateEntryOfTheFormerRunIsIgnored)
 {
     write("i-1", server("10.0.0.1:80", 200));
     start();
@@ -197,14 +197,15 @@
     BOOST_REQUIRE(find("i-1"));
     BOOST_TEST(find("i-1")->started->value() == 200U);
     BOOST_TEST(find("i-1")->models.empty());
-    // Nor after an entry that names no server.
+    // It is also ignored after an entry that lists no server.
     write("i-1", std::string("garbage"));
     write("i-1", former);
     BOOST_TEST(!find("i-1"));
 }
 
-// A server started again after its VM's clock was set back: its leaving was passed over with the rest of its entries.
-BOOST_AUTO_TEST_CASE(aLeavingSaidWithAnEarlierStartCounts)
+// Prevents a draining state from being ignored: a server restarted after its VM's clock had been set back, so that all
+// its entries were discarded as late.
+BOOST_AUTO_TEST_CASE(drainingWithAnEarlierStartTimeIsApplied)
 {
     write("i-1", server("10.0.0.1:80", 200));
     start();
@@ -214,13 +215,14 @@
     BOOST_REQUIRE(find("i-1"));
     BOOST_TEST((find("i-1")->state == catalog::UpstreamState::Draining));
     BOOST_TEST(find("i-1")->started->value() == 200U);
-    // It was a late word of the former run if the later one goes on saying that it is ready.
+    // If the later run still lists itself as ready, the entry was a late one of the former run.
     write("i-1", server("10.0.0.1:80", 200));
     BOOST_TEST((find("i-1")->state == catalog::UpstreamState::Ready));
 }
 
-// Its start is among what a server always says, so an entry without it isn't its own.
-BOOST_AUTO_TEST_CASE(anEntryThatNoLongerSaysItsStartNamesNoServer)
+// Prevents use of an entry that another writer has overwritten: a server that reports its start time always does, so an
+// entry without it isn't its own.
+BOOST_AUTO_TEST_CASE(anEntryThatLosesItsStartTimeListsNoServer)
 {
     write("i-1", server("10.0.0.1:80", 200));
     write("i-2", server("10.0.0.2:80", 0));
@@ -232,8 +234,8 @@
     BOOST_TEST(find("i-2"));
 }
 
-// An entry for a service that nobody had configured stood at the address of a server, written after it: the server got
-// no requests any more.
+// Prevents an entry of an unconfigured service from hiding a server: it had the server's address and was written later,
+// so the server got no requests any more.
 BOOST_AUTO_TEST_CASE(anEntryOfAServiceThatIsNotConfiguredHidesNoServer)
 {
     write("i-1", server("10.0.0.1:80", 100));
@@ -246,9 +248,10 @@
     BOOST_TEST(find("i-2"));
 }
 
-// An address had gone to another server and came back with the first one, which kept its id and so the age of its
-// entry: by that age the other one's entry, which the platform hadn't removed yet, hid it.
-BOOST_AUTO_TEST_CASE(ofTwoEntriesAtOneAddressTheLaterStartCounts)
+// Prevents a stale entry from hiding a server that returns to its address: another server used the address meanwhile,
+// and the platform hadn't removed its entry yet. The returning server keeps its ID and so the age of its entry, which
+// made it look older.
+BOOST_AUTO_TEST_CASE(ofTwoEntriesAtOneAddressTheLaterStartTimeCounts)
 {
     write("i-1", server("10.0.0.1:80", 100), 1);
     write("i-2", server("10.0.0.1:80", 200), 2);
@@ -257,7 +260,7 @@
     write("i-1", server("10.0.0.1:80", 300), 1);
     BOOST_TEST(find("i-1"));
     BOOST_TEST(!find("i-2"));
-    // One that says no start doesn't hide one that does.
+    // An entry without a start time doesn't hide one that has it.
     write("i-3", server("10.0.0.1:80", 0), 3);
     BOOST_TEST(find("i-1"));
 }
--- a/src/direct/tests/directsettings_test.cpp
+++ b/src/direct/tests/directsettings_test.cpp
@@ -22,14 +22,14 @@
 
 BOOST_AUTO_TEST_SUITE(DirectSettings)
 
-BOOST_AUTO_TEST_CASE(allPoliciesAreOnIfNothingIsSaid)
+BOOST_AUTO_TEST_CASE(allPoliciesAreOnByDefault)
 {
     const policy::PolicySwitches policy = parsed("").value().policy;
     BOOST_TEST(policy.copiesBusyModels);
     BOOST_TEST(policy.leavesSilentEngines);
 }
 
-BOOST_AUTO_TEST_CASE(theNoticeOfLeavingServersIsChecked)
+BOOST_AUTO_TEST_CASE(theLeavingNoticeIsValidated)
 {
     BOOST_TEST(parsed("").value().leavingNotice.count() == 2000);
     BOOST_TEST(parsed(R"(, "leaving_notice_ms": 4000)").value().leavingNotice.count() == 4000);
@@ -38,7 +38,7 @@
     BOOST_TEST(describe(tooShort.error()).find("leaving_notice_ms") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(theNoticeAfterAnOutageIsChecked)
+BOOST_AUTO_TEST_CASE(theOutageNoticeIsValidated)
 {
     BOOST_TEST(parsed("").value().outageNotice.count() == 3000);
     BOOST_TEST(parsed(R"(, "outage_notice_ms": 5000)").value().outageNotice.count() == 5000);
@@ -47,14 +47,14 @@
     BOOST_TEST(describe(tooShort.error()).find("outage_notice_ms") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(aPolicyIsSwitchedOffByItsName)
+BOOST_AUTO_TEST_CASE(aPolicyCanBeSwitchedOffByName)
 {
     const policy::PolicySwitches policy = parsed(R"(, "policy": { "fetches_ahead": false })").value().policy;
     BOOST_TEST(!policy.fetchesAhead);
     BOOST_TEST(policy.copiesBusyModels);
 }
 
-BOOST_AUTO_TEST_CASE(anUnknownPolicyAndOneThatIsNoFlagAreNamed)
+BOOST_AUTO_TEST_CASE(unknownPoliciesAndNonBooleanValuesAreRejected)
 {
     const auto unknown = parsed(R"(, "policy": { "fetches_behind": false })");
     BOOST_REQUIRE(unknown.has_error());
