--- a/src/catalog/types/upstream.h
+++ b/src/catalog/types/upstream.h
@@ -66,7 +66,7 @@
     std::vector<LoadedModel> models;
     CachedWeights cachedWeights;
     /// The list's own sequence number of the server's first listing: greater is later.
-    std::uint64_t listed = 0;
+    std::uint64_t firstListed = 0;
 
     UpstreamRun run() const { return { instance, started }; }
 };
--- a/src/direct/internal/agentlinks.cpp
+++ b/src/direct/internal/agentlinks.cpp
@@ -21,7 +21,7 @@
 /// Agents remove the demand of a router that is silent for three and a half seconds.
 constexpr Milliseconds publishInterval { 900 };
 /// Agents send at least one message per second.
-constexpr Milliseconds maxSilence { 2400 };
+constexpr Milliseconds linkIdleTimeout { 2400 };
 /// Backoff before a lost link is opened again.
 constexpr Milliseconds minBackoff { 100 };
 constexpr Milliseconds maxBackoff { 2000 };
@@ -138,7 +138,7 @@
 {
     const framework::SteadyTime now = context_.clock.now();
     for (auto& [engine, agent] : agents_) {
-        if (agent.link && now - agent.receivedAt > maxSilence)
+        if (agent.link && now - agent.receivedAt > linkIdleTimeout)
             drop(engine, agent, "silent");
         if (!agent.link && agent.connectAt.hasPassed(now))
             connect(engine, agent);
--- a/src/direct/internal/catalogwatcher.cpp
+++ b/src/direct/internal/catalogwatcher.cpp
@@ -51,7 +51,7 @@
 /// server without a start time doesn't displace one that has it; among servers without, the age of the entry decides.
 bool isNewer(const catalog::Upstream& upstream, const catalog::Upstream& other)
 {
-    return std::tie(upstream.started, upstream.listed) > std::tie(other.started, other.listed);
+    return std::tie(upstream.started, upstream.firstListed) > std::tie(other.started, other.firstListed);
 }
 
 MirrorSettings configurationSettings()
@@ -151,7 +151,7 @@
     logServerChange(object, entry, upstream);
     entry.started = upstream.started;
     entry.upstream = std::move(read.value());
-    entry.upstream->listed = object.created;
+    entry.upstream->firstListed = object.created;
     schedulePublish();
 }
 
--- a/src/direct/internal/directagent.cpp
+++ b/src/direct/internal/directagent.cpp
@@ -72,7 +72,7 @@
 
     void runHousekeeping()
     {
-        links_.closeSilent();
+        links_.closeIdle();
         housekeeping_ = ports_.control.runAt(
             Deadline::after(ports_.clock.now(), housekeepingInterval), [this] { runHousekeeping(); });
     }
--- a/src/direct/internal/routerlinks.cpp
+++ b/src/direct/internal/routerlinks.cpp
@@ -15,7 +15,7 @@
 using framework::LogLine;
 
 /// Routers send at least one message per second.
-constexpr framework::Milliseconds maxSilence { 3500 };
+constexpr framework::Milliseconds linkIdleTimeout { 3500 };
 
 } // namespace
 
@@ -85,14 +85,14 @@
         link->send(message);
 }
 
-void RouterLinks::closeSilent()
+void RouterLinks::closeIdle()
 {
-    std::vector<std::shared_ptr<wire::ILink>> silent;
+    std::vector<std::shared_ptr<wire::ILink>> idle;
     for (const auto& [link, router] : routers_) {
-        if (context_.clock.now() - router.receivedAt > maxSilence)
-            silent.push_back(link);
+        if (context_.clock.now() - router.receivedAt > linkIdleTimeout)
+            idle.push_back(link);
     }
-    for (const auto& link : silent) {
+    for (const auto& link : idle) {
         link->close();
         didClose(link);
     }
--- a/src/direct/internal/routerlinks.h
+++ b/src/direct/internal/routerlinks.h
@@ -33,7 +33,7 @@
     /// Publishes the load alone; the rest of the state is as published last.
     void publishLoad(const catalog::EngineLoad&);
     /// Closes links whose routers have fallen silent.
-    void closeSilent();
+    void closeIdle();
 
 private:
     struct Router {
