--- a/src/engines/demandtable.h
+++ b/src/engines/demandtable.h
@@ -21,7 +21,8 @@
     void forgetSilentRouters(framework::SteadyTime now);
     std::size_t routers() const { return routers_.size(); }
 
-    /// Demand over all routers: sums of waiting requests, requests in progress and work; the earliest deadline.
+    /// Returns the demand over all routers: the sums of waiting requests, requests in progress and work, and the
+    /// earliest deadline.
     const std::map<catalog::ModelTarget, catalog::TargetDemand>& merged() const { return merged_; }
 
 private:
--- a/src/engines/enginecontroller.h
+++ b/src/engines/enginecontroller.h
@@ -94,7 +94,7 @@
     bool isOrdering_ = false;
     bool isAcquiringToken_ = false;
     bool isEngineLost_ = false;
-    /// No order is given before this time, as the engine was busy with another one or refused the last one.
+    /// No order is given before this time, since the engine was busy, refused the last order or didn't answer it.
     framework::Deadline ordersAllowedAt_;
     /// Until this time the engine may still carry out an order that got no answer.
     framework::Deadline lateOrdersUntil_;
--- a/src/engines/internal/enginecontroller.cpp
+++ b/src/engines/internal/enginecontroller.cpp
@@ -41,7 +41,8 @@
 constexpr Milliseconds storeTimeout { 1000 };
 constexpr Milliseconds minTokenBackoff { 200 };
 constexpr Milliseconds maxTokenBackoff { 2000 };
-/// Delay before the next order after the engine refused one, or was busy with an order unknown to this process.
+/// Delay before the next order after the engine refused one, didn't answer it, or was busy with an order unknown to
+/// this process.
 constexpr Milliseconds busyBackoff { 60 };
 /// If reports show fewer orders than were accepted for longer than this, the engine has restarted; until then they are
 /// considered stale.
