--- a/src/agent/agentsettings.h
+++ b/src/agent/agentsettings.h
@@ -2,7 +2,7 @@
 
 #include "framework/types/error.h"
 #include "framework/types/processidentity.h"
-#include "framework/types/serviceend.h"
+#include "framework/types/shutdowndeadlines.h"
 #include "framework/types/time.h"
 #include "objectstore/objectstoreclient.h"
 
--- a/src/agent/internal/agent.cpp
+++ b/src/agent/internal/agent.cpp
@@ -13,7 +13,7 @@
 #include "framework/iclock.h"
 #include "framework/logging.h"
 #include "framework/randomid.h"
-#include "framework/types/serviceend.h"
+#include "framework/types/shutdowndeadlines.h"
 #include "framework/workerpool.h"
 #include "http/opsserver.h"
 #include "objectstore/objectstoreclient.h"
@@ -56,7 +56,7 @@
     ReplicaPorts replicaPorts();
     void startControl();
     void keepHouse();
-    void checkDrained(std::promise<bool>&, const framework::ServiceEnd&, std::optional<Deadline> settleBy);
+    void checkDrained(std::promise<bool>&, const framework::ShutdownDeadlines&, std::optional<Deadline> settleBy);
     std::string status();
     StatusView statusView() const;
     bool isEngine() const { return settings_.upstream.kind == UpstreamKind::Engine; }
@@ -162,7 +162,7 @@
     framework::logInfo("agent", "draining");
     // Claims are kept: the VM lives on and its engine still has the models, so a free claim would let another VM load
     // one replica too many. The next agent here adopts both; if the VM goes, the platform's list frees them.
-    auto end = framework::ServiceEnd::after(clock_.now(), settings_.shutdownGrace);
+    auto end = framework::ShutdownDeadlines::after(clock_.now(), settings_.shutdownGrace);
     if (!isServing_)
         end.noticedBy = Deadline();
     std::promise<bool> drained;
@@ -190,7 +190,7 @@
 /// Routers say when they have one, so the links stay open until then. They stay open also until routers that send on
 /// have heard from a refusal that the agent ends: what they send while the links close may have run for all they know.
 void Agent::Implementation::checkDrained(
-    std::promise<bool>& drained, const framework::ServiceEnd& end, std::optional<Deadline> settleBy)
+    std::promise<bool>& drained, const framework::ShutdownDeadlines& end, std::optional<Deadline> settleBy)
 {
     const auto now = clock_.now();
     if (gate_->isIdle() && !settleBy)
--- a/src/agent/internal/requestgate.cpp
+++ b/src/agent/internal/requestgate.cpp
@@ -135,7 +135,7 @@
 
 std::optional<Error> RequestGate::admissionRefusal(const Call& call) const
 {
-    if (serviceEnd_)
+    if (shutdownDeadlines_)
         return draining("the agent shuts down", Execution::NotRun);
     if (call.request.deadline.hasPassed(ports_.clock.now()))
         return refusal(ErrorCode::DeadlinePassed, "on receipt", Execution::NotRun);
@@ -194,7 +194,7 @@
 /// By when the answer must be whole.
 Deadline RequestGate::lastAnswer(Deadline ofRequest) const
 {
-    return serviceEnd_ ? std::min(ofRequest, serviceEnd_->answerBy) : ofRequest;
+    return shutdownDeadlines_ ? std::min(ofRequest, shutdownDeadlines_->answerBy) : ofRequest;
 }
 
 /// One that waits is refused when it would have to run by now: later ones of higher priority may have gone before it.
@@ -203,8 +203,8 @@
 {
     const auto own = serviceTimes_.of(call.target);
     const Deadline startBy(call.request.deadline.at() - deliveryMargin - (own ? own->high : Milliseconds(0)));
-    if (serviceEnd_ && serviceEnd_->startBy < startBy) {
-        call.deadlineTimer = ports_.control.runAt(serviceEnd_->startBy,
+    if (shutdownDeadlines_ && shutdownDeadlines_->startBy < startBy) {
+        call.deadlineTimer = ports_.control.runAt(shutdownDeadlines_->startBy,
             [this, key] { stop(key, draining("the agent ends before its turn", Execution::NotRun)); });
         return;
     }
@@ -485,9 +485,9 @@
 /// Guards against an agent that is ended by force over its queue: nobody could say any more that what waited there was
 /// never given to the upstream, and its callers would hear only at their deadlines that it may have run. What can't end
 /// in time by the forecast goes to another upstream at once.
-void RequestGate::beginDraining(const framework::ServiceEnd& end)
+void RequestGate::beginDraining(const framework::ShutdownDeadlines& end)
 {
-    serviceEnd_ = end;
+    shutdownDeadlines_ = end;
     std::vector<DispatchKey> hopeless;
     for (auto& [key, call] : calls_) {
         if (call.upstream)
--- a/src/agent/internal/requestgate.h
+++ b/src/agent/internal/requestgate.h
@@ -9,7 +9,7 @@
 #include "framework/controlthread.h"
 #include "framework/iclock.h"
 #include "framework/metrics.h"
-#include "framework/types/serviceend.h"
+#include "framework/types/shutdowndeadlines.h"
 #include "wire/ilink.h"
 
 #include <map>
@@ -45,7 +45,7 @@
     /// Drops what routers that are gone have left.
     void forgetGoneRouters();
     /// From now on everything new is refused as not run, and what was taken has its end in time for the process's.
-    void beginDraining(const framework::ServiceEnd&);
+    void beginDraining(const framework::ShutdownDeadlines&);
 
     std::uint32_t running() const { return admission_.running(); }
     std::uint32_t waiting() const { return admission_.waiting(); }
@@ -99,7 +99,7 @@
     ServiceTimes serviceTimes_;
     std::map<DispatchKey, Call> calls_;
     /// Set while draining.
-    std::optional<framework::ServiceEnd> serviceEnd_;
+    std::optional<framework::ShutdownDeadlines> shutdownDeadlines_;
 };
 
 } // namespace lagoon::agent
--- a/src/agent/tests/requestgate_test.cpp
+++ b/src/agent/tests/requestgate_test.cpp
@@ -385,7 +385,7 @@
 {
     dispatch(1);
     dispatch(2);
-    gate->beginDraining(framework::ServiceEnd::after(control.now(), framework::usualGrace));
+    gate->beginDraining(framework::ShutdownDeadlines::after(control.now(), framework::usualGrace));
     dispatch(3);
     checkRefused(*link, ErrorCode::Draining, Execution::NotRun);
     for (const std::size_t call : { 0, 1 }) {
@@ -404,7 +404,7 @@
 {
     dispatch(1, 60000);
     dispatch(2, 60000);
-    const auto end = framework::ServiceEnd::after(control.now(), Milliseconds(8000));
+    const auto end = framework::ShutdownDeadlines::after(control.now(), Milliseconds(8000));
     gate->beginDraining(end);
     control.advance(end.startBy.remaining(control.now()) - Milliseconds(1));
     BOOST_TEST(link->all<fb::RefusedT>().empty());
@@ -430,7 +430,7 @@
     dispatch(2, 60000);
     for (std::uint64_t sequence = 3; sequence < 23; ++sequence)
         dispatch(sequence, 60000);
-    gate->beginDraining(framework::ServiceEnd::after(control.now(), Milliseconds(1000)));
+    gate->beginDraining(framework::ShutdownDeadlines::after(control.now(), Milliseconds(1000)));
     const auto refused = link->all<fb::RefusedT>();
     BOOST_TEST(!refused.empty());
     BOOST_TEST(refused.size() < 20u, "what can be served waits on");
--- a/src/direct/internal/directrouter.cpp
+++ b/src/direct/internal/directrouter.cpp
@@ -6,7 +6,7 @@
 #include "direct/internal/plainviews.h"
 #include "forwarding/forwarder.h"
 #include "framework/decisionlog.h"
-#include "framework/types/serviceend.h"
+#include "framework/types/shutdowndeadlines.h"
 #include "http/exchangeserver.h"
 
 #include <future>
@@ -82,7 +82,7 @@
 
     void drain()
     {
-        const auto end = framework::ServiceEnd::after(ports_.clock.now(), settings_.grace);
+        const auto end = framework::ShutdownDeadlines::after(ports_.clock.now(), settings_.grace);
         const std::size_t requests = onTraffic([this, end] { return beginEnd(end); });
         stopBeingReady();
         logDecision(LogLine("draining").number("requests", requests).number("grace_ms", settings_.grace.count()));
@@ -108,11 +108,11 @@
 
     /// On the traffic thread, before anyone can see that this router isn't ready any more: from then on each answer
     /// says that its connection ends, and each request has an end. Returns how many requests there are.
-    std::size_t beginEnd(const framework::ServiceEnd& end)
+    std::size_t beginEnd(const framework::ShutdownDeadlines& end)
     {
         const std::size_t requests = forwarder_.requests();
         callers_.beginDraining();
-        forwarder_.endService(end);
+        forwarder_.beginShutdown(end);
         return requests;
     }
 
--- a/src/forwarding/forwarder.h
+++ b/src/forwarding/forwarder.h
@@ -8,7 +8,7 @@
 #include "framework/eventthread.h"
 #include "framework/iclock.h"
 #include "framework/metrics.h"
-#include "framework/types/serviceend.h"
+#include "framework/types/shutdowndeadlines.h"
 #include "http/iexchange.h"
 
 #include <functional>
@@ -57,7 +57,7 @@
     void didLoseAgent(const framework::Endpoint&);
     /// This process ends: from now on each request has its final answer by then, also those that come later, and what
     /// no server has by `startBy` is refused.
-    void endService(const framework::ServiceEnd&);
+    void beginShutdown(const framework::ShutdownDeadlines&);
     /// Gives each request that has no final answer yet the one that it would get at the end.
     void answerNow();
     /// Requests without a final answer.
--- a/src/forwarding/internal/forwarder.cpp
+++ b/src/forwarding/internal/forwarder.cpp
@@ -126,11 +126,11 @@
         planSoon(planWithin);
     }
 
-    void endService(const framework::ServiceEnd& end)
+    void beginShutdown(const framework::ShutdownDeadlines& end)
     {
         end_ = end;
         for (const auto& job : jobs_)
-            job->endService(end);
+            job->beginShutdown(end);
         retryWaiting();
         // What still waits then is too late to start.
         startTimer_ = context_.traffic.runAt(end.startBy, [weak = weak_from_this()] {
@@ -228,7 +228,7 @@
         budget(terms.service).earn();
         const auto job = std::make_shared<RequestJob>(*this, exchange, std::move(terms));
         if (end_)
-            job->endService(*end_);
+            job->beginShutdown(*end_);
         jobs_.insert(job);
         if (!job->terms().facts.model.value().empty())
             jobsByModel_[job->terms().facts.model].insert(job);
@@ -382,7 +382,7 @@
     Context context_;
     ForwarderSettings settings_;
     /// Set once this process is to end.
-    std::optional<framework::ServiceEnd> end_;
+    std::optional<framework::ShutdownDeadlines> end_;
     std::unique_ptr<framework::Timer> startTimer_;
     UpstreamTable upstreams_;
     std::unique_ptr<catalog::RouteTable> routes_;
@@ -430,7 +430,7 @@
 
 void Forwarder::didLoseAgent(const Endpoint& engine) { implementation_->didLoseAgent(engine); }
 
-void Forwarder::endService(const framework::ServiceEnd& end) { implementation_->endService(end); }
+void Forwarder::beginShutdown(const framework::ShutdownDeadlines& end) { implementation_->beginShutdown(end); }
 
 void Forwarder::answerNow() { implementation_->answerNow(); }
 
--- a/src/forwarding/internal/requestjob.cpp
+++ b/src/forwarding/internal/requestjob.cpp
@@ -81,7 +81,7 @@
 /// Guards against a request that its router holds when it ends: its caller would see a closed connection, and couldn't
 /// know that it hasn't run and may ask another router. As a deadline the end counts wherever deadlines do: in
 /// forecasts, so that a wait that can't end well ends at once, and in the time that a server is given.
-void RequestJob::endService(const framework::ServiceEnd& end)
+void RequestJob::beginShutdown(const framework::ShutdownDeadlines& end)
 {
     if (isEnded_ || terms_.deadline <= end.answerBy)
         return;
--- a/src/forwarding/internal/requestjob.h
+++ b/src/forwarding/internal/requestjob.h
@@ -5,7 +5,7 @@
 #include "forwarding/internal/ijobhost.h"
 #include "forwarding/internal/upstreamchoice.h"
 #include "forwarding/promptcache.h"
-#include "framework/types/serviceend.h"
+#include "framework/types/shutdowndeadlines.h"
 #include "http/iexchange.h"
 
 #include <memory>
@@ -42,7 +42,7 @@
 
     void start();
     /// The router that keeps it ends: it has its final answer in time for that.
-    void endService(const framework::ServiceEnd&);
+    void beginShutdown(const framework::ShutdownDeadlines&);
     /// It has its final answer, or is broken off, when this returns.
     void answerNow();
     /// Sends it if a server can take it. Called again whenever that may have changed.
--- a/src/forwarding/tests/forwarder_test.cpp
+++ b/src/forwarding/tests/forwarder_test.cpp
@@ -153,10 +153,10 @@
     void endWithin(Milliseconds startWithin, Milliseconds answerWithin)
     {
         onTraffic([&] {
-            framework::ServiceEnd end;
+            framework::ShutdownDeadlines end;
             end.startBy = Deadline::after(clock.now(), startWithin);
             end.answerBy = Deadline::after(clock.now(), answerWithin);
-            forwarder.endService(end);
+            forwarder.beginShutdown(end);
         });
     }
     void endWithin(Milliseconds startWithin) { endWithin(startWithin, 2 * startWithin); }
--- a/src/framework/internal/serviceend.cpp
+++ b/src/framework/internal/shutdowndeadlines.cpp
@@ -1,4 +1,4 @@
-#include "framework/types/serviceend.h"
+#include "framework/types/shutdowndeadlines.h"
 
 #include <algorithm>
 
@@ -19,7 +19,7 @@
 
 } // namespace
 
-ServiceEnd ServiceEnd::after(SteadyTime told, Milliseconds grace)
+ShutdownDeadlines ShutdownDeadlines::after(SteadyTime told, Milliseconds grace)
 {
     const Milliseconds whole = std::max(grace, shortestGrace);
     const Milliseconds reserve = std::min(usualReserve, whole / reservePart);
--- a/src/framework/processsettings.h
+++ b/src/framework/processsettings.h
@@ -2,7 +2,7 @@
 
 #include "framework/checkedjson.h"
 #include "framework/types/processidentity.h"
-#include "framework/types/serviceend.h"
+#include "framework/types/shutdowndeadlines.h"
 
 #include <string>
 
--- a/src/framework/types/serviceend.h
+++ b/src/framework/types/shutdowndeadlines.h
@@ -12,7 +12,7 @@
 
 /// Until when a process that was told to end does what, so that everyone who waits for it has an answer before it is
 /// ended by force. Pure.
-struct ServiceEnd {
+struct ShutdownDeadlines {
     /// The process stays that long at least, also when it is idle: those who don't know yet that it ends get a refusal
     /// in place of a closed connection.
     Deadline noticedBy;
@@ -25,7 +25,7 @@
     Deadline exitBy;
 
     /// `grace` is the time from `told` until the process is ended by force.
-    static ServiceEnd after(SteadyTime told, Milliseconds grace);
+    static ShutdownDeadlines after(SteadyTime told, Milliseconds grace);
 };
 
 } // namespace lagoon::framework
--- a/src/router/internal/dispatcher.cpp
+++ b/src/router/internal/dispatcher.cpp
@@ -342,7 +342,7 @@
         const auto entry = requests_.find(number);
         if (entry == requests_.end() || !entry->second.waitsFor)
             continue;
-        if (serviceEnd_ && *progress.soonestAt > serviceEnd_->startBy) {
+        if (shutdownDeadlines_ && *progress.soonestAt > shutdownDeadlines_->startBy) {
             refuse(number, notStartedBeforeTheEnd());
             continue;
         }
@@ -457,9 +457,9 @@
 /// Guards against a process that is ended by force over those who wait: a load may take longer than the grace period,
 /// and the request's own deadline be later still, so that its connection would be closed without an answer. What can't
 /// be started in time is refused as soon as that is known.
-void Dispatcher::endService(const framework::ServiceEnd& end)
+void Dispatcher::beginShutdown(const framework::ShutdownDeadlines& end)
 {
-    serviceEnd_ = end;
+    shutdownDeadlines_ = end;
     startByTimer_ = context_.control.runAt(end.startBy, [this] { refuseUnstarted(); });
     answerByTimer_ = context_.control.runAt(end.answerBy, [this] { giveUpAll(); });
     for (const RequestNumber number : numbers()) {
@@ -469,7 +469,10 @@
     }
 }
 
-bool Dispatcher::mayStart() const { return !serviceEnd_ || !serviceEnd_->startBy.hasPassed(context_.clock.now()); }
+bool Dispatcher::mayStart() const
+{
+    return !shutdownDeadlines_ || !shutdownDeadlines_->startBy.hasPassed(context_.clock.now());
+}
 
 bool Dispatcher::isWithAgent(const Request& entry) const
 {
--- a/src/router/internal/dispatcher.h
+++ b/src/router/internal/dispatcher.h
@@ -5,7 +5,7 @@
 #include "framework/controlthread.h"
 #include "framework/iclock.h"
 #include "framework/metrics.h"
-#include "framework/types/serviceend.h"
+#include "framework/types/shutdowndeadlines.h"
 #include "policy/ireplicachoice.h"
 #include "policy/retrybudget.h"
 #include "router/internal/agentsessions.h"
@@ -50,7 +50,7 @@
     void takeRefusal(const framework::Error&, framework::BundleVersion home, const std::set<RequestNumber>&);
     void takeExpectation(const WakeReply&, const std::set<RequestNumber>&);
     /// The process was told to end: each request, also one that still comes, has its answer in time for that.
-    void endService(const framework::ServiceEnd&);
+    void beginShutdown(const framework::ShutdownDeadlines&);
     std::size_t requests() const { return requests_.size(); }
 
 private:
@@ -118,7 +118,7 @@
     std::map<framework::VmName, std::unique_ptr<framework::Timer>> drainingTimers_;
     std::uint64_t nextNumber_ = 1;
     /// Set once the process was told to end.
-    std::optional<framework::ServiceEnd> serviceEnd_;
+    std::optional<framework::ShutdownDeadlines> shutdownDeadlines_;
     std::unique_ptr<framework::Timer> startByTimer_;
     std::unique_ptr<framework::Timer> answerByTimer_;
 };
--- a/src/router/internal/router.cpp
+++ b/src/router/internal/router.cpp
@@ -7,7 +7,7 @@
 #include "framework/iclock.h"
 #include "framework/logging.h"
 #include "framework/randomid.h"
-#include "framework/types/serviceend.h"
+#include "framework/types/shutdowndeadlines.h"
 #include "framework/workerpool.h"
 #include "http/opsserver.h"
 #include "objectstore/objectstoreclient.h"
@@ -112,7 +112,7 @@
     /// All of it was started.
     bool isServing_ = false;
     /// Set when it is first told to end.
-    std::optional<framework::ServiceEnd> serviceEnd_;
+    std::optional<framework::ShutdownDeadlines> shutdownDeadlines_;
 };
 
 Router::Implementation::Implementation(const RouterSettings& settings)
@@ -292,13 +292,13 @@
 /// that is over, since the process is ended by force then.
 void Router::Implementation::drain()
 {
-    if (!serviceEnd_)
-        serviceEnd_ = framework::ServiceEnd::after(clock_.now(), settings_.shutdownGrace);
-    const framework::ServiceEnd end = *serviceEnd_;
+    if (!shutdownDeadlines_)
+        shutdownDeadlines_ = framework::ShutdownDeadlines::after(clock_.now(), settings_.shutdownGrace);
+    const framework::ShutdownDeadlines end = *shutdownDeadlines_;
     isShuttingDown_ = true;
     framework::logInfo("router", "shutting down, refusing new requests");
     callerServer_.refuseNew();
-    control_.post([this, end] { dispatcher_.endService(end); });
+    control_.post([this, end] { dispatcher_.beginShutdown(end); });
     // Callers keep connections that no reply has told them to close yet, and balancers don't know yet.
     if (isServing_)
         std::this_thread::sleep_until(end.noticedBy.at());
--- a/src/router/routersettings.h
+++ b/src/router/routersettings.h
@@ -4,7 +4,7 @@
 #include "framework/types/error.h"
 #include "framework/types/ids.h"
 #include "framework/types/processidentity.h"
-#include "framework/types/serviceend.h"
+#include "framework/types/shutdowndeadlines.h"
 #include "objectstore/objectstoreclient.h"
 #include "router/types/routersettings.h"
 
--- a/src/router/tests/dispatcher_test.cpp
+++ b/src/router/tests/dispatcher_test.cpp
@@ -451,8 +451,8 @@
 {
     const auto caller = ask(notes(), longTimeout, false);
     bidBoth(true);
-    const auto end = framework::ServiceEnd::after(control_.now(), grace);
-    dispatcher_.endService(end);
+    const auto end = framework::ShutdownDeadlines::after(control_.now(), grace);
+    dispatcher_.beginShutdown(end);
     control_.advance(end.startBy.remaining(control_.now()) - Milliseconds(1));
     BOOST_TEST(caller->finals_ == 0, "the load may still end in time");
     control_.advance(Milliseconds(1));
@@ -466,7 +466,7 @@
     const auto caller = ask(notes(), longTimeout, false);
     bidBoth(true);
     const std::string vm = loader();
-    dispatcher_.endService(framework::ServiceEnd::after(control_.now(), grace));
+    dispatcher_.beginShutdown(framework::ShutdownDeadlines::after(control_.now(), grace));
     endLoad(vm, true);
     answer(*link(vm), sentId(vm), "note");
     BOOST_TEST(caller->isWhole_);
@@ -480,7 +480,7 @@
     progress.soonestAt = framework::Deadline::after(control_.now(), Milliseconds(20000));
     dispatcher_.takeExpectation(progress, { RequestNumber(1) });
     BOOST_TEST(caller->finals_ == 0);
-    dispatcher_.endService(framework::ServiceEnd::after(control_.now(), grace));
+    dispatcher_.beginShutdown(framework::ShutdownDeadlines::after(control_.now(), grace));
     dispatcher_.takeExpectation(progress, { RequestNumber(1) });
     checkNotStarted(*caller);
 }
@@ -488,8 +488,8 @@
 // A request whose body came late is handed over when nothing may be started any more.
 BOOST_AUTO_TEST_CASE(atTheEndALateRequestIsRefusedAtOnce)
 {
-    const auto end = framework::ServiceEnd::after(control_.now(), grace);
-    dispatcher_.endService(end);
+    const auto end = framework::ShutdownDeadlines::after(control_.now(), grace);
+    dispatcher_.beginShutdown(end);
     control_.advance(end.startBy.remaining(control_.now()));
     checkNotStarted(*ask(holds(), longTimeout, false));
 }
@@ -498,8 +498,8 @@
 BOOST_AUTO_TEST_CASE(atTheEndWhatWasNotSentIsNotRun)
 {
     const auto caller = ask(holds(), longTimeout, false);
-    const auto end = framework::ServiceEnd::after(control_.now(), grace);
-    dispatcher_.endService(end);
+    const auto end = framework::ShutdownDeadlines::after(control_.now(), grace);
+    dispatcher_.beginShutdown(end);
     control_.advance(end.startBy.remaining(control_.now()));
     BOOST_REQUIRE(caller->refused_);
     BOOST_CHECK(caller->refused_->execution == Execution::NotRun);
@@ -525,8 +525,8 @@
     head.status = 200;
     link(otherVm)->deliver(wire::message(std::move(head)));
     settle();
-    const auto end = framework::ServiceEnd::after(control_.now(), grace);
-    dispatcher_.endService(end);
+    const auto end = framework::ShutdownDeadlines::after(control_.now(), grace);
+    dispatcher_.beginShutdown(end);
     for (const std::string& each : { vm, otherVm })
         link(each)->takeSent();
     // In steps that an agent's sign of life can keep pace with.
