--- a/src/agent/internal/routerlinks.cpp
+++ b/src/agent/internal/routerlinks.cpp
@@ -85,7 +85,7 @@
     const Peer peer = found->second;
     switch (message.body.type) {
     case fb::Body::Dispatch:
-        context_.bundles.hearOf(framework::BundleVersion(message.body.AsDispatch()->bundle_version));
+        context_.bundles.observeVersion(framework::BundleVersion(message.body.AsDispatch()->bundle_version));
         return context_.gate.dispatch(link, std::move(*message.body.AsDispatch()));
     case fb::Body::Cancel:
         return context_.gate.cancel(*message.body.AsCancel());
@@ -114,7 +114,7 @@
     peer.session = context_.gate.openSession(router);
     peer.closeAt = Deadline::after(context_.clock.now(), silenceAllowed);
     context_.gate.linkOpened(router);
-    context_.bundles.hearOf(framework::BundleVersion(hello.bundle_version));
+    context_.bundles.observeVersion(framework::BundleVersion(hello.bundle_version));
     fb::HelloAckT answer;
     answer.receiver_vm = context_.ownVm.value();
     answer.receiver_incarnation = context_.ownIncarnation.value();
@@ -125,7 +125,7 @@
 
 void RouterLinks::answerPing(const LinkPointer& link, const Peer& peer, const fb::PingT& ping)
 {
-    context_.bundles.hearOf(framework::BundleVersion(ping.bundle_version));
+    context_.bundles.observeVersion(framework::BundleVersion(ping.bundle_version));
     context_.gate.settle(peer.incarnation, peer.session, framework::SequenceNumber(ping.floor));
     fb::PongT pong;
     pong.nonce = ping.nonce;
@@ -139,7 +139,7 @@
 {
     LoadOffer offer;
     offer.refusal = notAnEngine();
-    context_.bundles.hearOf(framework::BundleVersion(request.bundle_version));
+    context_.bundles.observeVersion(framework::BundleVersion(request.bundle_version));
     if (request.bundle_version > bundleVersion())
         offer.refusal = bundleNotHere();
     else if (context_.replicas)
@@ -164,7 +164,7 @@
 
 void RouterLinks::load(const LinkPointer& link, const fb::LoadT& order)
 {
-    context_.bundles.hearOf(framework::BundleVersion(order.bundle_version));
+    context_.bundles.observeVersion(framework::BundleVersion(order.bundle_version));
     const std::uint64_t correlation = order.correlation;
     const auto answer = [link, correlation](const std::optional<Error>& error) {
         link->send(wire::message(loadResult(correlation, error)));
--- a/src/bundle/ibundlewatch.h
+++ b/src/bundle/ibundlewatch.h
@@ -12,7 +12,7 @@
     /// Null until the first bundle was read. From any thread.
     virtual BundlePointer current() const = 0;
     /// Someone has seen this version; if it is newer, the head is read soon. From any thread.
-    virtual void hearOf(framework::BundleVersion) = 0;
+    virtual void observeVersion(framework::BundleVersion) = 0;
     /// Sent on the control thread after `current` changed.
     virtual framework::Channel<BundlePointer>& changed() = 0;
     virtual void start() = 0;
--- a/src/bundle/internal/bundlewatch.cpp
+++ b/src/bundle/internal/bundlewatch.cpp
@@ -49,7 +49,7 @@
     BundlePointer current() const override { return current_; }
     framework::Channel<BundlePointer>& changed() override { return changed_; }
 
-    void hearOf(BundleVersion version) override
+    void observeVersion(BundleVersion version) override
     {
         const std::lock_guard lock(mutex_);
         if (version <= heard_)
--- a/src/bundle/tests/bundlewatch_test.cpp
+++ b/src/bundle/tests/bundlewatch_test.cpp
@@ -101,7 +101,7 @@
     Follower follower(HeadMode::Listen, store);
     BOOST_TEST(follower.reaches(7));
     tests::rollOutBundle(*store, 8);
-    follower.watch().hearOf(BundleVersion(8));
+    follower.watch().observeVersion(BundleVersion(8));
     BOOST_TEST(follower.reaches(8));
 }
 
@@ -147,7 +147,7 @@
     store->setAvailable(false);
     store->showInstead(bundleHeadKey(), older);
     Follower follower(HeadMode::Watch, store);
-    follower.watch().hearOf(BundleVersion(8));
+    follower.watch().observeVersion(BundleVersion(8));
     store->setAvailable(true);
     BOOST_TEST(Follower::waitUntil([&] { return follower.counts("lagoon_bundle_older_heads_total"); }));
     BOOST_TEST(follower.version() == 0U);
--- a/src/router/internal/agentsession.cpp
+++ b/src/router/internal/agentsession.cpp
@@ -19,11 +19,11 @@
 namespace {
 
 constexpr Milliseconds tickInterval { 100 };
-constexpr Milliseconds shortestReconnect { 100 };
-constexpr Milliseconds longestReconnect { 1000 };
+constexpr Milliseconds minReconnectDelay { 100 };
+constexpr Milliseconds maxReconnectDelay { 1000 };
 /// Settled ids after which the agent is told the floor without waiting for the next dispatch or ping.
 constexpr std::uint32_t settleBatch = 16;
-constexpr std::uint32_t connectTriesForUnsent = 2;
+constexpr std::uint32_t maxConnectAttemptsForUnsent = 2;
 constexpr double firstByteSmoothing = 0.2;
 
 callers::HttpHeaders headersOf(const wire::fb::AnswerHeadT& head)
@@ -55,7 +55,7 @@
 }
 
 SequenceNumber AgentSession::dispatch(
-    wire::fb::DispatchT order, Deadline deadline, std::shared_ptr<AnswerStream> stream, OutcomeHandler onOutcome)
+    wire::fb::DispatchT frame, Deadline deadline, std::shared_ptr<AnswerStream> stream, OutcomeHandler onOutcome)
 {
     const std::uint64_t sequence = nextSequence_++;
     const SteadyTime now = context_.clock.now();
@@ -64,9 +64,9 @@
         streams_.emplace(sequence, stream);
     }
     const auto entry = inFlight_.emplace(
-        sequence, InFlight { std::move(order), std::move(stream), std::move(onOutcome), false, now, deadline });
-    entry.first->second.order.id = std::make_unique<wire::fb::DispatchIdT>();
-    entry.first->second.order.id->sequence = sequence;
+        sequence, InFlight { std::move(frame), std::move(stream), std::move(onOutcome), false, now, deadline });
+    entry.first->second.frame.id = std::make_unique<wire::fb::DispatchIdT>();
+    entry.first->second.frame.id->sequence = sequence;
     connect();
     if (isOpen_)
         send(entry.first->second);
@@ -89,11 +89,11 @@
     if (!entry.wasSent || !isOpen_)
         return;
     wire::fb::CancelT cancel;
-    cancel.id = std::make_unique<wire::fb::DispatchIdT>(*entry.order.id);
+    cancel.id = std::make_unique<wire::fb::DispatchIdT>(*entry.frame.id);
     link_->send(wire::message(std::move(cancel)));
 }
 
-void AgentSession::askBid(
+void AgentSession::requestBid(
     const wire::fb::TargetT& target, framework::BundleVersion version, AnswerHandler<wire::fb::BidT> onAnswer)
 {
     wire::fb::BidRequestT request;
@@ -101,8 +101,8 @@
     request.correlation = nextCorrelation_++;
     request.target = std::make_unique<wire::fb::TargetT>(target);
     const std::uint64_t correlation = request.correlation;
-    ask(correlation, wire::message(std::move(request)),
-        Question { [onAnswer = std::move(onAnswer)](const framework::Result<const Message*>& answer) {
+    sendQuery(correlation, wire::message(std::move(request)),
+        Query { [onAnswer = std::move(onAnswer)](const framework::Result<const Message*>& answer) {
             if (answer.has_error())
                 onAnswer(answer.error());
             else if (const wire::fb::BidT* bid = answer.value()->body.AsBid())
@@ -114,8 +114,8 @@
 {
     load.correlation = nextCorrelation_++;
     const std::uint64_t correlation = load.correlation;
-    ask(correlation, wire::message(std::move(load)),
-        Question { [onAnswer = std::move(onAnswer)](const framework::Result<const Message*>& answer) {
+    sendQuery(correlation, wire::message(std::move(load)),
+        Query { [onAnswer = std::move(onAnswer)](const framework::Result<const Message*>& answer) {
             if (answer.has_error())
                 onAnswer(answer.error());
             else if (const wire::fb::LoadResultT* result = answer.value()->body.AsLoadResult())
@@ -123,14 +123,14 @@
         } });
 }
 
-void AgentSession::ask(std::uint64_t correlation, Message question, Question handler)
+void AgentSession::sendQuery(std::uint64_t correlation, Message query, Query handler)
 {
-    questions_.emplace(correlation, std::move(handler));
+    pendingQueries_.emplace(correlation, std::move(handler));
     connect();
     if (isOpen_)
-        link_->send(question);
+        link_->send(query);
     else
-        questionsToSend_.push_back(std::move(question));
+        unsentQueries_.push_back(std::move(query));
     armTick();
 }
 
@@ -138,7 +138,7 @@
 {
     const Error gone = error(ErrorCode::AgentRestarted, "dispatch", "the VM is gone", Execution::Unknown);
     dropLink();
-    failQuestions(gone);
+    failQueries(gone);
     failUnsent(error(ErrorCode::LinkLost, "dispatch", "the VM is gone", Execution::NotRun));
     failSent(gone);
 }
@@ -154,7 +154,7 @@
     const SteadyTime now = context_.clock.now();
     if (link_ || !connectAt_.hasPassed(now))
         return;
-    lastHeard_ = now.time_since_epoch().count();
+    lastReceived_ = now.time_since_epoch().count();
     const std::weak_ptr<AgentSession> weak = weak_from_this();
     wire::LinkHandlers handlers;
     handlers.onMessage = [weak](const std::shared_ptr<wire::ILink>& link, Message message) {
@@ -180,7 +180,7 @@
 
 void AgentSession::receive(const std::shared_ptr<wire::ILink>& link, Message message)
 {
-    lastHeard_ = context_.clock.now().time_since_epoch().count();
+    lastReceived_ = context_.clock.now().time_since_epoch().count();
     if (const wire::fb::AnswerHeadT* head = message.body.AsAnswerHead()) {
         if (const auto stream = isOwnId(*head->id) ? streamOf(head->id->sequence) : nullptr)
             stream->head(head->status, headersOf(*head), context_.clock.now());
@@ -209,12 +209,12 @@
         return handleRefused(*message.body.AsRefused());
     case wire::fb::Body::Pong:
         load_ = { message.body.AsPong()->running, message.body.AsPong()->waiting };
-        context_.hearOf(framework::BundleVersion(message.body.AsPong()->bundle_version));
+        context_.observeVersion(framework::BundleVersion(message.body.AsPong()->bundle_version));
         return;
     case wire::fb::Body::Bid:
-        return answerQuestion(message.body.AsBid()->correlation, message);
+        return completeQuery(message.body.AsBid()->correlation, message);
     case wire::fb::Body::LoadResult:
-        return answerQuestion(message.body.AsLoadResult()->correlation, message);
+        return completeQuery(message.body.AsLoadResult()->correlation, message);
     default:
         context_.metrics.count("lagoon_bad_frames_total", { { "reason", "unexpected" } });
     }
@@ -222,7 +222,7 @@
 
 void AgentSession::handleHello(const wire::fb::HelloAckT& hello)
 {
-    context_.hearOf(framework::BundleVersion(hello.bundle_version));
+    context_.observeVersion(framework::BundleVersion(hello.bundle_version));
     isOpen_ = true;
     isSuspect_ = false;
     failedConnects_ = 0;
@@ -238,8 +238,8 @@
         else
             send(entry);
     }
-    for (const Message& question : std::exchange(questionsToSend_, {}))
-        link_->send(question);
+    for (const Message& query : std::exchange(unsentQueries_, {}))
+        link_->send(query);
     nextPing_ = Deadline::after(context_.clock.now(), context_.settings.pingInterval);
 }
 
@@ -248,26 +248,26 @@
     entry.wasSent = true;
     const SteadyTime now = context_.clock.now();
     // A copy goes out: what stays is needed for `Resolve` only, and that doesn't need the body.
-    entry.order.id->router_incarnation = context_.ownIncarnation.value();
-    entry.order.id->session = session_;
-    entry.order.agent_incarnation = agentIncarnation_;
-    entry.order.floor = floor();
-    entry.order.remaining_ms = static_cast<std::uint32_t>(entry.deadline.remaining(now).count());
-    wire::fb::DispatchT order(std::move(entry.order));
-    entry.order = wire::fb::DispatchT();
-    entry.order.id = std::make_unique<wire::fb::DispatchIdT>(*order.id);
-    link_->send(wire::message(std::move(order)));
+    entry.frame.id->router_incarnation = context_.ownIncarnation.value();
+    entry.frame.id->session = session_;
+    entry.frame.agent_incarnation = agentIncarnation_;
+    entry.frame.floor = floor();
+    entry.frame.remaining_ms = static_cast<std::uint32_t>(entry.deadline.remaining(now).count());
+    wire::fb::DispatchT frame(std::move(entry.frame));
+    entry.frame = wire::fb::DispatchT();
+    entry.frame.id = std::make_unique<wire::fb::DispatchIdT>(*frame.id);
+    link_->send(wire::message(std::move(frame)));
 }
 
 void AgentSession::resolve(const InFlight& entry)
 {
     context_.metrics.count("lagoon_resolves_total");
-    wire::fb::ResolveT question;
-    question.id = std::make_unique<wire::fb::DispatchIdT>(*entry.order.id);
-    question.agent_incarnation = agentIncarnation_;
-    question.received_bytes = entry.stream->receivedBytes();
-    question.floor = floor();
-    link_->send(wire::message(std::move(question)));
+    wire::fb::ResolveT query;
+    query.id = std::make_unique<wire::fb::DispatchIdT>(*entry.frame.id);
+    query.agent_incarnation = agentIncarnation_;
+    query.received_bytes = entry.stream->receivedBytes();
+    query.floor = floor();
+    link_->send(wire::message(std::move(query)));
 }
 
 void AgentSession::handleEnd(const wire::fb::AnswerEndT& end)
@@ -283,7 +283,7 @@
     firstByteSeconds_ += (isFirst ? 1 : firstByteSmoothing) * (seconds - firstByteSeconds_);
     lastAnswer_ = context_.clock.now();
     const SequenceNumber sequence(end.id->sequence);
-    if (entry->second.stream->isWhole(end.length, end.checksum))
+    if (entry->second.stream->isComplete(end.length, end.checksum))
         return settle(sequence, framework::success());
     settle(sequence,
         error(ErrorCode::UpstreamBroken, "receive answer", "length or checksum disagree", Execution::Unknown));
@@ -299,11 +299,11 @@
     settle(SequenceNumber(refused.id->sequence), why);
 }
 
-void AgentSession::answerQuestion(std::uint64_t correlation, const Message& message)
+void AgentSession::completeQuery(std::uint64_t correlation, const Message& message)
 {
-    auto question = questions_.extract(correlation);
-    if (!question.empty())
-        question.mapped().onAnswer(&message);
+    auto query = pendingQueries_.extract(correlation);
+    if (!query.empty())
+        query.mapped().onAnswer(&message);
 }
 
 void AgentSession::settle(SequenceNumber sequence, const DispatchOutcome& outcome)
@@ -332,13 +332,13 @@
     ++failedConnects_;
     isSuspect_ = true;
     // The first try is at once: a silent link may be the only thing that is wrong.
-    const Milliseconds wait = std::min(longestReconnect, shortestReconnect * (failedConnects_ - 1));
+    const Milliseconds wait = std::min(maxReconnectDelay, minReconnectDelay * (failedConnects_ - 1));
     connectAt_ = Deadline::after(context_.clock.now(), wait);
     context_.metrics.count("lagoon_links_lost_total", { { "step", why.step } });
     dropLink();
-    failQuestions(why);
+    failQueries(why);
     // Nothing of these has left the process, so another agent may run them.
-    if (failedConnects_ >= connectTriesForUnsent || why.step == "connect")
+    if (failedConnects_ >= maxConnectAttemptsForUnsent || why.step == "connect")
         failUnsent(error(ErrorCode::LinkLost, "connect", why.detail, Execution::NotRun));
     armTick();
 }
@@ -351,11 +351,11 @@
     isOpen_ = false;
 }
 
-void AgentSession::failQuestions(const Error& why)
+void AgentSession::failQueries(const Error& why)
 {
-    questionsToSend_.clear();
-    for (auto& [correlation, question] : std::exchange(questions_, {}))
-        question.onAnswer(why);
+    unsentQueries_.clear();
+    for (auto& [correlation, query] : std::exchange(pendingQueries_, {}))
+        query.onAnswer(why);
 }
 
 void AgentSession::failUnsent(const Error& why) { failEach(false, why); }
@@ -379,7 +379,7 @@
     const SteadyTime now = context_.clock.now();
     // Silence counts from when there is something to answer.
     if (idleUntil_ != Deadline())
-        lastHeard_ = now.time_since_epoch().count();
+        lastReceived_ = now.time_since_epoch().count();
     idleUntil_ = Deadline();
     armTickAt(Deadline::after(now, tickInterval));
 }
@@ -403,7 +403,7 @@
 {
     tickTimer_.reset();
     const SteadyTime now = context_.clock.now();
-    const bool isBusy = !inFlight_.empty() || !questions_.empty();
+    const bool isBusy = !inFlight_.empty() || !pendingQueries_.empty();
     if (!isBusy) {
         if (!link_)
             return;
@@ -414,12 +414,12 @@
         return armTickAt(idleUntil_);
     }
     connect();
-    const SteadyTime heard { SteadyTime::duration(lastHeard_.load()) };
-    if (now - heard > context_.settings.silenceLimit) {
+    const SteadyTime lastReceived { SteadyTime::duration(lastReceived_.load()) };
+    if (now - lastReceived > context_.settings.silenceLimit) {
         framework::logWarning("router", "link to " + agent_.value() + " is silent, opening another");
         linkLost(Error { ErrorCode::LinkLost, "await answer", agent_.value(), "silent" });
         connect();
-    } else if (isOpen_ && nextPing_.hasPassed(now) && now - heard >= context_.settings.pingInterval) {
+    } else if (isOpen_ && nextPing_.hasPassed(now) && now - lastReceived >= context_.settings.pingInterval) {
         // Only a link that says nothing by itself is asked whether it lives: while tokens stream, pings on each link of
         // a router at the target size would be 89 KB/s of 27 (docs/CAPACITY.md).
         nextPing_ = Deadline::after(now, context_.settings.pingInterval);
--- a/src/router/internal/agentsession.h
+++ b/src/router/internal/agentsession.h
@@ -35,7 +35,7 @@
     const DispatchSettings& settings;
     std::function<framework::BundleVersion()> bundleVersion;
     /// A peer has seen this version.
-    std::function<void(framework::BundleVersion)> hearOf;
+    std::function<void(framework::BundleVersion)> observeVersion;
 };
 
 /// Load numbers as the agent last said.
@@ -62,7 +62,7 @@
     void cancel(framework::SequenceNumber);
     /// Whether the dispatch has left this process; until then nobody can have run it.
     bool wasSent(framework::SequenceNumber) const;
-    void askBid(const wire::fb::TargetT&, framework::BundleVersion, AnswerHandler<wire::fb::BidT>);
+    void requestBid(const wire::fb::TargetT&, framework::BundleVersion, AnswerHandler<wire::fb::BidT>);
     void load(wire::fb::LoadT, AnswerHandler<wire::fb::LoadResultT>);
     /// The platform says that the VM no longer exists.
     void setGone();
@@ -80,7 +80,7 @@
 private:
     /// A dispatch without outcome.
     struct InFlight {
-        wire::fb::DispatchT order;
+        wire::fb::DispatchT frame;
         std::shared_ptr<AnswerStream> stream;
         OutcomeHandler onOutcome;
         /// Handed to some link; from then on only the agent can say that it didn't run.
@@ -89,7 +89,7 @@
         framework::Deadline deadline;
     };
     /// A question with one answer, tried on one link only: bids and loads are harmless to ask again.
-    struct Question {
+    struct Query {
         std::function<void(const framework::Result<const wire::Message*>&)> onAnswer;
     };
 
@@ -99,10 +99,10 @@
     void handleHello(const wire::fb::HelloAckT&);
     void handleEnd(const wire::fb::AnswerEndT&);
     void handleRefused(const wire::fb::RefusedT&);
-    void answerQuestion(std::uint64_t correlation, const wire::Message&);
+    void completeQuery(std::uint64_t correlation, const wire::Message&);
     void linkLost(const framework::Error&);
     void dropLink();
-    void failQuestions(const framework::Error&);
+    void failQueries(const framework::Error&);
     void failUnsent(const framework::Error&);
     void failSent(const framework::Error&);
     void failEach(bool wasSent, const framework::Error&);
@@ -110,7 +110,7 @@
     void resolve(const InFlight&);
     void sendCancel(const InFlight&);
     void settle(framework::SequenceNumber, const DispatchOutcome&);
-    void ask(std::uint64_t correlation, wire::Message, Question);
+    void sendQuery(std::uint64_t correlation, wire::Message, Query);
     void armTick();
     void armTickAt(framework::Deadline);
     void tick();
@@ -131,8 +131,8 @@
     std::uint64_t nextSequence_ = 1;
     std::uint64_t nextCorrelation_ = 1;
     std::map<std::uint64_t, InFlight> inFlight_;
-    std::map<std::uint64_t, Question> questions_;
-    std::vector<wire::Message> questionsToSend_;
+    std::map<std::uint64_t, Query> pendingQueries_;
+    std::vector<wire::Message> unsentQueries_;
     std::uint32_t settledSinceFloor_ = 0;
     AgentLoad load_;
     bool isSuspect_ = false;
@@ -145,7 +145,7 @@
     framework::Deadline idleUntil_;
     std::uint32_t failedConnects_ = 0;
     framework::Deadline connectAt_;
-    std::atomic<framework::SteadyTime::rep> lastHeard_ { 0 };
+    std::atomic<framework::SteadyTime::rep> lastReceived_ { 0 };
 
     /// Streams by sequence, for the links' threads.
     mutable std::mutex streamsMutex_;
--- a/src/router/internal/agentsessions.cpp
+++ b/src/router/internal/agentsessions.cpp
@@ -29,7 +29,7 @@
     return found == sessions_.end() ? nullptr : found->second;
 }
 
-void AgentSessions::endGone()
+void AgentSessions::removeGone()
 {
     std::vector<std::shared_ptr<AgentSession>> gone;
     for (const auto& [vm, session] : sessions_) {
--- a/src/router/internal/agentsessions.h
+++ b/src/router/internal/agentsessions.h
@@ -18,7 +18,7 @@
     /// Null if there was nothing to say to the agent yet.
     std::shared_ptr<AgentSession> existing(const framework::VmName&) const;
     /// After a change of the list: ends sessions with VMs that are gone.
-    void endGone();
+    void removeGone();
     void closeAll();
 
 private:
--- a/src/router/internal/answerstream.cpp
+++ b/src/router/internal/answerstream.cpp
@@ -28,10 +28,10 @@
     const std::lock_guard lock(mutex_);
     if (offset > receivedBytes_)
         return false;
-    const std::uint64_t alreadyHere = receivedBytes_ - offset;
-    if (alreadyHere >= bytes.size())
+    const std::uint64_t alreadyReceived = receivedBytes_ - offset;
+    if (alreadyReceived >= bytes.size())
         return true;
-    std::string fresh(bytes.begin() + static_cast<std::ptrdiff_t>(alreadyHere), bytes.end());
+    std::string fresh(bytes.begin() + static_cast<std::ptrdiff_t>(alreadyReceived), bytes.end());
     receivedBytes_ += fresh.size();
     checksum_ = policy::fnv1a(fresh.data(), fresh.size(), checksum_);
     if (answer_)
@@ -39,7 +39,7 @@
     return true;
 }
 
-bool AnswerStream::isWhole(std::uint64_t length, std::uint64_t checksum) const
+bool AnswerStream::isComplete(std::uint64_t length, std::uint64_t checksum) const
 {
     const std::lock_guard lock(mutex_);
     return begunAt_ && receivedBytes_ == length && checksum_ == checksum;
--- a/src/router/internal/answerstream.h
+++ b/src/router/internal/answerstream.h
@@ -26,7 +26,7 @@
     /// False: bytes are missing before `offset`; the answer can't become whole any more over this link.
     [[nodiscard]] bool chunk(std::uint64_t offset, const std::vector<std::uint8_t>& bytes);
     /// Whether what came is the whole answer.
-    [[nodiscard]] bool isWhole(std::uint64_t length, std::uint64_t checksum) const;
+    [[nodiscard]] bool isComplete(std::uint64_t length, std::uint64_t checksum) const;
     /// Nothing more reaches the caller from this attempt; returns whether anything had.
     bool detach();
 
--- a/src/router/internal/dispatcher.cpp
+++ b/src/router/internal/dispatcher.cpp
@@ -25,9 +25,9 @@
 constexpr Milliseconds answerMargin { 20 };
 constexpr Milliseconds drainingAvoidance { 5000 };
 /// Another router may serve at once what this one, which ends, didn't start.
-constexpr Milliseconds retryAfterEnd { 1000 };
-constexpr Milliseconds bundlePatience { 3000 };
-constexpr Milliseconds bundleLookInterval { 100 };
+constexpr Milliseconds retryAfterShutdown { 1000 };
+constexpr Milliseconds maxBundleWait { 3000 };
+constexpr Milliseconds bundlePollInterval { 100 };
 
 /// The replica works, but has no place for this request in time.
 bool isBusy(const Error& error)
@@ -38,16 +38,16 @@
 /// Whether a retry after it is charged to no budget. A stale placement costs its agent nothing and is forgotten with
 /// the first refusal, an agent that drains is avoided from then on: neither can multiply an overload. Models that come
 /// and go, or the queue of one agent that is told to end, would use the budget up, and requests be refused for nothing.
-bool isFree(const Error& error)
+bool isExemptFromRetryBudget(const Error& error)
 {
     const bool isLeaving = error.code == ErrorCode::Draining || error.code == ErrorCode::ShuttingDown;
     return error.code == ErrorCode::NotLoaded || (isLeaving && error.execution == Execution::NotRun);
 }
 
-Error notStartedBeforeTheEnd()
+Error notStartedBeforeShutdown()
 {
     return Error { ErrorCode::ShuttingDown, "wait for replica", "",
-        "this router ends before the request could be served", Execution::NotRun, retryAfterEnd };
+        "this router ends before the request could be served", Execution::NotRun, retryAfterShutdown };
 }
 
 const char* reasonText(const Error& error) { return framework::errorCodeText(error.code).data(); }
@@ -84,7 +84,7 @@
         Deadline(entry.request.deadline.at() - answerMargin), [this, number] { deadlinePassed(number); });
     retryBudget_.earn();
     if (!mayStart())
-        refuse(number, notStartedBeforeTheEnd());
+        refuse(number, notStartedBeforeShutdown());
     else if (context_.keys && entry.request.idempotencyKey && !entry.request.isRepeatable)
         claimKey(number, entry);
     else
@@ -114,7 +114,7 @@
     if (entry.request.deadline.hasPassed(context_.clock.now()))
         return refuse(number, Error { ErrorCode::DeadlinePassed, "route", "", "" });
     if (!mayStart())
-        return refuse(number, notStartedBeforeTheEnd());
+        return refuse(number, notStartedBeforeShutdown());
     const std::vector<VmName> vms = candidates(entry);
     if (!vms.empty())
         return dispatch(number, entry, choose(entry, vms));
@@ -191,7 +191,7 @@
     }
     // All that the bundle decides are warm and have no place: no load will come, and waiting would end at the deadline.
     if (entry.lastError && isBusy(*entry.lastError)
-        && context_.placements.vms(where->target).size() >= decided(*where)) {
+        && context_.placements.vms(where->target).size() >= replicaCap(*where)) {
         entry.refusedSites.insert(where->site);
         return waitForReplica(number, entry);
     }
@@ -199,24 +199,24 @@
     entry.coldSince = entry.coldSince.value_or(context_.clock.now());
     const auto wanted = static_cast<std::uint32_t>(context_.placements.vms(where->target).size() + 1);
     const WaitingRequest waiting { entry.request.deadline, entry.request.priority };
-    wakes_->wait(*where, number, waiting, std::min(wanted, std::max(1U, decided(*where))));
+    wakes_->wait(*where, number, waiting, std::min(wanted, std::max(1U, replicaCap(*where))));
 }
 
 /// The own site first, then the others where the bundle decides replicas: during a move, both carry the traffic.
 std::optional<SiteTarget> Dispatcher::nextSite(const Request& entry) const
 {
     const SiteTarget own { entry.request.target, context_.site };
-    if (!entry.refusedSites.contains(own.site) && decided(own) > 0)
+    if (!entry.refusedSites.contains(own.site) && replicaCap(own) > 0)
         return own;
     for (const framework::SiteName& site : context_.directory.sites()) {
         const SiteTarget other { entry.request.target, site };
-        if (!entry.refusedSites.contains(site) && decided(other) > 0)
+        if (!entry.refusedSites.contains(site) && replicaCap(other) > 0)
             return other;
     }
     return std::nullopt;
 }
 
-std::uint32_t Dispatcher::decided(const SiteTarget& where) const
+std::uint32_t Dispatcher::replicaCap(const SiteTarget& where) const
 {
     const bundle::BundlePointer bundle = context_.bundle();
     if (!bundle)
@@ -238,35 +238,35 @@
         context_.metrics.observeSeconds("lagoon_cold_start_seconds", waited.count());
         entry.coldSince.reset();
     }
-    entry.sequence = session->dispatch(makeOrder(entry), entry.request.deadline, entry.stream,
-        [this, number, vm](const DispatchOutcome& outcome) { takeOutcome(number, vm, outcome); });
-    askForMoreIfBusy(entry, static_cast<std::uint32_t>(session->inFlight()));
+    entry.sequence = session->dispatch(makeDispatch(entry), entry.request.deadline, entry.stream,
+        [this, number, vm](const DispatchOutcome& outcome) { handleOutcome(number, vm, outcome); });
+    scaleUpIfBusy(entry, static_cast<std::uint32_t>(session->inFlight()));
 }
 
-wire::fb::DispatchT Dispatcher::makeOrder(const Request& entry) const
+wire::fb::DispatchT Dispatcher::makeDispatch(const Request& entry) const
 {
     const CallerRequest& request = entry.request;
-    wire::fb::DispatchT order;
-    order.target = std::make_unique<wire::fb::TargetT>(toWire(request.target));
-    order.request_name = request.name.value();
-    order.attempt = entry.attempts;
-    order.method = request.method;
-    order.path = request.path;
+    wire::fb::DispatchT frame;
+    frame.target = std::make_unique<wire::fb::TargetT>(toWire(request.target));
+    frame.request_name = request.name.value();
+    frame.attempt = entry.attempts;
+    frame.method = request.method;
+    frame.path = request.path;
     for (const auto& [name, value] : request.headers) {
         auto header = std::make_unique<wire::fb::HeaderT>();
         header->name = name;
         header->value = value;
-        order.headers.push_back(std::move(header));
+        frame.headers.push_back(std::move(header));
     }
-    order.body.assign(request.body.begin(), request.body.end());
-    order.is_repeatable = request.isRepeatable;
-    order.priority = request.priority;
+    frame.body.assign(request.body.begin(), request.body.end());
+    frame.is_repeatable = request.isRepeatable;
+    frame.priority = request.priority;
     const bundle::BundlePointer bundle = context_.bundle();
-    order.bundle_version = bundle ? bundle->version.value() : 0;
-    return order;
+    frame.bundle_version = bundle ? bundle->version.value() : 0;
+    return frame;
 }
 
-void Dispatcher::askForMoreIfBusy(const Request& entry, std::uint32_t inFlight)
+void Dispatcher::scaleUpIfBusy(const Request& entry, std::uint32_t inFlight)
 {
     const callers::RequestTarget& target = entry.request.target;
     if (target.isService())
@@ -277,11 +277,11 @@
         std::count_if(vms.begin(), vms.end(), [this](const VmName& vm) { return isAtOwnSite(vm); }));
     // Without one here, another site serves what this one should: during a move the new site is warmed by that.
     const bool isMoreNeeded = known == 0 || inFlight >= context_.settings.scaleUpInFlight;
-    if (isMoreNeeded && known < decided(own))
-        wakes_->wantMore(own, known + 1, entry.request.deadline);
+    if (isMoreNeeded && known < replicaCap(own))
+        wakes_->requestScaleUp(own, known + 1, entry.request.deadline);
 }
 
-void Dispatcher::takePlacements(
+void Dispatcher::handlePlacements(
     const SiteTarget& where, const std::vector<VmName>& vms, const std::set<RequestNumber>& requests)
 {
     for (const VmName& vm : vms)
@@ -300,7 +300,8 @@
     }
 }
 
-void Dispatcher::takeRefusal(const Error& error, framework::BundleVersion home, const std::set<RequestNumber>& requests)
+void Dispatcher::handleRefusal(
+    const Error& error, framework::BundleVersion home, const std::set<RequestNumber>& requests)
 {
     for (const RequestNumber number : requests) {
         const auto found = requests_.find(number);
@@ -326,24 +327,24 @@
     const bundle::BundlePointer bundle = context_.bundle();
     if (!bundle || home <= bundle->version)
         return false;
-    if (!entry.bundlePatienceEnds)
-        entry.bundlePatienceEnds = Deadline::after(now, bundlePatience);
-    if (entry.bundlePatienceEnds->hasPassed(now))
+    if (!entry.bundleWaitDeadline)
+        entry.bundleWaitDeadline = Deadline::after(now, maxBundleWait);
+    if (entry.bundleWaitDeadline->hasPassed(now))
         return false;
     context_.metrics.count("lagoon_bundles_awaited_total");
     entry.bundleTimer
-        = context_.control.runAt(Deadline::after(now, bundleLookInterval), [this, number] { route(number); });
+        = context_.control.runAt(Deadline::after(now, bundlePollInterval), [this, number] { route(number); });
     return true;
 }
 
-void Dispatcher::takeExpectation(const WakeReply& progress, const std::set<RequestNumber>& requests)
+void Dispatcher::handleForecast(const WakeReply& progress, const std::set<RequestNumber>& requests)
 {
     for (const RequestNumber number : requests) {
         const auto entry = requests_.find(number);
         if (entry == requests_.end() || !entry->second.waitsFor)
             continue;
         if (shutdownDeadlines_ && *progress.soonestAt > shutdownDeadlines_->startBy) {
-            refuse(number, notStartedBeforeTheEnd());
+            refuse(number, notStartedBeforeShutdown());
             continue;
         }
         if (*progress.soonestAt <= entry->second.request.deadline)
@@ -354,7 +355,7 @@
     }
 }
 
-void Dispatcher::takeOutcome(RequestNumber number, const VmName& vm, const DispatchOutcome& outcome)
+void Dispatcher::handleOutcome(RequestNumber number, const VmName& vm, const DispatchOutcome& outcome)
 {
     const auto found = requests_.find(number);
     if (found == requests_.end())
@@ -364,17 +365,17 @@
     const bool hasBegun = entry.stream->detach();
     if (outcome.has_value()) {
         entry.answer->finish();
-        return forget(number);
+        return eraseRequest(number);
     }
     const Error& error = outcome.error();
     entry.lastError = error;
     if (hasBegun) {
         context_.metrics.count("lagoon_broken_answers_total", { { "reason", reasonText(error) } });
         entry.answer->breakOff(error);
-        return forget(number);
+        return eraseRequest(number);
     }
     if (error.execution == Execution::NotRun)
-        return takeNotRun(number, entry, vm, error);
+        return handleNotRun(number, entry, vm, error);
     // It may have run: only a call that may be repeated is sent again.
     if (!entry.request.isRepeatable || error.code == ErrorCode::DeadlinePassed)
         return refuse(number, error);
@@ -383,7 +384,7 @@
     retry(number, entry, error);
 }
 
-void Dispatcher::takeNotRun(RequestNumber number, Request& entry, const VmName& vm, const Error& error)
+void Dispatcher::handleNotRun(RequestNumber number, Request& entry, const VmName& vm, const Error& error)
 {
     switch (error.code) {
     case ErrorCode::DeadlinePassed:
@@ -419,7 +420,7 @@
 {
     if (entry.attempts >= context_.settings.attempts)
         return refuse(number, error);
-    if (!isFree(error) && !retryBudget_.spend()) {
+    if (!isExemptFromRetryBudget(error) && !retryBudget_.spend()) {
         Error spent = error;
         spent.detail = "retry budget spent after " + std::string(framework::errorCodeText(error.code));
         spent.code = ErrorCode::RetryBudgetSpent;
@@ -448,7 +449,7 @@
         entry.session->cancel(entry.sequence);
         if (entry.stream->detach()) {
             entry.answer->breakOff(why);
-            return forget(number);
+            return eraseRequest(number);
         }
     }
     refuse(number, why);
@@ -457,15 +458,15 @@
 /// Guards against a process that is ended by force over those who wait: a load may take longer than the grace period,
 /// and the request's own deadline be later still, so that its connection would be closed without an answer. What can't
 /// be started in time is refused as soon as that is known.
-void Dispatcher::beginShutdown(const framework::ShutdownDeadlines& end)
+void Dispatcher::beginShutdown(const framework::ShutdownDeadlines& deadlines)
 {
-    shutdownDeadlines_ = end;
-    startByTimer_ = context_.control.runAt(end.startBy, [this] { refuseUnstarted(); });
-    answerByTimer_ = context_.control.runAt(end.answerBy, [this] { giveUpAll(); });
+    shutdownDeadlines_ = deadlines;
+    startByTimer_ = context_.control.runAt(deadlines.startBy, [this] { refuseUnstarted(); });
+    answerByTimer_ = context_.control.runAt(deadlines.answerBy, [this] { giveUpAll(); });
     for (const RequestNumber number : numbers()) {
         const auto& waitsFor = requests_.at(number).waitsFor;
         if (const auto progress = waitsFor ? wakes_->progress(*waitsFor) : std::nullopt)
-            takeExpectation(*progress, { number });
+            handleForecast(*progress, { number });
     }
 }
 
@@ -474,7 +475,7 @@
     return !shutdownDeadlines_ || !shutdownDeadlines_->startBy.hasPassed(context_.clock.now());
 }
 
-bool Dispatcher::isWithAgent(const Request& entry) const
+bool Dispatcher::wasSentToAgent(const Request& entry) const
 {
     return entry.session && entry.session->wasSent(entry.sequence);
 }
@@ -483,18 +484,18 @@
 {
     for (const RequestNumber number : numbers()) {
         Request& entry = requests_.at(number);
-        if (isWithAgent(entry))
+        if (wasSentToAgent(entry))
             continue;
         if (entry.session)
             entry.session->cancel(entry.sequence);
-        refuse(number, notStartedBeforeTheEnd());
+        refuse(number, notStartedBeforeShutdown());
     }
 }
 
 void Dispatcher::giveUpAll()
 {
     for (const RequestNumber number : numbers())
-        giveUp(number, ErrorCode::ShuttingDown, retryAfterEnd);
+        giveUp(number, ErrorCode::ShuttingDown, retryAfterShutdown);
 }
 
 /// Copied, since answers and refusals take requests out.
@@ -516,7 +517,7 @@
         entry->second.stream->detach();
         entry->second.session->cancel(entry->second.sequence);
     }
-    forget(number);
+    eraseRequest(number);
 }
 
 /// Whatever the refusal is for, it says "not run" of the whole request, not of its last attempt.
@@ -530,10 +531,10 @@
     if (entry.key && error.execution == Execution::NotRun)
         context_.keys->release(*entry.key);
     entry.answer->refuse(error, entry.attempts);
-    forget(number);
+    eraseRequest(number);
 }
 
-void Dispatcher::forget(RequestNumber number)
+void Dispatcher::eraseRequest(RequestNumber number)
 {
     const auto entry = requests_.find(number);
     if (entry->second.waitsFor)
--- a/src/router/internal/dispatcher.h
+++ b/src/router/internal/dispatcher.h
@@ -45,10 +45,10 @@
 
     void setWakes(Wakes&);
     void setReplicaChoice(std::unique_ptr<policy::IReplicaChoice>);
-    void takePlacements(const SiteTarget&, const std::vector<framework::VmName>&, const std::set<RequestNumber>&);
+    void handlePlacements(const SiteTarget&, const std::vector<framework::VmName>&, const std::set<RequestNumber>&);
     /// `home` is the bundle by which the home refused.
-    void takeRefusal(const framework::Error&, framework::BundleVersion home, const std::set<RequestNumber>&);
-    void takeExpectation(const WakeReply&, const std::set<RequestNumber>&);
+    void handleRefusal(const framework::Error&, framework::BundleVersion home, const std::set<RequestNumber>&);
+    void handleForecast(const WakeReply&, const std::set<RequestNumber>&);
     /// The process was told to end: each request, also one that still comes, has its answer in time for that.
     void beginShutdown(const framework::ShutdownDeadlines&);
     std::size_t requests() const { return requests_.size(); }
@@ -72,7 +72,7 @@
         std::unique_ptr<framework::Timer> deadlineTimer;
         /// While the bundle by which it was refused is awaited.
         std::unique_ptr<framework::Timer> bundleTimer;
-        std::optional<framework::Deadline> bundlePatienceEnds;
+        std::optional<framework::Deadline> bundleWaitDeadline;
         /// Set once the key is ours.
         std::optional<ClaimedKey> key;
         /// While dispatched.
@@ -91,24 +91,24 @@
     void waitForReplica(RequestNumber, Request&);
     std::optional<SiteTarget> nextSite(const Request&) const;
     void dispatch(RequestNumber, Request&, const framework::VmName&);
-    wire::fb::DispatchT makeOrder(const Request&) const;
-    void askForMoreIfBusy(const Request&, std::uint32_t inFlight);
-    void takeOutcome(RequestNumber, const framework::VmName&, const DispatchOutcome&);
-    void takeNotRun(RequestNumber, Request&, const framework::VmName&, const framework::Error&);
+    wire::fb::DispatchT makeDispatch(const Request&) const;
+    void scaleUpIfBusy(const Request&, std::uint32_t inFlight);
+    void handleOutcome(RequestNumber, const framework::VmName&, const DispatchOutcome&);
+    void handleNotRun(RequestNumber, Request&, const framework::VmName&, const framework::Error&);
     void avoidDraining(const framework::VmName&);
     bool awaitBundle(RequestNumber, Request&, framework::BundleVersion);
     void retry(RequestNumber, Request&, const framework::Error&);
     void deadlinePassed(RequestNumber);
     void giveUp(RequestNumber, framework::ErrorCode, framework::Milliseconds retryAfter);
     bool mayStart() const;
-    bool isWithAgent(const Request&) const;
+    bool wasSentToAgent(const Request&) const;
     void refuseUnstarted();
     void giveUpAll();
     std::vector<RequestNumber> numbers() const;
     void callerGone(RequestNumber);
     void refuse(RequestNumber, framework::Error);
-    void forget(RequestNumber);
-    std::uint32_t decided(const SiteTarget&) const;
+    void eraseRequest(RequestNumber);
+    std::uint32_t replicaCap(const SiteTarget&) const;
 
     Context context_;
     Wakes* wakes_ = nullptr;
--- a/src/router/internal/home.cpp
+++ b/src/router/internal/home.cpp
@@ -17,10 +17,10 @@
 
 namespace {
 
-constexpr std::uint32_t loadTries = 3;
+constexpr std::uint32_t maxLoadAttempts = 3;
 constexpr Milliseconds retryAfterNoCapacity { 2000 };
-constexpr Milliseconds askAgainAfter { 100 };
-constexpr Milliseconds patience { 3000 };
+constexpr Milliseconds retryInterval { 100 };
+constexpr Milliseconds maxRetryPeriod { 3000 };
 
 policy::LoadBid toPolicy(const VmName& vm, const wire::fb::BidT& bid)
 {
@@ -55,7 +55,7 @@
         search.awaitedBundle = std::max(search.awaitedBundle, newerBundle(order.bundleVersion));
         search.order.latest = std::max(search.order.latest, order.latest);
         search.order.earliest = std::min(search.order.earliest, order.earliest);
-        search.order.wantedReplicas = std::max(search.order.wantedReplicas, order.wantedReplicas);
+        search.order.desiredReplicas = std::max(search.order.desiredReplicas, order.desiredReplicas);
         search.order.waiters = std::max(search.order.waiters, order.waiters);
         search.order.priority = std::max(search.order.priority, order.priority);
         context_.gate.setDemand(order.where, { search.order.earliest, search.order.waiters, search.order.priority });
@@ -89,23 +89,23 @@
     const SiteTarget where = search.order.where;
     if (awaitBundle(where))
         return;
-    if (decided(where) == 0) {
+    if (replicaCap(where) == 0) {
         fail(
             where, Error { ErrorCode::NoCapacity, "find replica", where.site.value(), "the bundle decides none here" });
         return;
     }
-    const std::vector<VmName> first = nextToAsk(search);
+    const std::vector<VmName> first = nextCandidates(search);
     if (first.empty()) {
         fail(where,
             Error { ErrorCode::NoCapacity, "find replica", where.site.value(), "no live upstream",
                 framework::Execution::NotRun, retryAfterNoCapacity });
         return;
     }
-    ask(where, first);
+    requestBids(where, first);
 }
 
 /// Those that this router knows to have the target, then the next in rendezvous order.
-std::vector<VmName> Home::nextToAsk(const Search& search) const
+std::vector<VmName> Home::nextCandidates(const Search& search) const
 {
     const SiteTarget& where = search.order.where;
     std::vector<VmName> next;
@@ -132,11 +132,11 @@
     return next;
 }
 
-void Home::ask(const SiteTarget& where, const std::vector<VmName>& vms)
+void Home::requestBids(const SiteTarget& where, const std::vector<VmName>& vms)
 {
     Search& search = searches_.at(where);
     const std::uint64_t number = search.number;
-    search.awaited += vms.size();
+    search.pendingBids += vms.size();
     for (const VmName& vm : vms) {
         search.asked.insert(vm);
         search.candidates.push_back(Candidate { vm, false, false, false, {} });
@@ -149,25 +149,25 @@
     for (const VmName& vm : vms) {
         const auto session = context_.sessions.session(vm);
         if (!session) {
-            takeBid(where, number, vm, Error { ErrorCode::NotFound, "ask for bid", vm.value() });
+            handleBid(where, number, vm, Error { ErrorCode::NotFound, "ask for bid", vm.value() });
             continue;
         }
-        session->askBid(toWire(where.target), bundleVersion(),
+        session->requestBid(toWire(where.target), bundleVersion(),
             [this, where, number, vm](
-                const framework::Result<wire::fb::BidT>& bid) { takeBid(where, number, vm, bid); });
+                const framework::Result<wire::fb::BidT>& bid) { handleBid(where, number, vm, bid); });
     }
 }
 
-void Home::takeBid(
+void Home::handleBid(
     const SiteTarget& where, std::uint64_t number, const VmName& vm, const framework::Result<wire::fb::BidT>& bid)
 {
     Search* search = find(where, number);
     if (!search)
         return;
     for (Candidate& candidate : search->candidates) {
-        if (candidate.vm != vm || candidate.isAnswered)
+        if (candidate.vm != vm || candidate.hasAnswered)
             continue;
-        candidate.isAnswered = true;
+        candidate.hasAnswered = true;
         if (bid.has_value()) {
             candidate.isLoaded = bid.value().is_loaded;
             candidate.isLoading = bid.value().is_loading;
@@ -177,10 +177,10 @@
         } else if (search->expectsRestart.contains(vm)) {
             candidate.bid.refusal = ErrorCode::NotReady;
         }
-        if (search->awaited > 0)
-            --search->awaited;
+        if (search->pendingBids > 0)
+            --search->pendingBids;
     }
-    if (search->awaited == 0)
+    if (search->pendingBids == 0)
         endBidding(where);
 }
 
@@ -188,10 +188,10 @@
 {
     Search& search = searches_.at(where);
     search.bidTimer.reset();
-    search.awaited = 0;
+    search.pendingBids = 0;
     // Late bids of this round must not end the next round early.
     for (Candidate& candidate : search.candidates)
-        candidate.isAnswered = true;
+        candidate.hasAnswered = true;
     evaluate(where);
 }
 
@@ -201,18 +201,18 @@
     if (search.isLoading || awaitBundle(where))
         return;
     const std::vector<VmName> loaded = loadedVms(search);
-    const std::uint32_t enough = std::min(std::max(1U, search.order.wantedReplicas), decided(where));
+    const std::uint32_t enough = std::min(std::max(1U, search.order.desiredReplicas), replicaCap(where));
     if (loaded.size() >= enough)
         return finish(where, WakeReply { true, loaded });
     if (Candidate* loader = chooseLoader(search))
         return load(where, *loader);
-    const std::vector<VmName> more = nextToAsk(search);
-    if (!more.empty() && search.loadsTried < loadTries)
-        return ask(where, more);
+    const std::vector<VmName> more = nextCandidates(search);
+    if (!more.empty() && search.loadAttempts < maxLoadAttempts)
+        return requestBids(where, more);
     if (!loaded.empty())
         return finish(where, WakeReply { true, loaded });
-    if (!askAgainSoon(where))
-        fail(where, search.lastError.value_or(refusalOfAll(search)));
+    if (!retryNotReady(where))
+        fail(where, search.lastError.value_or(mostSpecificRefusal(search)));
 }
 
 /// Null if none of those asked can load it, or enough of them have failed to.
@@ -232,11 +232,11 @@
         bidders.push_back(&candidate);
     }
     const auto chosen = placement_->choose(bids);
-    return chosen && search.loadsTried < loadTries ? bidders[*chosen] : nullptr;
+    return chosen && search.loadAttempts < maxLoadAttempts ? bidders[*chosen] : nullptr;
 }
 
 /// The most telling reason among those of the agents that were asked.
-Error Home::refusalOfAll(const Search& search) const
+Error Home::mostSpecificRefusal(const Search& search) const
 {
     ErrorCode code = ErrorCode::NoCapacity;
     for (const Candidate& candidate : search.candidates) {
@@ -249,7 +249,7 @@
 
 /// An upstream that has just started, or still unloads the model, can load it in a moment: its callers wait for that
 /// instead of being refused.
-bool Home::askAgainSoon(const SiteTarget& where)
+bool Home::retryNotReady(const SiteTarget& where)
 {
     Search& search = searches_.at(where);
     std::vector<VmName> unready;
@@ -257,13 +257,13 @@
         if (!candidate.bid.canLoad && candidate.bid.refusal == ErrorCode::NotReady)
             unready.push_back(candidate.vm);
     }
-    if (unready.empty() || search.loadsTried >= loadTries || !hasPatience(search))
+    if (unready.empty() || search.loadAttempts >= maxLoadAttempts || !mayRetry(search))
         return false;
-    evaluateSoon(where, [this, where, unready] {
+    retryLater(where, [this, where, unready] {
         std::erase_if(searches_.at(where).candidates, [&](const Candidate& candidate) {
             return std::find(unready.begin(), unready.end(), candidate.vm) != unready.end();
         });
-        ask(where, unready);
+        requestBids(where, unready);
     });
     return true;
 }
@@ -277,33 +277,33 @@
         return false;
     if (bundleVersion() >= search.awaitedBundle) {
         search.awaitedBundle = framework::BundleVersion();
-        search.loadsTried = 0;
+        search.loadAttempts = 0;
         search.candidates.clear();
         search.asked.clear();
         begin(search);
         return true;
     }
-    if (!hasPatience(search))
+    if (!mayRetry(search))
         return false;
-    evaluateSoon(where, [this, where] { evaluate(where); });
+    retryLater(where, [this, where] { evaluate(where); });
     return true;
 }
 
 /// Bounded, since a platform outage keeps agents from being ready, and bundles from being read, for long.
-bool Home::hasPatience(Search& search)
+bool Home::mayRetry(Search& search)
 {
     const auto now = context_.clock.now();
-    if (!search.patienceEnds)
-        search.patienceEnds = Deadline::after(now, patience);
-    return !search.patienceEnds->hasPassed(now);
+    if (!search.retryDeadline)
+        search.retryDeadline = Deadline::after(now, maxRetryPeriod);
+    return !search.retryDeadline->hasPassed(now);
 }
 
-void Home::evaluateSoon(const SiteTarget& where, std::function<void()> action)
+void Home::retryLater(const SiteTarget& where, std::function<void()> action)
 {
     Search& search = searches_.at(where);
     const std::uint64_t number = search.number;
     search.bidTimer = context_.control.runAt(
-        Deadline::after(context_.clock.now(), askAgainAfter), [this, where, number, action = std::move(action)] {
+        Deadline::after(context_.clock.now(), retryInterval), [this, where, number, action = std::move(action)] {
             if (find(where, number))
                 action();
         });
@@ -313,7 +313,7 @@
 {
     Search& search = searches_.at(where);
     search.isLoading = true;
-    ++search.loadsTried;
+    ++search.loadAttempts;
     candidate.bid.canLoad = false;
     candidate.isLoading = false;
     const LoadDemand demand { search.order.earliest, search.order.waiters, search.order.priority };
@@ -331,14 +331,14 @@
     const Search* search = find(where, number);
     const auto session = context_.sessions.session(vm);
     if (!search || !session)
-        return takeLoadResult(where, number, vm, Error { ErrorCode::NotFound, "load", vm.value() });
+        return handleLoadResult(where, number, vm, Error { ErrorCode::NotFound, "load", vm.value() });
     wire::fb::LoadT order;
     order.target = std::make_unique<wire::fb::TargetT>(toWire(where.target));
     order.waiters = search->order.waiters;
     order.remaining_ms = static_cast<std::uint32_t>(search->order.latest.remaining(context_.clock.now()).count());
     order.bundle_version = bundleVersion().value();
     session->load(std::move(order), [this, where, number, vm](const framework::Result<wire::fb::LoadResultT>& result) {
-        takeLoadResult(where, number, vm, result);
+        handleLoadResult(where, number, vm, result);
     });
 }
 
@@ -352,7 +352,7 @@
     return reply;
 }
 
-void Home::takeLoadResult(const SiteTarget& where, std::uint64_t number, const VmName& vm,
+void Home::handleLoadResult(const SiteTarget& where, std::uint64_t number, const VmName& vm,
     const framework::Result<wire::fb::LoadResultT>& result)
 {
     Search* search = find(where, number);
@@ -383,8 +383,8 @@
     search->lastError = why;
     if (why.code == ErrorCode::NotReady)
         expectRestart(*search, vm);
-    if (why.code == ErrorCode::ReplicaCapReached && !search->hasAskedHolders)
-        return askHolders(where);
+    if (why.code == ErrorCode::ReplicaCapReached && !search->hasQueriedHolders)
+        return queryHolders(where);
     evaluate(where);
 }
 
@@ -400,10 +400,10 @@
 }
 
 /// The cap is reached by replicas that none of the asked agents has: the platform's object says who holds them.
-void Home::askHolders(const SiteTarget& where)
+void Home::queryHolders(const SiteTarget& where)
 {
     Search& search = searches_.at(where);
-    search.hasAskedHolders = true;
+    search.hasQueriedHolders = true;
     const std::uint64_t number = search.number;
     context_.findHolders(where, [this, where, number](const framework::Result<TargetHolders>& holders) {
         Search* search = find(where, number);
@@ -412,7 +412,7 @@
         if (holders.has_error())
             return evaluate(where);
         search->awaitedBundle = newerBundle(holders.value().bundleVersion);
-        context_.hearOf(holders.value().bundleVersion);
+        context_.observeVersion(holders.value().bundleVersion);
         std::vector<VmName> unasked;
         for (const VmName& vm : holders.value().vms) {
             if (!context_.directory.isUsable(vm))
@@ -423,7 +423,7 @@
         }
         if (unasked.empty())
             return evaluate(where);
-        ask(where, unasked);
+        requestBids(where, unasked);
     });
 }
 
@@ -454,7 +454,7 @@
     return vms;
 }
 
-std::uint32_t Home::decided(const SiteTarget& where) const
+std::uint32_t Home::replicaCap(const SiteTarget& where) const
 {
     const bundle::BundlePointer bundle = context_.bundle();
     if (!bundle)
--- a/src/router/internal/home.h
+++ b/src/router/internal/home.h
@@ -47,7 +47,7 @@
         const PlacementCache& placements;
         LoadGate& gate;
         std::function<bundle::BundlePointer()> bundle;
-        std::function<void(framework::BundleVersion)> hearOf;
+        std::function<void(framework::BundleVersion)> observeVersion;
         FindHolders findHolders;
     };
 
@@ -60,7 +60,7 @@
 private:
     struct Candidate {
         framework::VmName vm;
-        bool isAnswered = false;
+        bool hasAnswered = false;
         bool isLoaded = false;
         bool isLoading = false;
         policy::LoadBid bid;
@@ -73,13 +73,13 @@
         /// In rendezvous order, those asked so far.
         std::vector<Candidate> candidates;
         std::set<framework::VmName> asked;
-        std::size_t awaited = 0;
+        std::size_t pendingBids = 0;
         std::unique_ptr<framework::Timer> bidTimer;
         /// Until when upstreams that aren't ready are asked again; set when the first says so.
-        std::optional<framework::Deadline> patienceEnds;
+        std::optional<framework::Deadline> retryDeadline;
         bool isLoading = false;
-        bool hasAskedHolders = false;
-        std::uint32_t loadsTried = 0;
+        bool hasQueriedHolders = false;
+        std::uint32_t loadAttempts = 0;
         std::optional<framework::Error> lastError;
         /// The target's counts are from this bundle, which this router doesn't have yet.
         framework::BundleVersion awaitedBundle;
@@ -89,32 +89,32 @@
     using Searches = std::map<SiteTarget, Search>;
 
     void begin(Search&);
-    std::vector<framework::VmName> nextToAsk(const Search&) const;
-    void ask(const SiteTarget&, const std::vector<framework::VmName>&);
+    std::vector<framework::VmName> nextCandidates(const Search&) const;
+    void requestBids(const SiteTarget&, const std::vector<framework::VmName>&);
     bool awaitBundle(const SiteTarget&);
     framework::BundleVersion newerBundle(framework::BundleVersion) const;
     framework::BundleVersion bundleVersion() const;
-    bool askAgainSoon(const SiteTarget&);
-    void evaluateSoon(const SiteTarget&, std::function<void()>);
-    bool hasPatience(Search&);
-    void takeBid(
+    bool retryNotReady(const SiteTarget&);
+    void retryLater(const SiteTarget&, std::function<void()>);
+    bool mayRetry(Search&);
+    void handleBid(
         const SiteTarget&, std::uint64_t number, const framework::VmName&, const framework::Result<wire::fb::BidT>&);
     void endBidding(const SiteTarget&);
     void evaluate(const SiteTarget&);
     Candidate* chooseLoader(Search&) const;
-    framework::Error refusalOfAll(const Search&) const;
+    framework::Error mostSpecificRefusal(const Search&) const;
     void load(const SiteTarget&, Candidate&);
     void sendLoad(const SiteTarget&, std::uint64_t number, const framework::VmName&);
     WakeReply progress(const Search&) const;
     static void expectRestart(Search&, const framework::VmName&);
-    void takeLoadResult(const SiteTarget&, std::uint64_t number, const framework::VmName&,
+    void handleLoadResult(const SiteTarget&, std::uint64_t number, const framework::VmName&,
         const framework::Result<wire::fb::LoadResultT>&);
-    void askHolders(const SiteTarget&);
+    void queryHolders(const SiteTarget&);
     void replyAll(Search&, const WakeReply&);
     void finish(const SiteTarget&, const WakeReply&);
     void fail(const SiteTarget&, const framework::Error&);
     std::vector<framework::VmName> loadedVms(const Search&) const;
-    std::uint32_t decided(const SiteTarget&) const;
+    std::uint32_t replicaCap(const SiteTarget&) const;
     Search* find(const SiteTarget&, std::uint64_t number);
 
     Context context_;
--- a/src/router/internal/idempotencykeys.cpp
+++ b/src/router/internal/idempotencykeys.cpp
@@ -156,13 +156,13 @@
 void IdempotencyKeys::sweep()
 {
     if (isOwner_())
-        workers_.run([this] { removeOld(); });
+        workers_.run([this] { removeExpired(); });
     timer_ = control_.runAt(Deadline::after(clock_.now(), retention_), [this] { sweep(); });
 }
 
 /// A key that was there a retention ago, in the same version, is older than that: no clocks need to agree, and no key
 /// needs to be read.
-void IdempotencyKeys::removeOld()
+void IdempotencyKeys::removeExpired()
 {
     const Deadline deadline = Deadline::after(clock_.now(), sweepTimeout);
     const auto listed = store_->list(keyPrefix, deadline);
--- a/src/router/internal/idempotencykeys.h
+++ b/src/router/internal/idempotencykeys.h
@@ -50,7 +50,7 @@
     void beginCall();
     void endCall();
     void sweep();
-    void removeOld();
+    void removeExpired();
 
     std::shared_ptr<objectstore::IObjectStore> store_;
     framework::WorkerPool& workers_;
--- a/src/router/internal/linkserver.cpp
+++ b/src/router/internal/linkserver.cpp
@@ -63,7 +63,7 @@
 void LinkServer::handle(const LinkPointer& link, const wire::Message& message)
 {
     if (const wire::fb::HelloT* hello = message.body.AsHello())
-        return greet(link, *hello);
+        return handleHello(link, *hello);
     if (const wire::fb::WakeT* order = message.body.AsWake(); order && senders_.contains(link))
         return wake(link, *order);
     if (const wire::fb::PingT* ping = message.body.AsPing()) {
@@ -77,10 +77,10 @@
     link->close();
 }
 
-void LinkServer::greet(const LinkPointer& link, const wire::fb::HelloT& hello)
+void LinkServer::handleHello(const LinkPointer& link, const wire::fb::HelloT& hello)
 {
     senders_[link] = framework::VmName(hello.sender_vm);
-    context_.hearOf(BundleVersion(hello.bundle_version));
+    context_.observeVersion(BundleVersion(hello.bundle_version));
     wire::fb::HelloAckT answer;
     answer.receiver_vm = context_.ownVm.value();
     answer.receiver_incarnation = context_.ownIncarnation.value();
@@ -90,14 +90,14 @@
 
 void LinkServer::wake(const LinkPointer& link, const wire::fb::WakeT& wake)
 {
-    context_.hearOf(BundleVersion(wake.bundle_version));
+    context_.observeVersion(BundleVersion(wake.bundle_version));
     const auto now = context_.clock.now();
     WakeOrder order;
     order.where = SiteTarget { fromWire(*wake.target), framework::SiteName(wake.site) };
     order.waiters = wake.waiters;
     order.earliest = Deadline::after(now, Milliseconds(wake.earliest_remaining_ms));
     order.latest = Deadline::after(now, Milliseconds(wake.latest_remaining_ms));
-    order.wantedReplicas = wake.wanted_replicas;
+    order.desiredReplicas = wake.wanted_replicas;
     order.priority = wake.priority;
     order.bundleVersion = BundleVersion(wake.bundle_version);
     // Says that the wake was heard; the asker takes a second of silence for a dead home.
--- a/src/router/internal/linkserver.h
+++ b/src/router/internal/linkserver.h
@@ -24,7 +24,7 @@
         framework::Metrics& metrics;
         Home& home;
         std::function<framework::BundleVersion()> bundleVersion;
-        std::function<void(framework::BundleVersion)> hearOf;
+        std::function<void(framework::BundleVersion)> observeVersion;
     };
 
     explicit LinkServer(const Context&);
@@ -34,7 +34,7 @@
     using LinkPointer = std::shared_ptr<wire::ILink>;
 
     void handle(const LinkPointer&, const wire::Message&);
-    void greet(const LinkPointer&, const wire::fb::HelloT&);
+    void handleHello(const LinkPointer&, const wire::fb::HelloT&);
     void wake(const LinkPointer&, const wire::fb::WakeT&);
 
     Context context_;
--- a/src/router/internal/loadgate.cpp
+++ b/src/router/internal/loadgate.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 /// How often waiting loads are looked at while the store's rate holds them.
-constexpr Milliseconds lookInterval { 50 };
+constexpr Milliseconds pollInterval { 50 };
 
 std::string keyOf(const SiteTarget& where) { return where.site.value() + ":" + wire::targetText(toWire(where.target)); }
 
@@ -70,7 +70,7 @@
     while (const auto next = nextLoad({})) {
         Entry& entry = entries_.at(*next);
         if (!share_.mayStart(entry.since, now)) {
-            timer_ = control_.runAt(Deadline::after(now, lookInterval), [this] { startDue(); });
+            timer_ = control_.runAt(Deadline::after(now, pollInterval), [this] { startDue(); });
             return;
         }
         share_.start(now);
@@ -78,13 +78,13 @@
     }
 }
 
-/// Which waiting load would start next if those of `passed` had.
-std::optional<SiteTarget> LoadGate::nextLoad(const std::set<SiteTarget>& passed) const
+/// Which waiting load would start next if those of `excluded` had.
+std::optional<SiteTarget> LoadGate::nextLoad(const std::set<SiteTarget>& excluded) const
 {
     std::vector<SiteTarget> targets;
     std::vector<policy::PendingLoad> pending;
     for (const auto& [where, entry] : entries_) {
-        if (entry.isRunning || passed.contains(where))
+        if (entry.isRunning || excluded.contains(where))
             continue;
         targets.push_back(where);
         pending.push_back(pendingLoad(entry));
@@ -96,13 +96,13 @@
 /// Asks the order itself: by deadlines alone, a load that others of more value overtake seemed next.
 std::uint32_t LoadGate::loadsAhead(const SiteTarget& where) const
 {
-    std::set<SiteTarget> passed;
-    while (const auto next = nextLoad(passed)) {
+    std::set<SiteTarget> excluded;
+    while (const auto next = nextLoad(excluded)) {
         if (*next == where)
             break;
-        passed.insert(*next);
+        excluded.insert(*next);
     }
-    return static_cast<std::uint32_t>(passed.size());
+    return static_cast<std::uint32_t>(excluded.size());
 }
 
 void LoadGate::start(Entry& entry)
--- a/src/router/internal/loadgate.h
+++ b/src/router/internal/loadgate.h
@@ -64,7 +64,7 @@
 
     void startDue();
     void start(Entry&);
-    std::optional<SiteTarget> nextLoad(const std::set<SiteTarget>& passed) const;
+    std::optional<SiteTarget> nextLoad(const std::set<SiteTarget>& excluded) const;
     std::uint32_t loadsAhead(const SiteTarget&) const;
     policy::PendingLoad pendingLoad(const Entry&) const;
     policy::LoadTimeEstimate estimate(const GatedLoad&) const;
--- a/src/router/internal/peerlinks.cpp
+++ b/src/router/internal/peerlinks.cpp
@@ -35,7 +35,7 @@
     return reply;
 }
 
-WakeReply homeLost(const VmName& home, const std::string& detail)
+WakeReply homeUnreachable(const VmName& home, const std::string& detail)
 {
     WakeReply reply;
     reply.isFinal = true;
@@ -53,9 +53,9 @@
 
 void PeerLinks::wake(const VmName& home, const WakeOrder& order, WakeReplyHandler handler)
 {
-    Peer* peer = connected(home);
+    Peer* peer = connectedPeer(home);
     if (!peer) {
-        handler(homeLost(home, "not in the list"));
+        handler(homeUnreachable(home, "not in the list"));
         return;
     }
     const auto now = context_.clock.now();
@@ -66,14 +66,14 @@
     wake.waiters = order.waiters;
     wake.earliest_remaining_ms = static_cast<std::uint32_t>(order.earliest.remaining(now).count());
     wake.latest_remaining_ms = static_cast<std::uint32_t>(order.latest.remaining(now).count());
-    wake.wanted_replicas = order.wantedReplicas;
+    wake.wanted_replicas = order.desiredReplicas;
     wake.priority = order.priority;
     wake.bundle_version = context_.bundleVersion().value();
-    peer->asked.emplace(wake.correlation, std::move(handler));
+    peer->pending.emplace(wake.correlation, std::move(handler));
     peer->link->send(wire::message(std::move(wake)));
 }
 
-PeerLinks::Peer* PeerLinks::connected(const VmName& home)
+PeerLinks::Peer* PeerLinks::connectedPeer(const VmName& home)
 {
     const objectstore::VmEntry* entry = directory_.find(home);
     if (!entry)
@@ -97,7 +97,7 @@
     handlers.onClosed = [toControl, home](const std::shared_ptr<wire::ILink>& link, const Error& why) {
         toControl([home, link, why](PeerLinks& self) {
             if (self.peers_[home].link == link)
-                self.lost(home, why);
+                self.handleLinkLost(home, why);
         });
     };
     peer.link = context_.transport.connect(peer.endpoint, std::move(handlers));
@@ -112,27 +112,27 @@
 void PeerLinks::receive(const VmName& home, const wire::Message& message)
 {
     if (const wire::fb::HelloAckT* hello = message.body.AsHelloAck())
-        context_.hearOf(framework::BundleVersion(hello->bundle_version));
+        context_.observeVersion(framework::BundleVersion(hello->bundle_version));
     const wire::fb::WakeResultT* result = message.body.AsWakeResult();
     if (!result)
         return;
     Peer& peer = peers_[home];
-    const auto asked = peer.asked.find(result->correlation);
-    if (asked == peer.asked.end())
+    const auto pending = peer.pending.find(result->correlation);
+    if (pending == peer.pending.end())
         return;
-    const WakeReplyHandler handler = asked->second;
+    const WakeReplyHandler handler = pending->second;
     if (result->is_final)
-        peer.asked.erase(asked);
+        peer.pending.erase(pending);
     handler(toReply(*result, context_.clock.now()));
 }
 
-void PeerLinks::lost(const VmName& home, const Error& why)
+void PeerLinks::handleLinkLost(const VmName& home, const Error& why)
 {
     context_.metrics.count("lagoon_links_lost_total", { { "step", "wake" } });
     Peer& peer = peers_[home];
     peer.link.reset();
-    for (const auto& [correlation, handler] : std::exchange(peer.asked, {}))
-        handler(homeLost(home, why.detail));
+    for (const auto& [correlation, handler] : std::exchange(peer.pending, {}))
+        handler(homeUnreachable(home, why.detail));
 }
 
 void PeerLinks::drop(const VmName& home)
--- a/src/router/internal/peerlinks.h
+++ b/src/router/internal/peerlinks.h
@@ -28,12 +28,12 @@
     struct Peer {
         framework::Endpoint endpoint;
         std::shared_ptr<wire::ILink> link;
-        std::map<std::uint64_t, WakeReplyHandler> asked;
+        std::map<std::uint64_t, WakeReplyHandler> pending;
     };
 
-    Peer* connected(const framework::VmName&);
+    Peer* connectedPeer(const framework::VmName&);
     void receive(const framework::VmName&, const wire::Message&);
-    void lost(const framework::VmName&, const framework::Error&);
+    void handleLinkLost(const framework::VmName&, const framework::Error&);
 
     SessionContext context_;
     const VmDirectory& directory_;
--- a/src/router/internal/router.cpp
+++ b/src/router/internal/router.cpp
@@ -42,7 +42,7 @@
 constexpr std::size_t platformThreads = 2;
 constexpr Milliseconds holdersTimeout { 1000 };
 /// For callers that still send the body of a request that was refused; as long as for one that comes in full service.
-constexpr Milliseconds bodyPatience { 2000 };
+constexpr Milliseconds bodyDrainTimeout { 2000 };
 
 framework::Result<TargetHolders> holdersOf(const std::string& text, const objectstore::ObjectKey& key)
 {
@@ -77,9 +77,9 @@
     http::OpsViews opsViews();
     BundleVersion bundleVersion() const;
     void setPolicies(const bundle::PolicyNumbers&);
-    void takeVms(const objectstore::VmEntries&);
+    void handleVmList(const objectstore::VmEntries&);
     std::size_t homesPerSite() const;
-    void shareStore();
+    void updateStoreShare();
     void findHolders(const SiteTarget&, HoldersHandler);
     bool isKeySweeper() const;
     std::string status();
@@ -128,7 +128,7 @@
     , home_(homeContext())
     , wakes_(wakesContext())
     , linkServer_(linkServerContext())
-    , vmWatcher_(platform_.vmList, control_, clock_, metrics_, [this](const auto& vms) { takeVms(vms); })
+    , vmWatcher_(platform_.vmList, control_, clock_, metrics_, [this](const auto& vms) { handleVmList(vms); })
     , callerServer_(
           settings_.limits, dispatcher_, [this] { return bundles_->current(); }, incarnation_, metrics_)
     , opsServer_(opsViews(), metrics_)
@@ -137,7 +137,7 @@
     setPolicies({});
     bundles_->changed().subscribe([this](const bundle::BundlePointer& bundle) {
         setPolicies(bundle->policy);
-        shareStore();
+        updateStoreShare();
     });
 }
 
@@ -145,14 +145,14 @@
 {
     return SessionContext { settings_.identity.vm, incarnation_, *transport_, control_, clock_, *metrics_,
         settings_.dispatch, [this] { return bundleVersion(); },
-        [this](BundleVersion version) { bundles_->hearOf(version); } };
+        [this](BundleVersion version) { bundles_->observeVersion(version); } };
 }
 
 Home::Context Router::Implementation::homeContext()
 {
     return Home::Context { settings_.identity.site, control_, clock_, *metrics_, settings_.dispatch, sessions_,
         directory_, placements_, gate_, [this] { return bundles_->current(); },
-        [this](BundleVersion version) { bundles_->hearOf(version); },
+        [this](BundleVersion version) { bundles_->observeVersion(version); },
         [this](const SiteTarget& where, HoldersHandler handler) { findHolders(where, std::move(handler)); } };
 }
 
@@ -161,12 +161,12 @@
     return Wakes::Context { settings_.identity.vm, control_, clock_, *metrics_, directory_, home_, *peers_,
         [this] { return homesPerSite(); }, [this] { return bundleVersion(); },
         [this](const auto& where, const auto& vms, const auto& requests) {
-            dispatcher_.takePlacements(where, vms, requests);
+            dispatcher_.handlePlacements(where, vms, requests);
         },
         [this](const auto& error, BundleVersion home, const auto& requests) {
-            dispatcher_.takeRefusal(error, home, requests);
+            dispatcher_.handleRefusal(error, home, requests);
         },
-        [this](const WakeReply& progress, const auto& requests) { dispatcher_.takeExpectation(progress, requests); } };
+        [this](const WakeReply& progress, const auto& requests) { dispatcher_.handleForecast(progress, requests); } };
 }
 
 Dispatcher::Context Router::Implementation::dispatcherContext()
@@ -178,7 +178,7 @@
 LinkServer::Context Router::Implementation::linkServerContext()
 {
     return LinkServer::Context { settings_.identity.vm, incarnation_, control_, clock_, *metrics_, home_,
-        [this] { return bundleVersion(); }, [this](BundleVersion version) { bundles_->hearOf(version); } };
+        [this] { return bundleVersion(); }, [this](BundleVersion version) { bundles_->observeVersion(version); } };
 }
 
 http::OpsViews Router::Implementation::opsViews()
@@ -200,11 +200,11 @@
     dispatcher_.setReplicaChoice(policy::makeReplicaChoice(numbers));
 }
 
-void Router::Implementation::takeVms(const objectstore::VmEntries& vms)
+void Router::Implementation::handleVmList(const objectstore::VmEntries& vms)
 {
     directory_.setEntries(vms);
-    sessions_.endGone();
-    shareStore();
+    sessions_.removeGone();
+    updateStoreShare();
     hasVms_ = true;
 }
 
@@ -218,7 +218,7 @@
 }
 
 /// Tells the gate how many homes there are, and which of them this router is.
-void Router::Implementation::shareStore()
+void Router::Implementation::updateStoreShare()
 {
     std::vector<VmName> homes;
     for (const framework::SiteName& site : directory_.sites()) {
@@ -304,7 +304,7 @@
         std::this_thread::sleep_until(end.noticedBy.at());
     const bool isIdle = callerServer_.waitUntilIdle(end.exitBy);
     // Some of these bodies never come, so they aren't waited for as long as the grace period lasts.
-    callerServer_.waitUntilAllLeft(std::min(end.exitBy, Deadline::after(clock_.now(), bodyPatience)));
+    callerServer_.waitUntilAllLeft(std::min(end.exitBy, Deadline::after(clock_.now(), bodyDrainTimeout)));
     keys_.waitUntilSettled(end.exitBy);
     if (isIdle)
         framework::logInfo("router", "drained");
--- a/src/router/internal/routersettings.cpp
+++ b/src/router/internal/routersettings.cpp
@@ -11,9 +11,9 @@
 using framework::CheckedObject;
 using framework::Milliseconds;
 
-Milliseconds milliseconds(CheckedObject& section, const std::string& key, Milliseconds fallback, std::uint64_t most)
+Milliseconds milliseconds(CheckedObject& section, const std::string& key, Milliseconds fallback, std::uint64_t max)
 {
-    return Milliseconds(section.numberOr(key, static_cast<std::uint64_t>(fallback.count()), 1, most));
+    return Milliseconds(section.numberOr(key, static_cast<std::uint64_t>(fallback.count()), 1, max));
 }
 
 DispatchSettings readDispatchSettings(CheckedObject& settings)
--- a/src/router/internal/vmdirectory.cpp
+++ b/src/router/internal/vmdirectory.cpp
@@ -65,11 +65,11 @@
     return found;
 }
 
-std::vector<VmName> VmDirectory::homes(const SiteName& site, std::size_t most) const
+std::vector<VmName> VmDirectory::homes(const SiteName& site, std::size_t maxHomes) const
 {
     std::vector<VmName> order = policy::rendezvousOrder("homes", routers(site));
-    if (order.size() > most)
-        order.resize(most);
+    if (order.size() > maxHomes)
+        order.resize(maxHomes);
     return order;
 }
 
--- a/src/router/internal/vmdirectory.h
+++ b/src/router/internal/vmdirectory.h
@@ -24,8 +24,8 @@
     /// Live upstreams of the pools at the site that take work.
     std::vector<framework::VmName> upstreams(const std::vector<framework::PoolName>&, const framework::SiteName&) const;
     std::vector<framework::VmName> routers(const framework::SiteName&) const;
-    /// The site's routers that do the home duty: at most `most`, the same at everyone with the same list.
-    std::vector<framework::VmName> homes(const framework::SiteName&, std::size_t most) const;
+    /// The site's routers that do the home duty: at most `maxHomes`, the same at everyone with the same list.
+    std::vector<framework::VmName> homes(const framework::SiteName&, std::size_t maxHomes) const;
     /// Of all sites, by name.
     std::vector<framework::VmName> liveRouters() const;
     std::set<framework::SiteName> sites() const;
--- a/src/router/internal/vmlistwatcher.cpp
+++ b/src/router/internal/vmlistwatcher.cpp
@@ -13,8 +13,8 @@
 
 /// After this and a call's timeout a connection that has gone silent is noticed, and with it a VM that leaves.
 constexpr Milliseconds waitLimit { 2500 };
-constexpr Milliseconds shortestPause { 200 };
-constexpr Milliseconds longestPause { 3000 };
+constexpr Milliseconds minRetryDelay { 200 };
+constexpr Milliseconds maxRetryDelay { 3000 };
 
 } // namespace
 
@@ -50,7 +50,7 @@
 void VmListWatcher::follow()
 {
     std::uint64_t known = 0;
-    Milliseconds wait = shortestPause;
+    Milliseconds wait = minRetryDelay;
     bool isReachable = true;
     while (!stop_.stop_requested()) {
         const auto snapshot = list_->waitForChange(known, Deadline::after(clock_.now(), waitLimit), stop_.get_token());
@@ -61,12 +61,12 @@
             if (std::exchange(isReachable, false))
                 framework::logWarning("router", "the list of VMs can't be read: " + describe(snapshot.error()));
             pause(wait);
-            wait = std::min(longestPause, wait * 2);
+            wait = std::min(maxRetryDelay, wait * 2);
             continue;
         }
         if (!std::exchange(isReachable, true))
             framework::logInfo("router", "the list of VMs can be read again");
-        wait = shortestPause;
+        wait = minRetryDelay;
         if (snapshot.value().version == known)
             continue;
         known = snapshot.value().version;
--- a/src/router/internal/wakes.cpp
+++ b/src/router/internal/wakes.cpp
@@ -26,17 +26,17 @@
 }
 
 void Wakes::wait(
-    const SiteTarget& where, RequestNumber number, const WaitingRequest& request, std::uint32_t wantedReplicas)
+    const SiteTarget& where, RequestNumber number, const WaitingRequest& request, std::uint32_t desiredReplicas)
 {
     Waiting& waiting = targets_[where];
     if (waiting.requests.emplace(number, request).second)
         ++waiting_;
-    waiting.wantedReplicas = std::max(waiting.wantedReplicas, wantedReplicas);
+    waiting.desiredReplicas = std::max(waiting.desiredReplicas, desiredReplicas);
     if (!waiting.timer)
         return send(where);
     // The next wake may be a second away; what is hopeless already is to hear so now.
     if (const std::optional<WakeReply> progress = waiting.progress)
-        context_.onExpected(*progress, { number });
+        context_.onForecast(*progress, { number });
 }
 
 void Wakes::stopWaiting(const SiteTarget& where, RequestNumber request)
@@ -46,12 +46,12 @@
         --waiting_;
 }
 
-void Wakes::wantMore(const SiteTarget& where, std::uint32_t wantedReplicas, Deadline usefulUntil)
+void Wakes::requestScaleUp(const SiteTarget& where, std::uint32_t desiredReplicas, Deadline usefulUntil)
 {
     Waiting& waiting = targets_[where];
-    waiting.wantedReplicas = std::max(waiting.wantedReplicas, wantedReplicas);
+    waiting.desiredReplicas = std::max(waiting.desiredReplicas, desiredReplicas);
     waiting.usefulUntil = std::max(waiting.usefulUntil, usefulUntil);
-    waiting.isMoreWanted = true;
+    waiting.isScaleUpRequested = true;
     if (!waiting.timer)
         send(where);
 }
@@ -67,9 +67,9 @@
     Waiting& waiting = targets_.at(where);
     waiting.timer = context_.control.runAt(
         Deadline::after(context_.clock.now(), wakeInterval), [this, where] { sendNext(where); });
-    waiting.isMoreWanted = false;
+    waiting.isScaleUpRequested = false;
     WakeOrder order { where, static_cast<std::uint32_t>(waiting.requests.size()), waiting.usefulUntil,
-        waiting.usefulUntil, waiting.wantedReplicas };
+        waiting.usefulUntil, waiting.desiredReplicas };
     order.bundleVersion = context_.bundleVersion();
     if (!waiting.requests.empty())
         order.earliest = waiting.requests.begin()->second.deadline;
@@ -81,7 +81,7 @@
     const VmName home = homeFor(where, waiting);
     waiting.home = home;
     waiting.hasHomeAnswered = false;
-    const auto reply = [this, where, home](const WakeReply& reply) { take(where, home, reply); };
+    const auto reply = [this, where, home](const WakeReply& reply) { handleReply(where, home, reply); };
     if (home == context_.ownVm)
         context_.home.wake(home, order, reply);
     else
@@ -92,17 +92,17 @@
 {
     Waiting& waiting = targets_.at(where);
     waiting.timer.reset();
-    if (waiting.requests.empty() && !waiting.isMoreWanted) {
+    if (waiting.requests.empty() && !waiting.isScaleUpRequested) {
         targets_.erase(where);
         return;
     }
-    passBySilentHome(waiting);
+    avoidSilentHome(waiting);
     send(where);
 }
 
 /// Guards against a home that is frozen, or whose link has gone silent: nothing breaks, and its wakes would go unheard
 /// until the requests' deadlines. A home says at once that it has heard a wake, so a second of silence is enough.
-void Wakes::passBySilentHome(Waiting& waiting)
+void Wakes::avoidSilentHome(Waiting& waiting)
 {
     const auto now = context_.clock.now();
     std::erase_if(waiting.failedHomes, [now](const auto& failed) { return failed.second.hasPassed(now); });
@@ -113,7 +113,7 @@
     context_.peers.drop(waiting.home);
 }
 
-void Wakes::take(const SiteTarget& where, const VmName& home, const WakeReply& reply)
+void Wakes::handleReply(const SiteTarget& where, const VmName& home, const WakeReply& reply)
 {
     const auto found = targets_.find(where);
     if (found == targets_.end())
@@ -126,12 +126,12 @@
     waiting.progress.reset();
     if (!reply.placements.empty()) {
         if (reply.isFinal)
-            waiting.wantedReplicas = 1;
+            waiting.desiredReplicas = 1;
         return context_.onPlaced(where, reply.placements, requests);
     }
     if (!reply.isFinal) {
         waiting.progress = reply;
-        context_.onExpected(reply, requests);
+        context_.onForecast(reply, requests);
         return;
     }
     // The home itself is the trouble, not the target: the next router in the order takes over at once, and in the end
@@ -142,7 +142,7 @@
         if (!requests.empty())
             send(where);
         else
-            waiting.isMoreWanted = true;
+            waiting.isScaleUpRequested = true;
         return;
     }
     context_.onRefused(
--- a/src/router/internal/wakes.h
+++ b/src/router/internal/wakes.h
@@ -45,15 +45,15 @@
         std::function<void(const framework::Error&, framework::BundleVersion home, const std::set<RequestNumber>&)>
             onRefused;
         /// The load won't end before `soonestAt`.
-        std::function<void(const WakeReply&, const std::set<RequestNumber>&)> onExpected;
+        std::function<void(const WakeReply&, const std::set<RequestNumber>&)> onForecast;
     };
 
     explicit Wakes(const Context&);
 
-    void wait(const SiteTarget&, RequestNumber, const WaitingRequest&, std::uint32_t wantedReplicas);
+    void wait(const SiteTarget&, RequestNumber, const WaitingRequest&, std::uint32_t desiredReplicas);
     void stopWaiting(const SiteTarget&, RequestNumber);
     /// Asks for another replica although nothing waits; at most once a second per target.
-    void wantMore(const SiteTarget&, std::uint32_t wantedReplicas, framework::Deadline usefulUntil);
+    void requestScaleUp(const SiteTarget&, std::uint32_t desiredReplicas, framework::Deadline usefulUntil);
     /// What the target's home last said of the load that goes on.
     std::optional<WakeReply> progress(const SiteTarget&) const;
     std::size_t waiting() const { return waiting_; }
@@ -61,10 +61,10 @@
 private:
     struct Waiting {
         std::map<RequestNumber, WaitingRequest> requests;
-        std::uint32_t wantedReplicas = 1;
+        std::uint32_t desiredReplicas = 1;
         framework::Deadline usefulUntil;
         /// Asked for more replicas since the last wake.
-        bool isMoreWanted = false;
+        bool isScaleUpRequested = false;
         /// What the home last said, while the load goes on.
         std::optional<WakeReply> progress;
         /// Homes that didn't answer, each until it is tried again.
@@ -77,8 +77,8 @@
 
     void send(const SiteTarget&);
     void sendNext(const SiteTarget&);
-    void passBySilentHome(Waiting&);
-    void take(const SiteTarget&, const framework::VmName& home, const WakeReply&);
+    void avoidSilentHome(Waiting&);
+    void handleReply(const SiteTarget&, const framework::VmName& home, const WakeReply&);
     framework::VmName homeFor(const SiteTarget&, const Waiting&) const;
     std::set<RequestNumber> numbers(const Waiting&) const;
 
--- a/src/router/tests/agentsession_test.cpp
+++ b/src/router/tests/agentsession_test.cpp
@@ -27,7 +27,7 @@
         stream_ = std::make_shared<AnswerStream>(answer_, 1);
         session()->dispatch(std::move(order), framework::Deadline::after(control_.now(), longTimeout), stream_,
             [this](const DispatchOutcome& outcome) { outcomes_.push_back(outcome); });
-        settle();
+        runPending();
     }
 
     std::shared_ptr<AgentSession> session() { return sessions_.session(framework::VmName("draft-1")); }
@@ -35,13 +35,13 @@
     wire::fb::DispatchIdT sentId(wire::FakeLink& link) { return *link.takeSent(Body::Dispatch).body.AsDispatch()->id; }
 
     /// Lets the link fall silent until the session gives it up, and greets on the next one.
-    std::shared_ptr<wire::FakeLink> silence(std::uint64_t incarnation = 1, std::uint64_t session = 7)
+    std::shared_ptr<wire::FakeLink> replaceSilentLink(std::uint64_t incarnation = 1, std::uint64_t session = 7)
     {
         const std::size_t before = transport_.connections();
         for (int step = 0; step < 50 && transport_.connections() == before; ++step)
             control_.advance(Milliseconds(100));
         BOOST_REQUIRE(transport_.connections() == before + 1);
-        return greet("draft-1", incarnation, session);
+        return completeHandshake("draft-1", incarnation, session);
     }
 
     std::shared_ptr<FakeAnswer> answer_ = std::make_shared<FakeAnswer>();
@@ -53,9 +53,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(AgentSessions, SessionFixture)
 
-BOOST_AUTO_TEST_CASE(anAnswerIsPassedOnAndSettled)
+BOOST_AUTO_TEST_CASE(anAnswerIsForwardedAndSettled)
 {
-    const auto link = greet("draft-1");
+    const auto link = completeHandshake("draft-1");
     answer(*link, sentId(*link), "done");
     BOOST_REQUIRE(outcomes_.size() == 1u);
     BOOST_TEST(outcomes_[0].has_value());
@@ -66,11 +66,11 @@
 // The link to an agent goes silent for good after a slot hold was sent; the frame never arrived. The router opens
 // another link and asks; the agent fences the id. Only then the caller may be told "not run", and nothing is sent
 // twice.
-BOOST_AUTO_TEST_CASE(onlyTheAgentsWordMakesItNotRun)
+BOOST_AUTO_TEST_CASE(onlyTheAgentCanReportNotRun)
 {
-    const auto silent = greet("draft-1");
+    const auto silent = completeHandshake("draft-1");
     const auto id = sentId(*silent);
-    const auto fresh = silence();
+    const auto fresh = replaceSilentLink();
     BOOST_TEST(outcomes_.empty());
     BOOST_TEST(silent->isClosed());
     BOOST_CHECK_THROW(fresh->takeSent(Body::Dispatch), std::runtime_error);
@@ -81,11 +81,11 @@
 }
 
 // As before, but the agent had run it: the answer comes over the new link, from the byte where the old one ended.
-BOOST_AUTO_TEST_CASE(aRunningRequestIsAttachedToTheNewLink)
+BOOST_AUTO_TEST_CASE(aRunningRequestResumesOnTheNewLink)
 {
-    const auto silent = greet("draft-1");
+    const auto silent = completeHandshake("draft-1");
     const auto id = sentId(*silent);
-    const auto fresh = silence();
+    const auto fresh = replaceSilentLink();
     BOOST_TEST(fresh->takeSent(Body::Resolve).body.AsResolve()->received_bytes == 0u);
     answer(*fresh, id, "held");
     BOOST_REQUIRE(outcomes_.size() == 1u);
@@ -95,34 +95,34 @@
 
 // The agent is killed after a slot hold was sent and a new one is started on the VM. The new one's ledger is empty, so
 // nobody can know whether the hold was made: the outcome must be "unknown", never "not run".
-BOOST_AUTO_TEST_CASE(aRestartedAgentLeavesItUnknown)
+BOOST_AUTO_TEST_CASE(aDispatchIsUnknownAfterTheAgentRestarts)
 {
-    const auto old = greet("draft-1", 1);
+    const auto old = completeHandshake("draft-1", 1);
     sentId(*old);
     old->cut();
-    settle();
+    runPending();
     control_.advance(Milliseconds(100));
-    greet("draft-1", 2);
+    completeHandshake("draft-1", 2);
     BOOST_REQUIRE(outcomes_.size() == 1u);
     BOOST_CHECK(outcomes_[0].error().code == ErrorCode::AgentRestarted);
     BOOST_CHECK(outcomes_[0].error().execution == Execution::Unknown);
 }
 
 // The agent answers, but it has dropped the session meanwhile, and with it the ledger of what it ran.
-BOOST_AUTO_TEST_CASE(aForgottenSessionLeavesItUnknown)
+BOOST_AUTO_TEST_CASE(aDispatchIsUnknownAfterTheAgentDropsTheSession)
 {
-    const auto silent = greet("draft-1", 1, 7);
+    const auto silent = completeHandshake("draft-1", 1, 7);
     sentId(*silent);
-    silence(1, 8);
+    replaceSilentLink(1, 8);
     BOOST_REQUIRE(outcomes_.size() == 1u);
     BOOST_CHECK(outcomes_[0].error().execution == Execution::Unknown);
 }
 
 // A link has been idle for longer than the silence limit, as is normal, when the next hold comes. It isn't silent: it
 // must be used, and a load that is asked for then must not be given up in its first moment.
-BOOST_AUTO_TEST_CASE(anIdleLinkIsNotASilentOne)
+BOOST_AUTO_TEST_CASE(anIdleLinkIsNotTreatedAsSilent)
 {
-    const auto link = greet("draft-1");
+    const auto link = completeHandshake("draft-1");
     answer(*link, sentId(*link), "done");
     control_.advance(Milliseconds(10000));
     const std::size_t before = transport_.connections();
@@ -135,19 +135,19 @@
 }
 
 // Nothing listens at the agent's endpoint: nothing left this process, so it is "not run" at once.
-BOOST_AUTO_TEST_CASE(aRefusedConnectionIsNotRun)
+BOOST_AUTO_TEST_CASE(aDispatchOnARefusedConnectionIsNotRun)
 {
     link("draft-1")->cut("connect");
-    settle();
+    runPending();
     BOOST_REQUIRE(outcomes_.size() == 1u);
     BOOST_CHECK(outcomes_[0].error().execution == Execution::NotRun);
 }
 
 // An answer's bytes were changed or lost on the way: the agent's checksum shows it, and the caller must not take the
 // answer for whole.
-BOOST_AUTO_TEST_CASE(aWrongChecksumIsNotWhole)
+BOOST_AUTO_TEST_CASE(anAnswerWithAWrongChecksumIsNotComplete)
 {
-    const auto link = greet("draft-1");
+    const auto link = completeHandshake("draft-1");
     const auto id = sentId(*link);
     wire::fb::AnswerHeadT head;
     head.id = std::make_unique<wire::fb::DispatchIdT>(id);
@@ -156,15 +156,15 @@
     end.id = std::make_unique<wire::fb::DispatchIdT>(id);
     end.length = 3;
     link->deliver(wire::message(std::move(end)));
-    settle();
+    runPending();
     BOOST_REQUIRE(outcomes_.size() == 1u);
     BOOST_CHECK(outcomes_[0].error().execution == Execution::Unknown);
 }
 
 // Two callers' answers cross on one link: an answer with another router's or another request's id must not reach ours.
-BOOST_AUTO_TEST_CASE(anAnswerOfAnotherRequestIsNotTaken)
+BOOST_AUTO_TEST_CASE(anAnswerToAnotherRequestIsIgnored)
 {
-    const auto link = greet("draft-1");
+    const auto link = completeHandshake("draft-1");
     wire::fb::DispatchIdT other = sentId(*link);
     other.router_incarnation += 1;
     answer(*link, other, "someone else's");
@@ -177,18 +177,18 @@
 }
 
 // The platform says that the VM is gone while a hold is in flight: nobody is left to ask.
-BOOST_AUTO_TEST_CASE(aGoneVmLeavesSentWorkUnknown)
+BOOST_AUTO_TEST_CASE(aSentDispatchIsUnknownAfterItsVmIsGone)
 {
-    const auto link = greet("draft-1");
+    const auto link = completeHandshake("draft-1");
     sentId(*link);
     session()->setGone();
     BOOST_REQUIRE(outcomes_.size() == 1u);
     BOOST_CHECK(outcomes_[0].error().execution == Execution::Unknown);
 }
 
-BOOST_AUTO_TEST_CASE(anIdleLinkIsClosedSomeTimeAfterItsLastWork)
+BOOST_AUTO_TEST_CASE(anIdleLinkIsClosedAfterTheIdleLimit)
 {
-    const auto link = greet("draft-1");
+    const auto link = completeHandshake("draft-1");
     answer(*link, sentId(*link), "done");
     control_.advance(settings_.idleLimit - Milliseconds(1000));
     dispatch();
--- a/src/router/tests/answerstream_test.cpp
+++ b/src/router/tests/answerstream_test.cpp
@@ -16,7 +16,7 @@
 BOOST_AUTO_TEST_SUITE(AnswerStreams)
 
 // A link is replaced in mid-answer and the agent sends again what had already come. The caller must see each byte once.
-BOOST_AUTO_TEST_CASE(bytesSentAgainReachTheCallerOnce)
+BOOST_AUTO_TEST_CASE(resentBytesReachTheCallerOnce)
 {
     auto answer = std::make_shared<FakeAnswer>();
     AnswerStream stream(answer, 1);
@@ -25,11 +25,11 @@
     BOOST_TEST(stream.chunk(3, bytes("lo world")));
     BOOST_TEST(stream.chunk(0, bytes("hel")));
     BOOST_TEST(answer->body_ == "hello world");
-    BOOST_TEST(stream.isWhole(11, policy::fnv1a("hello world", 11)));
+    BOOST_TEST(stream.isComplete(11, policy::fnv1a("hello world", 11)));
 }
 
 // A chunk is lost on the way. What follows it must not be glued to what came before.
-BOOST_AUTO_TEST_CASE(aGapIsNeverClosedUp)
+BOOST_AUTO_TEST_CASE(bytesAfterAGapAreDropped)
 {
     auto answer = std::make_shared<FakeAnswer>();
     AnswerStream stream(answer, 1);
@@ -37,19 +37,19 @@
     BOOST_TEST(stream.chunk(0, bytes("hello ")));
     BOOST_TEST(!stream.chunk(8, bytes("rld")));
     BOOST_TEST(answer->body_ == "hello ");
-    BOOST_TEST(!stream.isWhole(11, policy::fnv1a("hello world", 11)));
+    BOOST_TEST(!stream.isComplete(11, policy::fnv1a("hello world", 11)));
 }
 
-BOOST_AUTO_TEST_CASE(aChangedByteIsNotWhole)
+BOOST_AUTO_TEST_CASE(aCorruptedAnswerIsNotComplete)
 {
     AnswerStream stream(std::make_shared<FakeAnswer>(), 1);
     stream.head(200, {}, {});
     BOOST_TEST(stream.chunk(0, bytes("hallo")));
-    BOOST_TEST(!stream.isWhole(5, policy::fnv1a("hello", 5)));
+    BOOST_TEST(!stream.isComplete(5, policy::fnv1a("hello", 5)));
 }
 
 // A first attempt was given up and a second began; the first one's answer comes late. The caller must not see it.
-BOOST_AUTO_TEST_CASE(aDetachedAttemptReachesNobody)
+BOOST_AUTO_TEST_CASE(aDetachedAttemptSendsNothingToTheCaller)
 {
     auto answer = std::make_shared<FakeAnswer>();
     AnswerStream stream(answer, 1);
--- a/src/router/tests/dispatcher_test.cpp
+++ b/src/router/tests/dispatcher_test.cpp
@@ -26,13 +26,13 @@
         bid.checkpoint = static_cast<std::uint8_t>(checkpoint_);
         bid.refusal = static_cast<std::uint8_t>(ErrorCode::MemoryShort);
         to->deliver(wire::message(bid));
-        settle();
+        runPending();
     }
 
     void bidBoth(bool canLoad)
     {
-        greet("draft-1");
-        greet("draft-2");
+        completeHandshake("draft-1");
+        completeHandshake("draft-2");
         bid("draft-1", canLoad);
         bid("draft-2", canLoad);
     }
@@ -59,7 +59,7 @@
         result.is_loaded = isLoaded;
         result.code = static_cast<std::uint8_t>(code);
         link(vm)->deliver(wire::message(std::move(result)));
-        settle();
+        runPending();
     }
 
     wire::fb::DispatchIdT sentId(const std::string& vm)
@@ -73,7 +73,7 @@
         for (std::string vm : { "draft-1", "draft-2" }) {
             if (!link(vm))
                 continue;
-            greet(vm);
+            completeHandshake(vm);
             for (const wire::Message& sent : link(vm)->takeSent()) {
                 if (sent.body.type == Body::Dispatch)
                     return { vm, *sent.body.AsDispatch()->id };
@@ -93,7 +93,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(Dispatchers, DispatchFixture)
 
-BOOST_AUTO_TEST_CASE(aColdModelIsLoadedOnceForAllWhoWait)
+BOOST_AUTO_TEST_CASE(aColdModelIsLoadedOnceForAllWaitingRequests)
 {
     std::vector<std::shared_ptr<FakeAnswer>> answers;
     for (int caller = 0; caller < 3; ++caller)
@@ -106,7 +106,7 @@
     for (int caller = 0; caller < 3; ++caller)
         answer(*link(vm), sentId(vm), "note");
     for (const auto& each : answers) {
-        BOOST_TEST(each->isWhole_);
+        BOOST_TEST(each->isComplete_);
         BOOST_TEST(each->finals_ == 1);
     }
     BOOST_TEST(metrics_.text().find("lagoon_cold_start_seconds_count 3") != std::string::npos);
@@ -115,7 +115,7 @@
 
 // No upstream can make room. The caller must hear so at once, as not run and with a time to come back, not at its
 // deadline.
-BOOST_AUTO_TEST_CASE(withoutRoomTheRefusalComesAtOnce)
+BOOST_AUTO_TEST_CASE(aRequestIsRefusedAtOnceIfNoUpstreamHasMemory)
 {
     const auto caller = ask(notes(), longTimeout, false);
     bidBoth(false);
@@ -126,7 +126,7 @@
 }
 
 // A load fails at the first upstream: the second is tried before anyone is refused.
-BOOST_AUTO_TEST_CASE(aFailedLoadIsTriedElsewhere)
+BOOST_AUTO_TEST_CASE(aFailedLoadIsRetriedOnAnotherUpstream)
 {
     const auto caller = ask(notes(), longTimeout, false);
     bidBoth(true);
@@ -136,12 +136,12 @@
     BOOST_TEST(second == other(first));
     endLoad(second, true);
     answer(*link(second), sentId(second), "note");
-    BOOST_TEST(caller->isWhole_);
+    BOOST_TEST(caller->isComplete_);
 }
 
 // Operators move a model while a cold request for it waits: the count at this site is lowered a moment before this
 // router has the new bundle. The request must wait for that bundle, not be refused for want of a replica.
-BOOST_AUTO_TEST_CASE(aCountOfANewerBundleIsWaitedFor)
+BOOST_AUTO_TEST_CASE(aRequestWaitsForTheBundleThatLoweredTheCount)
 {
     holders_.bundleVersion = framework::BundleVersion(4);
     const auto caller = ask(notes(), longTimeout, false);
@@ -158,30 +158,30 @@
     BOOST_TEST(loader() == "draft-1");
     endLoad("draft-1", true);
     answer(*link("draft-1"), sentId("draft-1"), "note");
-    BOOST_TEST(caller->isWhole_);
+    BOOST_TEST(caller->isComplete_);
 }
 
 // Before a move ends both sites decide a replica, and only the other site's is warm. It serves; meanwhile this site
 // gets its own, or it would stay cold until the other is taken away.
-BOOST_AUTO_TEST_CASE(anotherSitesReplicaServesWhileTheOwnIsLoaded)
+BOOST_AUTO_TEST_CASE(anotherSitesReplicaServesWhileALocalOneIsLoaded)
 {
     placements_.add(notes(), framework::VmName("far-1"));
     const auto first = ask(notes(), longTimeout, false);
-    greet("far-1");
+    completeHandshake("far-1");
     answer(*link("far-1"), sentId("far-1"), "note");
-    BOOST_TEST(first->isWhole_);
+    BOOST_TEST(first->isComplete_);
     bidBoth(true);
     const std::string own = loader();
     BOOST_REQUIRE(!own.empty());
     endLoad(own, true);
     const auto second = ask(notes(), longTimeout, false);
     answer(*link(own), sentId(own), "note");
-    BOOST_TEST(second->isWhole_);
+    BOOST_TEST(second->isComplete_);
 }
 
 // The router that is home for the model freezes with its connections open. After a second without a word the next
 // router in the order must do its duty, or the request would wait until its deadline.
-BOOST_AUTO_TEST_CASE(aSilentHomeIsPassedBy)
+BOOST_AUTO_TEST_CASE(aSilentHomeIsReplacedByTheNextRouter)
 {
     const std::string home = addHomeFor("notes");
     const auto caller = ask(notes(), longTimeout, false);
@@ -193,23 +193,23 @@
     const std::string vm = loader();
     endLoad(vm, true);
     answer(*link(vm), sentId(vm), "note");
-    BOOST_TEST(caller->isWhole_);
+    BOOST_TEST(caller->isComplete_);
 }
 
 // An agent's link broke under a request, which therefore avoids it; but the agent lives, and the home finds that only
 // it has the model. The request must go there, not wait until its deadline for another.
-BOOST_AUTO_TEST_CASE(anAgentThatFailedOnceIsUsedAgainIfItIsTheOnlyOne)
+BOOST_AUTO_TEST_CASE(anAgentThatFailedIsUsedAgainIfItIsTheOnlyOne)
 {
     placements_.add(notes(), framework::VmName("draft-1"));
     const auto caller = ask(notes(), longTimeout, false);
     link("draft-1")->cut("connect");
-    settle();
-    greet("draft-1");
-    greet("draft-2");
+    runPending();
+    completeHandshake("draft-1");
+    completeHandshake("draft-2");
     bid("draft-1", false, true);
     bid("draft-2", false);
     answer(*link("draft-1"), sentId("draft-1"), "note");
-    BOOST_TEST(caller->isWhole_);
+    BOOST_TEST(caller->isComplete_);
 }
 
 // The weight store crawls and the load doesn't end. The waiting request is refused as not run before its deadline.
@@ -225,7 +225,7 @@
 }
 
 // A hold was sent and its agent never answers: at the deadline the caller hears "unknown", since it may have been made.
-BOOST_AUTO_TEST_CASE(aSentRequestIsUnknownAtItsDeadline)
+BOOST_AUTO_TEST_CASE(aSentRequestEndsAsUnknownAtItsDeadline)
 {
     const auto caller = ask(holds(), Milliseconds(1000), false);
     firstDispatch();
@@ -235,19 +235,19 @@
     BOOST_CHECK(caller->refused_->execution == Execution::Unknown);
 }
 
-BOOST_AUTO_TEST_CASE(whatDidNotRunGoesElsewhere)
+BOOST_AUTO_TEST_CASE(aRequestThatDidNotRunIsRetriedOnAnotherAgent)
 {
     const auto caller = ask(holds(), longTimeout, false);
     const auto [vm, id] = firstDispatch();
     refuse(*link(vm), id, ErrorCode::Draining, Execution::NotRun);
-    greet(other(vm));
+    completeHandshake(other(vm));
     answer(*link(other(vm)), sentId(other(vm)), "held");
-    BOOST_TEST(caller->isWhole_);
+    BOOST_TEST(caller->isComplete_);
     BOOST_TEST(caller->attempt_ == 2u);
 }
 
 // An agent dies after a hold was sent. A second attempt could hold two slots: the caller hears "unknown" instead.
-BOOST_AUTO_TEST_CASE(whatMayHaveRunIsNotRepeated)
+BOOST_AUTO_TEST_CASE(aRequestThatMayHaveRunIsNotRetried)
 {
     const auto caller = ask(holds(), longTimeout, false);
     const auto [vm, id] = firstDispatch();
@@ -257,18 +257,18 @@
     BOOST_TEST(!link(other(vm)));
 }
 
-BOOST_AUTO_TEST_CASE(whatMayBeRepeatedIs)
+BOOST_AUTO_TEST_CASE(aRepeatableRequestIsRetriedAfterAnUnknownOutcome)
 {
     const auto caller = ask(holds(), longTimeout, true);
     const auto [vm, id] = firstDispatch();
     refuse(*link(vm), id, ErrorCode::UpstreamBroken, Execution::Unknown);
-    greet(other(vm));
+    completeHandshake(other(vm));
     answer(*link(other(vm)), sentId(other(vm)), "found");
-    BOOST_TEST(caller->isWhole_);
+    BOOST_TEST(caller->isComplete_);
 }
 
 // Every upstream fails every request. Retries must stop when their budget is spent, or they multiply the overload.
-BOOST_AUTO_TEST_CASE(retriesStayInTheirBudget)
+BOOST_AUTO_TEST_CASE(retriesStayWithinTheBudget)
 {
     settings_.retryShare = 0;
     dispatcher_.setReplicaChoice(policy::makeReplicaChoice({}, 1));
@@ -279,7 +279,7 @@
             for (const std::string vm : { "draft-1", "draft-2" }) {
                 if (!link(vm))
                     continue;
-                greet(vm);
+                completeHandshake(vm);
                 for (const wire::Message& sent : link(vm)->takeSent()) {
                     if (sent.body.type == Body::Dispatch)
                         refuse(*link(vm), *sent.body.AsDispatch()->id, ErrorCode::UpstreamBroken, Execution::Unknown);
@@ -292,19 +292,19 @@
     BOOST_TEST(refusedForBudget > 0);
 }
 
-BOOST_AUTO_TEST_CASE(aCallerThatHangsUpFreesItsPlaceAndItsWork)
+BOOST_AUTO_TEST_CASE(aDisconnectedCallersRequestIsCancelled)
 {
     const auto caller = ask(holds(), longTimeout, false);
     const auto [vm, id] = firstDispatch();
-    caller->hangUp_();
-    settle();
+    caller->onGone_();
+    runPending();
     BOOST_TEST(link(vm)->takeSent(Body::Cancel).body.AsCancel()->id->sequence == id.sequence);
     BOOST_TEST(dispatcher_.requests() == 0u);
     BOOST_TEST(caller->finals_ == 0);
 }
 
 // A stream is cut in the middle: the caller must see its connection break, not a refusal glued to half an answer.
-BOOST_AUTO_TEST_CASE(aBegunAnswerIsBrokenOff)
+BOOST_AUTO_TEST_CASE(aStartedAnswerIsBrokenOff)
 {
     const auto caller = ask(holds(), longTimeout, true);
     const auto [vm, id] = firstDispatch();
@@ -323,15 +323,15 @@
 {
     placements_.add(notes(), framework::VmName("draft-1"));
     const auto caller = ask(notes(), longTimeout, false);
-    greet("draft-1");
+    completeHandshake("draft-1");
     refuse(*link("draft-1"), sentId("draft-1"), ErrorCode::NotLoaded, Execution::NotRun);
-    greet("draft-2");
+    completeHandshake("draft-2");
     bid("draft-1", true);
     bid("draft-2", false);
     BOOST_TEST(loader() == "draft-1");
     endLoad("draft-1", true);
     answer(*link("draft-1"), sentId("draft-1"), "note");
-    BOOST_TEST(caller->isWhole_);
+    BOOST_TEST(caller->isComplete_);
 }
 
 // An agent is restarted for a new program version: it drains, ends, and a new process answers at the same place. It
@@ -349,10 +349,10 @@
     const auto later = ask(holds(), longTimeout, false);
     const auto [vm, id] = firstDispatch();
     answer(*link(vm), id, "held");
-    BOOST_TEST(later->isWhole_);
+    BOOST_TEST(later->isComplete_);
 }
 
-BOOST_AUTO_TEST_CASE(aWakeCarriesTheHighestPriorityOfThoseWaiting)
+BOOST_AUTO_TEST_CASE(aWakeCarriesTheHighestPriorityOfItsWaitingRequests)
 {
     objectstore::VmEntry peer;
     peer.vm = framework::VmName("entry-2");
@@ -376,7 +376,7 @@
 
 // The store's one place is taken and another load waits for it, when a caller of high priority at some router joins
 // those who wait for a queued load. The load must overtake, and those who wait must be told of the earlier end.
-BOOST_AUTO_TEST_CASE(aHomesQueuedLoadTakesALaterWakesPriority)
+BOOST_AUTO_TEST_CASE(aLaterWakeRaisesThePriorityOfAQueuedLoad)
 {
     bundle::PolicyNumbers numbers;
     numbers.weightLoadsAtFullSpeed = 1;
@@ -391,7 +391,7 @@
     const auto note = [&soonest](const WakeReply& reply) { soonest = reply.soonestAt; };
     WakeOrder order { { notes(), site }, 1, deadline, deadline, 1, 0 };
     home_.wake(framework::VmName("entry-1"), order, note);
-    settle();
+    runPending();
     checkpoint_ = policy::CheckpointPlace::Remote;
     bidBoth(true);
     BOOST_REQUIRE(soonest.has_value());
@@ -403,11 +403,11 @@
 
 // The one replica that the bundle decides is warm, but its agent can't serve the request in time. No other will be
 // loaded: the caller must hear so at once, not wait for a replica until its deadline.
-BOOST_AUTO_TEST_CASE(aBusyReplicaWithoutAnotherRefusesAtOnce)
+BOOST_AUTO_TEST_CASE(aRequestIsRefusedAtOnceIfAllReplicasAreBusy)
 {
     placements_.add(notes(), framework::VmName("draft-1"));
     const auto caller = ask(notes(), longTimeout, false);
-    greet("draft-1");
+    completeHandshake("draft-1");
     refuse(*link("draft-1"), sentId("draft-1"), ErrorCode::DeadlineHopeless, Execution::NotRun);
     BOOST_REQUIRE(caller->refused_);
     BOOST_CHECK(caller->refused_->code == ErrorCode::DeadlineHopeless);
@@ -417,14 +417,14 @@
 
 // Models come and go at the agents, so that many placements in the cache are stale. More requests than the retry budget
 // allows meet one; none of them may be refused for that.
-BOOST_AUTO_TEST_CASE(stalePlacementsDontUseTheRetryBudgetUp)
+BOOST_AUTO_TEST_CASE(stalePlacementsDontConsumeTheRetryBudget)
 {
     const int requests = 2 * static_cast<int>(settings_.retryReserve);
     for (int turn = 0; turn < requests; ++turn) {
         placements_.add(notes(), framework::VmName("draft-1"));
         const auto caller = ask(notes(), longTimeout, false);
         if (turn == 0)
-            greet("draft-1");
+            completeHandshake("draft-1");
         refuse(*link("draft-1"), sentId("draft-1"), ErrorCode::NotLoaded, Execution::NotRun);
         BOOST_TEST(!caller->refused_);
     }
@@ -447,13 +447,13 @@
 
 // The router is told to end while a request waits for a load that takes longer than the grace period; nothing forecasts
 // it. The request must be refused as not run while there is time to be served elsewhere, not at its own late deadline.
-BOOST_AUTO_TEST_CASE(atTheEndWhatWaitsForALoadIsRefused)
+BOOST_AUTO_TEST_CASE(onShutdownARequestWaitingForALoadIsRefused)
 {
     const auto caller = ask(notes(), longTimeout, false);
     bidBoth(true);
-    const auto end = framework::ShutdownDeadlines::after(control_.now(), grace);
-    dispatcher_.beginShutdown(end);
-    control_.advance(end.startBy.remaining(control_.now()) - Milliseconds(1));
+    const auto deadlines = framework::ShutdownDeadlines::after(control_.now(), grace);
+    dispatcher_.beginShutdown(deadlines);
+    control_.advance(deadlines.startBy.remaining(control_.now()) - Milliseconds(1));
     BOOST_TEST(caller->finals_ == 0, "the load may still end in time");
     control_.advance(Milliseconds(1));
     checkNotStarted(*caller);
@@ -461,7 +461,7 @@
 }
 
 // The load ends within the grace period: the request is served as if the router stayed.
-BOOST_AUTO_TEST_CASE(atTheEndALoadThatComesInTimeIsUsed)
+BOOST_AUTO_TEST_CASE(onShutdownALoadThatFinishesInTimeIsUsed)
 {
     const auto caller = ask(notes(), longTimeout, false);
     bidBoth(true);
@@ -469,44 +469,44 @@
     dispatcher_.beginShutdown(framework::ShutdownDeadlines::after(control_.now(), grace));
     endLoad(vm, true);
     answer(*link(vm), sentId(vm), "note");
-    BOOST_TEST(caller->isWhole_);
+    BOOST_TEST(caller->isComplete_);
 }
 
 // What is known to come too late is refused at once, not held until the last moment; nor is a later request.
-BOOST_AUTO_TEST_CASE(atTheEndWhatIsHopelessIsRefusedAtOnce)
+BOOST_AUTO_TEST_CASE(onShutdownAHopelessRequestIsRefusedAtOnce)
 {
     const auto caller = ask(notes(), longTimeout, false);
     WakeReply progress;
     progress.soonestAt = framework::Deadline::after(control_.now(), Milliseconds(20000));
-    dispatcher_.takeExpectation(progress, { RequestNumber(1) });
+    dispatcher_.handleForecast(progress, { RequestNumber(1) });
     BOOST_TEST(caller->finals_ == 0);
     dispatcher_.beginShutdown(framework::ShutdownDeadlines::after(control_.now(), grace));
-    dispatcher_.takeExpectation(progress, { RequestNumber(1) });
+    dispatcher_.handleForecast(progress, { RequestNumber(1) });
     checkNotStarted(*caller);
 }
 
 // A request whose body came late is handed over when nothing may be started any more.
-BOOST_AUTO_TEST_CASE(atTheEndALateRequestIsRefusedAtOnce)
+BOOST_AUTO_TEST_CASE(onShutdownALateRequestIsRefusedAtOnce)
 {
-    const auto end = framework::ShutdownDeadlines::after(control_.now(), grace);
-    dispatcher_.beginShutdown(end);
-    control_.advance(end.startBy.remaining(control_.now()));
+    const auto deadlines = framework::ShutdownDeadlines::after(control_.now(), grace);
+    dispatcher_.beginShutdown(deadlines);
+    control_.advance(deadlines.startBy.remaining(control_.now()));
     checkNotStarted(*ask(holds(), longTimeout, false));
 }
 
 // An agent's link isn't open yet: the request has not left the router, so it surely didn't run.
-BOOST_AUTO_TEST_CASE(atTheEndWhatWasNotSentIsNotRun)
+BOOST_AUTO_TEST_CASE(onShutdownAnUnsentRequestIsNotRun)
 {
     const auto caller = ask(holds(), longTimeout, false);
-    const auto end = framework::ShutdownDeadlines::after(control_.now(), grace);
-    dispatcher_.beginShutdown(end);
-    control_.advance(end.startBy.remaining(control_.now()));
+    const auto deadlines = framework::ShutdownDeadlines::after(control_.now(), grace);
+    dispatcher_.beginShutdown(deadlines);
+    control_.advance(deadlines.startBy.remaining(control_.now()));
     BOOST_REQUIRE(caller->refused_);
     BOOST_CHECK(caller->refused_->execution == Execution::NotRun);
     for (const std::string vm : { "draft-1", "draft-2" }) {
         if (!link(vm))
             continue;
-        greet(vm);
+        completeHandshake(vm);
         for (const wire::Message& sent : link(vm)->takeSent())
             BOOST_CHECK(sent.body.type != Body::Dispatch);
     }
@@ -514,7 +514,7 @@
 
 // An agent has two requests when time is up, one of them with a begun answer. The first may have run; the second is
 // broken off, never ended as if it were whole. The agent is told to stop both.
-BOOST_AUTO_TEST_CASE(atTheEndWhatRunsIsUnknownOrBrokenOff)
+BOOST_AUTO_TEST_CASE(onShutdownARunningRequestIsUnknownOrBrokenOff)
 {
     const auto silent = ask(holds(), longTimeout, false);
     const auto [vm, first] = firstDispatch();
@@ -524,36 +524,36 @@
     head.id = std::make_unique<wire::fb::DispatchIdT>(second);
     head.status = 200;
     link(otherVm)->deliver(wire::message(std::move(head)));
-    settle();
-    const auto end = framework::ShutdownDeadlines::after(control_.now(), grace);
-    dispatcher_.beginShutdown(end);
+    runPending();
+    const auto deadlines = framework::ShutdownDeadlines::after(control_.now(), grace);
+    dispatcher_.beginShutdown(deadlines);
     for (const std::string& each : { vm, otherVm })
         link(each)->takeSent();
     // In steps that an agent's sign of life can keep pace with.
-    while (!end.answerBy.hasPassed(control_.now())) {
+    while (!deadlines.answerBy.hasPassed(control_.now())) {
         BOOST_TEST(silent->finals_ + begun->finals_ == 0);
         for (const std::string& each : { vm, otherVm })
             link(each)->deliver(wire::message(wire::fb::PongT()));
-        control_.advance(std::min(Milliseconds(500), end.answerBy.remaining(control_.now())));
+        control_.advance(std::min(Milliseconds(500), deadlines.answerBy.remaining(control_.now())));
     }
     BOOST_REQUIRE(silent->refused_);
     BOOST_CHECK(silent->refused_->code == ErrorCode::ShuttingDown);
     BOOST_CHECK(silent->refused_->execution == Execution::Unknown);
     BOOST_TEST(begun->brokenOff_.has_value());
-    BOOST_TEST(!begun->isWhole_);
+    BOOST_TEST(!begun->isComplete_);
     BOOST_TEST(dispatcher_.requests() == 0u);
 }
 
 // An agent that is told to end refuses its whole queue as not run. Each of these is to go to another agent: the budget
 // that keeps retries from multiplying an overload must not refuse them, as an agent that drains is asked no second
 // time.
-BOOST_AUTO_TEST_CASE(aDrainingAgentsQueueGoesElsewhere)
+BOOST_AUTO_TEST_CASE(aDrainingAgentsQueueIsRetriedOnOtherAgents)
 {
     std::vector<std::shared_ptr<FakeAnswer>> callers;
     for (int caller = 0; caller < 100; ++caller)
         callers.push_back(ask(holds(), longTimeout, false));
-    greet("draft-1");
-    greet("draft-2");
+    completeHandshake("draft-1");
+    completeHandshake("draft-2");
     std::vector<wire::fb::DispatchIdT> queue;
     for (const wire::Message& sent : link("draft-1")->takeSent()) {
         if (sent.body.type == Body::Dispatch)
@@ -569,7 +569,7 @@
 
 // A request that may be repeated was lost with its first agent, which may have run it, and then waits in vain for
 // another. "Not run" would not be true.
-BOOST_AUTO_TEST_CASE(whatMayHaveRunIsNeverCalledNotRunLater)
+BOOST_AUTO_TEST_CASE(aRequestThatMayHaveRunIsNotReportedAsNotRunLater)
 {
     placements_.add(notes(), framework::VmName("draft-1"));
     const auto caller = ask(notes(), Milliseconds(5000), true);
--- a/src/router/tests/fixture.cpp
+++ b/src/router/tests/fixture.cpp
@@ -65,12 +65,12 @@
     , wakes_({ ownVm, control_, control_, metrics_, directory_, home_, *peers_, [] { return std::size_t(4); },
           [this] { return bundle_->version; },
           [this](const auto& where, const auto& vms, const auto& requests) {
-              dispatcher_.takePlacements(where, vms, requests);
+              dispatcher_.handlePlacements(where, vms, requests);
           },
           [this](const auto& error, framework::BundleVersion home, const auto& requests) {
-              dispatcher_.takeRefusal(error, home, requests);
+              dispatcher_.handleRefusal(error, home, requests);
           },
-          [this](const auto& progress, const auto& requests) { dispatcher_.takeExpectation(progress, requests); } })
+          [this](const auto& progress, const auto& requests) { dispatcher_.handleForecast(progress, requests); } })
 {
     dispatcher_.setWakes(wakes_);
     dispatcher_.setReplicaChoice(policy::makeReplicaChoice({}, 1));
@@ -99,7 +99,7 @@
     return transport_.newest(endpoint(vm));
 }
 
-std::shared_ptr<wire::FakeLink> RouterFixture::greet(
+std::shared_ptr<wire::FakeLink> RouterFixture::completeHandshake(
     const std::string& vm, std::uint64_t incarnation, std::uint64_t session)
 {
     auto found = link(vm);
@@ -108,7 +108,7 @@
     hello.receiver_incarnation = incarnation;
     hello.session = session;
     found->deliver(wire::message(std::move(hello)));
-    settle();
+    runPending();
     return found;
 }
 
@@ -126,7 +126,7 @@
     request.priority = priority;
     auto answer = std::make_shared<FakeAnswer>();
     dispatcher_.accept(std::move(request), answer);
-    settle();
+    runPending();
     return answer;
 }
 
@@ -145,7 +145,7 @@
     end.length = body.size();
     end.checksum = policy::fnv1a(body.data(), body.size());
     link.deliver(wire::message(std::move(end)));
-    settle();
+    runPending();
 }
 
 void RouterFixture::refuse(
@@ -156,7 +156,7 @@
     refused.code = static_cast<std::uint8_t>(code);
     refused.execution = execution == framework::Execution::NotRun ? 0 : 1;
     link.deliver(wire::message(std::move(refused)));
-    settle();
+    runPending();
 }
 
 } // namespace lagoon::router
--- a/src/router/tests/fixture.h
+++ b/src/router/tests/fixture.h
@@ -20,18 +20,18 @@
 public:
     void begin(unsigned short, const callers::HttpHeaders&, std::uint32_t attempt) override { attempt_ = attempt; }
     void write(std::string bytes) override { body_ += bytes; }
-    void finish() override { ++finals_, isWhole_ = true; }
+    void finish() override { ++finals_, isComplete_ = true; }
     void breakOff(const framework::Error& error) override { ++finals_, brokenOff_ = error; }
     void refuse(const framework::Error& error, std::uint32_t) override { ++finals_, refused_ = error; }
-    void onCallerGone(std::function<void()> action) override { hangUp_ = std::move(action); }
+    void onCallerGone(std::function<void()> action) override { onGone_ = std::move(action); }
 
     std::string body_;
     std::uint32_t attempt_ = 0;
     int finals_ = 0;
-    bool isWhole_ = false;
+    bool isComplete_ = false;
     std::optional<framework::Error> brokenOff_;
     std::optional<framework::Error> refused_;
-    std::function<void()> hangUp_;
+    std::function<void()> onGone_;
 };
 
 /// The router's control side with a manual clock, whose agents are the test itself.
@@ -42,7 +42,7 @@
     RouterFixture();
 
     /// The newest link to the agent; the agent says hello on it.
-    std::shared_ptr<wire::FakeLink> greet(
+    std::shared_ptr<wire::FakeLink> completeHandshake(
         const std::string& vm, std::uint64_t incarnation = 1, std::uint64_t session = 7);
     std::shared_ptr<wire::FakeLink> link(const std::string& vm) const;
     std::shared_ptr<FakeAnswer> ask(
@@ -52,7 +52,7 @@
     void refuse(wire::FakeLink&, const wire::fb::DispatchIdT&, framework::ErrorCode, framework::Execution);
     /// Adds a router that is home for the key before this one; returns its name.
     std::string addHomeFor(const std::string& key);
-    void settle() { control_.runPosted(); }
+    void runPending() { control_.runPosted(); }
 
     static framework::Endpoint endpoint(const std::string& vm) { return framework::Endpoint(vm + ":1"); }
 
--- a/src/router/tests/idempotencykeys_test.cpp
+++ b/src/router/tests/idempotencykeys_test.cpp
@@ -66,7 +66,7 @@
 
 // A kiosk sends a slot hold, loses its connection and sends it again through another router with the same key. The
 // second must not run: the first may have.
-BOOST_AUTO_TEST_CASE(theSecondBringerIsRefusedAsUnknown)
+BOOST_AUTO_TEST_CASE(aDuplicateKeyIsRefusedAsUnknown)
 {
     BOOST_TEST(claim("slot-5").has_value());
     const auto second = claim("slot-5");
@@ -77,7 +77,7 @@
 }
 
 // The platform's answer to the create is lost: the key is ours all the same, and the call must run.
-BOOST_AUTO_TEST_CASE(aLostAnswerIsSettled)
+BOOST_AUTO_TEST_CASE(aClaimSucceedsWhenThePlatformsResponseIsLost)
 {
     store_->failNextWrites({ objectstore::WriteFault::LoseAnswer });
     BOOST_TEST(claim("slot-5").has_value());
@@ -85,7 +85,7 @@
 }
 
 // The platform is down: nobody can say whether the key is new, so the call isn't run, and the caller is told so.
-BOOST_AUTO_TEST_CASE(withoutThePlatformItIsNotRun)
+BOOST_AUTO_TEST_CASE(aClaimDuringAPlatformOutageIsNotRun)
 {
     store_->setAvailable(false);
     callers::CallerRequest request;
@@ -103,7 +103,7 @@
     BOOST_TEST(result.error().retryAfter.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(aReleasedKeyMayBeBroughtAgain)
+BOOST_AUTO_TEST_CASE(aReleasedKeyMayBeClaimedAgain)
 {
     const auto first = claim("slot-5");
     keys_.release(first.value());
@@ -112,7 +112,7 @@
 
 // A router that ends refuses a request as not run and gives its key back. It must not end before the platform has that,
 // or the caller's next try is taken for a repetition.
-BOOST_AUTO_TEST_CASE(theEndWaitsForKeysThatAreGivenBack)
+BOOST_AUTO_TEST_CASE(shutdownWaitsForKeyReleases)
 {
     const auto key = claim("slot-5");
     std::promise<void> platformGoesOn;
--- a/src/router/tests/loadgate_test.cpp
+++ b/src/router/tests/loadgate_test.cpp
@@ -65,7 +65,7 @@
 
 // Fifty wait for one model, one with a nearer deadline for another. The order starts the crowd's load first; told by
 // deadlines that they come second, the fifty were refused as hopeless.
-BOOST_AUTO_TEST_CASE(theForecastCountsWhatTheOrderStartsFirst)
+BOOST_AUTO_TEST_CASE(theForecastFollowsTheLoadOrder)
 {
     enqueue(load("single"));
     GatedLoad crowd = load("crowd");
@@ -91,7 +91,7 @@
 }
 
 // A load waits for its place when a caller of high priority joins those who wait for it.
-BOOST_AUTO_TEST_CASE(aPriorityThatComesLaterCountsToo)
+BOOST_AUTO_TEST_CASE(aRaisedPriorityMovesAWaitingLoadAhead)
 {
     enqueue(load("first"));
     GatedLoad raised = load("raised");
--- a/src/router/tests/routersettings_test.cpp
+++ b/src/router/tests/routersettings_test.cpp
@@ -24,7 +24,7 @@
 
 BOOST_AUTO_TEST_SUITE(RouterSettings)
 
-BOOST_AUTO_TEST_CASE(goodSettingsAreTaken)
+BOOST_AUTO_TEST_CASE(validSettingsAreParsed)
 {
     const auto settings = router::parseRouterSettings(settingsText(R"(, "dispatch": {"bids": 3})"), "router.json");
     BOOST_REQUIRE(settings.has_value());
@@ -36,7 +36,7 @@
     BOOST_TEST(shorter.value().shutdownGrace.count() == 8000);
 }
 
-BOOST_AUTO_TEST_CASE(faultsNameFileAndKey)
+BOOST_AUTO_TEST_CASE(errorsNameTheFileAndTheKey)
 {
     BOOST_TEST(faultOf(R"(, "colour": 1)").find("router.json: bad_settings: key \"colour\": unknown key")
         != std::string::npos);
--- a/src/router/tests/vmdirectory_test.cpp
+++ b/src/router/tests/vmdirectory_test.cpp
@@ -51,7 +51,7 @@
 
 // 370 routers, each with one place at a weight store that has four, would start 370 loads at once. Only as many routers
 // as there are places are homes, and all routers name the same ones.
-BOOST_AUTO_TEST_CASE(homesAreFewAndTheSameForAll)
+BOOST_AUTO_TEST_CASE(homesAreLimitedAndTheSameOnAllRouters)
 {
     objectstore::VmEntries entries;
     for (int number = 0; number < 370; ++number)
--- a/src/router/tests/vmlistwatcher_test.cpp
+++ b/src/router/tests/vmlistwatcher_test.cpp
@@ -49,7 +49,7 @@
 BOOST_AUTO_TEST_SUITE(VmListWatchers)
 
 // Guards against a connection to the platform that has gone silent and hides for long that a VM leaves.
-BOOST_AUTO_TEST_CASE(aSilentConnectionIsGivenUpWithinTheNoticeOfALeavingVm)
+BOOST_AUTO_TEST_CASE(aSilentConnectionIsReplacedWithinTheLeavingNotice)
 {
     framework::ManualControl control;
     const auto list = std::make_shared<SilentVmList>(control);
--- a/src/router/types/wake.h
+++ b/src/router/types/wake.h
@@ -26,7 +26,7 @@
     std::uint32_t waiters = 0;
     framework::Deadline earliest;
     framework::Deadline latest;
-    std::uint32_t wantedReplicas = 1;
+    std::uint32_t desiredReplicas = 1;
     /// Highest among those waiting.
     std::uint8_t priority = 0;
     /// That the asking router has in force; a home with an older one waits for it.
