--- a/src/router/internal/dispatcher.cpp
+++ b/src/router/internal/dispatcher.cpp
@@ -119,9 +119,9 @@
     if (!vms.empty())
         return dispatch(number, entry, choose(entry, vms));
     if (entry.request.target.isService()) {
-        const Error none { ErrorCode::NoCapacity, "route", entry.request.target.service.value(), "no live upstream",
-            Execution::NotRun, retryAfterNoReplica };
-        return refuse(number, entry.lastError.value_or(none));
+        const Error noCapacity { ErrorCode::NoCapacity, "route", entry.request.target.service.value(),
+            "no live upstream", Execution::NotRun, retryAfterNoReplica };
+        return refuse(number, entry.lastError.value_or(noCapacity));
     }
     waitForReplica(number, entry);
 }
@@ -185,9 +185,9 @@
     }
     const std::optional<SiteTarget> where = nextSite(entry);
     if (!where) {
-        const Error none { ErrorCode::NoCapacity, "wait for replica", "", "the bundle decides none at any site",
+        const Error noCapacity { ErrorCode::NoCapacity, "wait for replica", "", "the bundle decides none at any site",
             Execution::NotRun, retryAfterNoReplica };
-        return refuse(number, entry.lastError.value_or(none));
+        return refuse(number, entry.lastError.value_or(noCapacity));
     }
     // All that the bundle decides are warm and have no place: no load will come, and waiting would end at the deadline.
     if (entry.lastError && isBusy(*entry.lastError)
@@ -197,9 +197,9 @@
     }
     entry.waitsFor = *where;
     entry.coldSince = entry.coldSince.value_or(context_.clock.now());
-    const auto wanted = static_cast<std::uint32_t>(context_.placements.vms(where->target).size() + 1);
+    const auto desired = static_cast<std::uint32_t>(context_.placements.vms(where->target).size() + 1);
     const WaitingRequest waiting { entry.request.deadline, entry.request.priority };
-    wakes_->wait(*where, number, waiting, std::min(wanted, std::max(1U, replicaCap(*where))));
+    wakes_->wait(*where, number, waiting, std::min(desired, std::max(1U, replicaCap(*where))));
 }
 
 /// The own site first, then the others where the bundle decides replicas: during a move, both carry the traffic.
@@ -463,7 +463,7 @@
     shutdownDeadlines_ = deadlines;
     startByTimer_ = context_.control.runAt(deadlines.startBy, [this] { refuseUnstarted(); });
     answerByTimer_ = context_.control.runAt(deadlines.answerBy, [this] { giveUpAll(); });
-    for (const RequestNumber number : numbers()) {
+    for (const RequestNumber number : requestNumbers()) {
         const auto& waitsFor = requests_.at(number).waitsFor;
         if (const auto progress = waitsFor ? wakes_->progress(*waitsFor) : std::nullopt)
             handleForecast(*progress, { number });
@@ -482,7 +482,7 @@
 
 void Dispatcher::refuseUnstarted()
 {
-    for (const RequestNumber number : numbers()) {
+    for (const RequestNumber number : requestNumbers()) {
         Request& entry = requests_.at(number);
         if (wasSentToAgent(entry))
             continue;
@@ -494,17 +494,17 @@
 
 void Dispatcher::giveUpAll()
 {
-    for (const RequestNumber number : numbers())
+    for (const RequestNumber number : requestNumbers())
         giveUp(number, ErrorCode::ShuttingDown, retryAfterShutdown);
 }
 
 /// Copied, since answers and refusals take requests out.
-std::vector<RequestNumber> Dispatcher::numbers() const
+std::vector<RequestNumber> Dispatcher::requestNumbers() const
 {
-    std::vector<RequestNumber> numbers;
+    std::vector<RequestNumber> requestNumbers;
     for (const auto& [number, entry] : requests_)
-        numbers.push_back(number);
-    return numbers;
+        requestNumbers.push_back(number);
+    return requestNumbers;
 }
 
 void Dispatcher::callerGone(RequestNumber number)
--- a/src/router/internal/dispatcher.h
+++ b/src/router/internal/dispatcher.h
@@ -104,7 +104,7 @@
     bool wasSentToAgent(const Request&) const;
     void refuseUnstarted();
     void giveUpAll();
-    std::vector<RequestNumber> numbers() const;
+    std::vector<RequestNumber> requestNumbers() const;
     void callerGone(RequestNumber);
     void refuse(RequestNumber, framework::Error);
     void eraseRequest(RequestNumber);
--- a/src/router/internal/linkserver.cpp
+++ b/src/router/internal/linkserver.cpp
@@ -103,8 +103,8 @@
     // Says that the wake was heard; the asker takes a second of silence for a dead home.
     link->send(wire::message(toWire(WakeReply {}, wake, now)));
     context_.home.wake(senders_.at(link), order,
-        [this, link, asked = std::make_shared<wire::fb::WakeT>(wake)](
-            const WakeReply& reply) { link->send(wire::message(toWire(reply, *asked, context_.clock.now()))); });
+        [this, link, request = std::make_shared<wire::fb::WakeT>(wake)](
+            const WakeReply& reply) { link->send(wire::message(toWire(reply, *request, context_.clock.now()))); });
 }
 
 } // namespace lagoon::router
--- a/src/router/internal/wakes.cpp
+++ b/src/router/internal/wakes.cpp
@@ -119,7 +119,7 @@
     if (found == targets_.end())
         return;
     Waiting& waiting = found->second;
-    const std::set<RequestNumber> requests = numbers(waiting);
+    const std::set<RequestNumber> requests = requestNumbers(waiting);
     waiting.hasHomeAnswered = waiting.hasHomeAnswered || home == waiting.home;
     if (!reply.isFinal && !reply.soonestAt && reply.placements.empty())
         return;
@@ -160,12 +160,12 @@
     return context_.ownVm;
 }
 
-std::set<RequestNumber> Wakes::numbers(const Waiting& waiting) const
+std::set<RequestNumber> Wakes::requestNumbers(const Waiting& waiting) const
 {
-    std::set<RequestNumber> numbers;
+    std::set<RequestNumber> requestNumbers;
     for (const auto& [number, request] : waiting.requests)
-        numbers.insert(number);
-    return numbers;
+        requestNumbers.insert(number);
+    return requestNumbers;
 }
 
 } // namespace lagoon::router
--- a/src/router/internal/wakes.h
+++ b/src/router/internal/wakes.h
@@ -80,7 +80,7 @@
     void avoidSilentHome(Waiting&);
     void handleReply(const SiteTarget&, const framework::VmName& home, const WakeReply&);
     framework::VmName homeFor(const SiteTarget&, const Waiting&) const;
-    std::set<RequestNumber> numbers(const Waiting&) const;
+    std::set<RequestNumber> requestNumbers(const Waiting&) const;
 
     Context context_;
     std::map<SiteTarget, Waiting> targets_;
--- a/src/router/tests/dispatcher_test.cpp
+++ b/src/router/tests/dispatcher_test.cpp
@@ -38,13 +38,13 @@
     }
 
     /// The agent that was told to load, and its order.
-    std::string loader()
+    std::string takeLoadOrder()
     {
         for (std::string vm : { "draft-1", "draft-2" }) {
             for (const wire::Message& sent : link(vm)->takeSent()) {
                 if (sent.body.type != Body::Load)
                     continue;
-                correlation_ = sent.body.AsLoad()->correlation;
+                loadCorrelation_ = sent.body.AsLoad()->correlation;
                 ++loads_;
                 return vm;
             }
@@ -55,7 +55,7 @@
     void endLoad(const std::string& vm, bool isLoaded, ErrorCode code = ErrorCode::LoadFailed)
     {
         wire::fb::LoadResultT result;
-        result.correlation = correlation_;
+        result.correlation = loadCorrelation_;
         result.is_loaded = isLoaded;
         result.code = static_cast<std::uint8_t>(code);
         link(vm)->deliver(wire::message(std::move(result)));
@@ -85,7 +85,7 @@
     static std::string other(const std::string& vm) { return vm == "draft-1" ? "draft-2" : "draft-1"; }
 
     policy::CheckpointPlace checkpoint_ = policy::CheckpointPlace::Memory;
-    std::uint64_t correlation_ = 0;
+    std::uint64_t loadCorrelation_ = 0;
     int loads_ = 0;
 };
 
@@ -99,15 +99,15 @@
     for (int caller = 0; caller < 3; ++caller)
         answers.push_back(ask(notes(), longTimeout, false));
     bidBoth(true);
-    const std::string vm = loader();
+    const std::string vm = takeLoadOrder();
     BOOST_REQUIRE(!vm.empty());
-    BOOST_TEST(loader() == "");
+    BOOST_TEST(takeLoadOrder() == "");
     endLoad(vm, true);
     for (int caller = 0; caller < 3; ++caller)
         answer(*link(vm), sentId(vm), "note");
     for (const auto& each : answers) {
         BOOST_TEST(each->isComplete_);
-        BOOST_TEST(each->finals_ == 1);
+        BOOST_TEST(each->finalCount_ == 1);
     }
     BOOST_TEST(metrics_.text().find("lagoon_cold_start_seconds_count 3") != std::string::npos);
     BOOST_TEST(dispatcher_.requests() == 0u);
@@ -130,9 +130,9 @@
 {
     const auto caller = ask(notes(), longTimeout, false);
     bidBoth(true);
-    const std::string first = loader();
+    const std::string first = takeLoadOrder();
     endLoad(first, false);
-    const std::string second = loader();
+    const std::string second = takeLoadOrder();
     BOOST_TEST(second == other(first));
     endLoad(second, true);
     answer(*link(second), sentId(second), "note");
@@ -146,7 +146,7 @@
     holders_.bundleVersion = framework::BundleVersion(4);
     const auto caller = ask(notes(), longTimeout, false);
     bidBoth(true);
-    endLoad(loader(), false, ErrorCode::ReplicaCapReached);
+    endLoad(takeLoadOrder(), false, ErrorCode::ReplicaCapReached);
     control_.advance(Milliseconds(1000));
     BOOST_TEST(!caller->refused_);
     auto newer = std::make_shared<bundle::Bundle>(*bundle_);
@@ -155,7 +155,7 @@
     control_.advance(Milliseconds(200));
     bid("draft-1", true);
     bid("draft-2", false);
-    BOOST_TEST(loader() == "draft-1");
+    BOOST_TEST(takeLoadOrder() == "draft-1");
     endLoad("draft-1", true);
     answer(*link("draft-1"), sentId("draft-1"), "note");
     BOOST_TEST(caller->isComplete_);
@@ -171,7 +171,7 @@
     answer(*link("far-1"), sentId("far-1"), "note");
     BOOST_TEST(first->isComplete_);
     bidBoth(true);
-    const std::string own = loader();
+    const std::string own = takeLoadOrder();
     BOOST_REQUIRE(!own.empty());
     endLoad(own, true);
     const auto second = ask(notes(), longTimeout, false);
@@ -190,7 +190,7 @@
     control_.advance(Milliseconds(1100));
     BOOST_REQUIRE(link("draft-1"));
     bidBoth(true);
-    const std::string vm = loader();
+    const std::string vm = takeLoadOrder();
     endLoad(vm, true);
     answer(*link(vm), sentId(vm), "note");
     BOOST_TEST(caller->isComplete_);
@@ -220,7 +220,7 @@
     control_.advance(Milliseconds(99));
     BOOST_REQUIRE(caller->refused_);
     BOOST_CHECK(caller->refused_->execution == Execution::NotRun);
-    BOOST_TEST(caller->finals_ == 1);
+    BOOST_TEST(caller->finalCount_ == 1);
     BOOST_TEST(dispatcher_.requests() == 0u);
 }
 
@@ -300,7 +300,7 @@
     runPending();
     BOOST_TEST(link(vm)->takeSent(Body::Cancel).body.AsCancel()->id->sequence == id.sequence);
     BOOST_TEST(dispatcher_.requests() == 0u);
-    BOOST_TEST(caller->finals_ == 0);
+    BOOST_TEST(caller->finalCount_ == 0);
 }
 
 // A stream is cut in the middle: the caller must see its connection break, not a refusal glued to half an answer.
@@ -314,7 +314,7 @@
     refuse(*link(vm), id, ErrorCode::UpstreamBroken, Execution::Unknown);
     BOOST_TEST(caller->brokenOff_.has_value());
     BOOST_TEST(!caller->refused_);
-    BOOST_TEST(caller->finals_ == 1);
+    BOOST_TEST(caller->finalCount_ == 1);
 }
 
 // The placement cache says that an agent has the model, but it was unloaded: the request is not run there, and waits
@@ -328,7 +328,7 @@
     completeHandshake("draft-2");
     bid("draft-1", true);
     bid("draft-2", false);
-    BOOST_TEST(loader() == "draft-1");
+    BOOST_TEST(takeLoadOrder() == "draft-1");
     endLoad("draft-1", true);
     answer(*link("draft-1"), sentId("draft-1"), "note");
     BOOST_TEST(caller->isComplete_);
@@ -440,7 +440,7 @@
     BOOST_CHECK(caller.refused_->code == ErrorCode::ShuttingDown);
     BOOST_CHECK(caller.refused_->execution == Execution::NotRun);
     BOOST_TEST(caller.refused_->retryAfter.has_value());
-    BOOST_TEST(caller.finals_ == 1);
+    BOOST_TEST(caller.finalCount_ == 1);
 }
 
 } // namespace
@@ -454,7 +454,7 @@
     const auto deadlines = framework::ShutdownDeadlines::after(control_.now(), grace);
     dispatcher_.beginShutdown(deadlines);
     control_.advance(deadlines.startBy.remaining(control_.now()) - Milliseconds(1));
-    BOOST_TEST(caller->finals_ == 0, "the load may still end in time");
+    BOOST_TEST(caller->finalCount_ == 0, "the load may still end in time");
     control_.advance(Milliseconds(1));
     checkNotStarted(*caller);
     BOOST_TEST(wakes_.waiting() == 0u);
@@ -465,7 +465,7 @@
 {
     const auto caller = ask(notes(), longTimeout, false);
     bidBoth(true);
-    const std::string vm = loader();
+    const std::string vm = takeLoadOrder();
     dispatcher_.beginShutdown(framework::ShutdownDeadlines::after(control_.now(), grace));
     endLoad(vm, true);
     answer(*link(vm), sentId(vm), "note");
@@ -479,7 +479,7 @@
     WakeReply progress;
     progress.soonestAt = framework::Deadline::after(control_.now(), Milliseconds(20000));
     dispatcher_.handleForecast(progress, { RequestNumber(1) });
-    BOOST_TEST(caller->finals_ == 0);
+    BOOST_TEST(caller->finalCount_ == 0);
     dispatcher_.beginShutdown(framework::ShutdownDeadlines::after(control_.now(), grace));
     dispatcher_.handleForecast(progress, { RequestNumber(1) });
     checkNotStarted(*caller);
@@ -531,7 +531,7 @@
         link(each)->takeSent();
     // In steps that an agent's sign of life can keep pace with.
     while (!deadlines.answerBy.hasPassed(control_.now())) {
-        BOOST_TEST(silent->finals_ + begun->finals_ == 0);
+        BOOST_TEST(silent->finalCount_ + begun->finalCount_ == 0);
         for (const std::string& each : { vm, otherVm })
             link(each)->deliver(wire::message(wire::fb::PongT()));
         control_.advance(std::min(Milliseconds(500), deadlines.answerBy.remaining(control_.now())));
@@ -563,7 +563,7 @@
     for (const wire::fb::DispatchIdT& id : queue)
         refuse(*link("draft-1"), id, ErrorCode::Draining, Execution::NotRun);
     for (const auto& caller : callers)
-        BOOST_TEST(caller->finals_ == 0);
+        BOOST_TEST(caller->finalCount_ == 0);
     BOOST_TEST(dispatcher_.requests() == 100u);
 }
 
@@ -575,7 +575,7 @@
     const auto caller = ask(notes(), Milliseconds(5000), true);
     const auto [vm, id] = firstDispatch();
     refuse(*link(vm), id, ErrorCode::UpstreamFailed, Execution::Unknown);
-    BOOST_TEST(caller->finals_ == 0, "it waits for another replica");
+    BOOST_TEST(caller->finalCount_ == 0, "it waits for another replica");
     control_.advance(Milliseconds(5000));
     BOOST_REQUIRE(caller->refused_);
     BOOST_CHECK(caller->refused_->execution == Execution::Unknown);
--- a/src/router/tests/fixture.h
+++ b/src/router/tests/fixture.h
@@ -20,14 +20,14 @@
 public:
     void begin(unsigned short, const callers::HttpHeaders&, std::uint32_t attempt) override { attempt_ = attempt; }
     void write(std::string bytes) override { body_ += bytes; }
-    void finish() override { ++finals_, isComplete_ = true; }
-    void breakOff(const framework::Error& error) override { ++finals_, brokenOff_ = error; }
-    void refuse(const framework::Error& error, std::uint32_t) override { ++finals_, refused_ = error; }
+    void finish() override { ++finalCount_, isComplete_ = true; }
+    void breakOff(const framework::Error& error) override { ++finalCount_, brokenOff_ = error; }
+    void refuse(const framework::Error& error, std::uint32_t) override { ++finalCount_, refused_ = error; }
     void onCallerGone(std::function<void()> action) override { onGone_ = std::move(action); }
 
     std::string body_;
     std::uint32_t attempt_ = 0;
-    int finals_ = 0;
+    int finalCount_ = 0;
     bool isComplete_ = false;
     std::optional<framework::Error> brokenOff_;
     std::optional<framework::Error> refused_;
