--- a/src/router/internal/agentsession.cpp
+++ b/src/router/internal/agentsession.cpp
@@ -21,7 +21,8 @@
 constexpr Milliseconds tickInterval { 100 };
 constexpr Milliseconds minReconnectDelay { 100 };
 constexpr Milliseconds maxReconnectDelay { 1000 };
-/// Settled ids after which the agent is told the floor without waiting for the next dispatch or ping.
+/// Number of settled dispatches after which the floor is sent to the agent without waiting for the next dispatch or
+/// ping.
 constexpr std::uint32_t settleBatch = 16;
 constexpr std::uint32_t maxConnectAttemptsForUnsent = 2;
 constexpr double firstByteSmoothing = 0.2;
@@ -247,7 +248,7 @@
 {
     entry.wasSent = true;
     const SteadyTime now = context_.clock.now();
-    // A copy goes out: what stays is needed for `Resolve` only, and that doesn't need the body.
+    // Moves the dispatch out and keeps only its id: `Resolve` needs nothing else, and the body may be large.
     entry.frame.id->router_incarnation = context_.ownIncarnation.value();
     entry.frame.id->session = session_;
     entry.frame.agent_incarnation = agentIncarnation_;
@@ -278,7 +279,7 @@
         return;
     const SteadyTime begunAt = entry->second.stream->begunAt().value_or(context_.clock.now());
     const double seconds = std::chrono::duration<double>(begunAt - entry->second.dispatchedAt).count();
-    // The first answer stands for itself: an average that began at 0 would make a new agent look fast.
+    // The first answer sets the average: an average that started at 0 would make a new agent look fast.
     const bool isFirst = firstByteSeconds_ == 0;
     firstByteSeconds_ += (isFirst ? 1 : firstByteSmoothing) * (seconds - firstByteSeconds_);
     lastAnswer_ = context_.clock.now();
@@ -331,13 +332,13 @@
 {
     ++failedConnects_;
     isSuspect_ = true;
-    // The first try is at once: a silent link may be the only thing that is wrong.
+    // The first attempt to reconnect is immediate, since the agent may be healthy and only the link silent.
     const Milliseconds wait = std::min(maxReconnectDelay, minReconnectDelay * (failedConnects_ - 1));
     connectAt_ = Deadline::after(context_.clock.now(), wait);
     context_.metrics.count("lagoon_links_lost_total", { { "step", why.step } });
     dropLink();
     failQueries(why);
-    // Nothing of these has left the process, so another agent may run them.
+    // The unsent dispatches haven't left the process, so another agent may run them.
     if (failedConnects_ >= maxConnectAttemptsForUnsent || why.step == "connect")
         failUnsent(error(ErrorCode::LinkLost, "connect", why.detail, Execution::NotRun));
     armTick();
@@ -364,7 +365,7 @@
 
 void AgentSession::failEach(bool wasSent, const Error& why)
 {
-    // Gathered first: an outcome's handler may dispatch again.
+    // Collects the sequence numbers first, since an outcome handler may dispatch again and change `inFlight_`.
     std::vector<std::uint64_t> failed;
     for (const auto& [sequence, entry] : inFlight_) {
         if (entry.wasSent == wasSent)
@@ -377,15 +378,15 @@
 void AgentSession::armTick()
 {
     const SteadyTime now = context_.clock.now();
-    // Silence counts from when there is something to answer.
+    // The silence limit counts from the moment at which the agent has something to answer.
     if (idleUntil_ != Deadline())
         lastReceived_ = now.time_since_epoch().count();
     idleUntil_ = Deadline();
     armTickAt(Deadline::after(now, tickInterval));
 }
 
-/// An idle session isn't looked at before its link's end: with hundreds of agents, most of them idle, ticks would cost
-/// more than the work.
+/// An idle session has no tick before its link is due to be closed: with hundreds of agents, most of them idle, ticks
+/// would cost more than the work itself.
 void AgentSession::armTickAt(Deadline at)
 {
     if (tickTimer_ && tickAt_ <= at)
@@ -397,8 +398,8 @@
     });
 }
 
-/// Guards against links that fall silent for good while new ones work: nothing heard for the silence limit although
-/// pings were sent means that the link is given up, and everything on it is resolved over a new one.
+/// Replaces links that go silent permanently while new ones would work: if nothing is received within the silence limit
+/// although pings were sent, the link is closed, and all dispatches sent on it are resolved over a new one.
 void AgentSession::tick()
 {
     tickTimer_.reset();
@@ -420,8 +421,8 @@
         linkLost(Error { ErrorCode::LinkLost, "await answer", agent_.value(), "silent" });
         connect();
     } else if (isOpen_ && nextPing_.hasPassed(now) && now - lastReceived >= context_.settings.pingInterval) {
-        // Only a link that says nothing by itself is asked whether it lives: while tokens stream, pings on each link of
-        // a router at the target size would be 89 KB/s of 27 (docs/CAPACITY.md).
+        // Pings only links that receive nothing else: while tokens stream, pings on each link of a router at the target
+        // size would be 89 KB/s of 27 (docs/CAPACITY.md).
         nextPing_ = Deadline::after(now, context_.settings.pingInterval);
         wire::fb::PingT ping;
         ping.nonce = nextCorrelation_++;
--- a/src/router/internal/agentsession.h
+++ b/src/router/internal/agentsession.h
@@ -19,12 +19,13 @@
 
 namespace lagoon::router {
 
-/// How a dispatch ended: whole, or with an error whose `execution` says what is known. Exactly one per dispatch.
+/// Result of a dispatch: a complete answer, or an error whose `execution` states whether the request may have run. Each
+/// dispatch has exactly one outcome.
 using DispatchOutcome = framework::Result<void>;
 using OutcomeHandler = std::function<void(const DispatchOutcome&)>;
 template <typename Answer> using AnswerHandler = std::function<void(const framework::Result<Answer>&)>;
 
-/// What a session needs of its router.
+/// Dependencies of a session.
 struct SessionContext {
     framework::VmName ownVm;
     framework::Incarnation ownIncarnation;
@@ -34,37 +35,38 @@
     framework::Metrics& metrics;
     const DispatchSettings& settings;
     std::function<framework::BundleVersion()> bundleVersion;
-    /// A peer has seen this version.
+    /// Called with each bundle version that a peer reports.
     std::function<void(framework::BundleVersion)> observeVersion;
 };
 
-/// Load numbers as the agent last said.
+/// Load that the agent last reported.
 struct AgentLoad {
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
 };
 
-/// A router's side of its dealings with one agent, across as many links as that takes.
+/// The router's end of a session with one agent. A session outlives its links: a lost link is replaced by a new one.
 ///
-/// Guards "not run" and "at most once" against links that go silent or break: what was sent on a lost link is never
-/// sent again; its fate is asked for over the next one (`Resolve`), and only the agent's own word makes it "not run".
-/// An agent of another incarnation or session can't know, so the outcome is "unknown". Control thread only, but for
-/// the bytes of answers, which go from the link's thread to their stream.
+/// Ensures "not run" and "at most once" when links go silent or break: a dispatch that was sent on a lost link is never
+/// sent again. The session queries its state over the next link (`Resolve`), and only the agent can report "not run".
+/// An agent with another incarnation or session has no record of the dispatch, so the outcome is "unknown". Used on the
+/// control thread only, except for answer bytes, which go from the link's thread directly to their stream.
 class AgentSession : public std::enable_shared_from_this<AgentSession> {
 public:
     AgentSession(const SessionContext&, framework::VmName agent, framework::Endpoint);
 
-    /// Sends the request as soon as a link stands. The dispatch's id, incarnation, session, floor and
-    /// remaining time are filled in. The outcome may come after the deadline: who keeps the deadline cancels.
+    /// Sends the request as soon as a link is open, and fills in the dispatch's id, incarnation, session, floor and
+    /// remaining time. The outcome may arrive after the deadline: the session doesn't enforce it, the caller has to
+    /// cancel the dispatch.
     framework::SequenceNumber dispatch(
         wire::fb::DispatchT, framework::Deadline, std::shared_ptr<AnswerStream>, OutcomeHandler);
-    /// Nobody waits any more: the outcome handler won't be called, the agent is told to stop.
+    /// Tells the agent to stop the dispatch. The outcome handler won't be called.
     void cancel(framework::SequenceNumber);
-    /// Whether the dispatch has left this process; until then nobody can have run it.
+    /// Whether the dispatch was handed to a link. A dispatch that wasn't sent can't have run.
     bool wasSent(framework::SequenceNumber) const;
     void requestBid(const wire::fb::TargetT&, framework::BundleVersion, AnswerHandler<wire::fb::BidT>);
     void load(wire::fb::LoadT, AnswerHandler<wire::fb::LoadResultT>);
-    /// The platform says that the VM no longer exists.
+    /// Fails all work in flight, because the platform reports that the VM no longer exists.
     void setGone();
     void close();
 
@@ -74,21 +76,22 @@
     AgentLoad agentLoad() const { return load_; }
     bool isSuspect() const { return isSuspect_; }
     double firstByteSeconds() const { return firstByteSeconds_; }
-    /// When `firstByteSeconds` last changed.
+    /// Time of the last change of `firstByteSeconds`.
     framework::SteadyTime lastAnswer() const { return lastAnswer_; }
 
 private:
-    /// A dispatch without outcome.
+    /// A dispatch that has no outcome yet.
     struct InFlight {
         wire::fb::DispatchT frame;
         std::shared_ptr<AnswerStream> stream;
         OutcomeHandler onOutcome;
-        /// Handed to some link; from then on only the agent can say that it didn't run.
+        /// Set once the dispatch was handed to a link. From then on only the agent can report that it didn't run.
         bool wasSent = false;
         framework::SteadyTime dispatchedAt {};
         framework::Deadline deadline;
     };
-    /// A question with one answer, tried on one link only: bids and loads are harmless to ask again.
+    /// A bid or load request that waits for its one response. It fails with its link and isn't resent, since the home
+    /// can safely repeat bid and load requests.
     struct Query {
         std::function<void(const framework::Result<const wire::Message*>&)> onAnswer;
     };
@@ -125,7 +128,7 @@
 
     std::shared_ptr<wire::ILink> link_;
     bool isOpen_ = false;
-    /// Of the agent process that this session's sent dispatches went to; 0 before the first hello.
+    /// Incarnation of the agent process that received this session's dispatches; 0 before the first hello.
     std::uint64_t agentIncarnation_ = 0;
     std::uint64_t session_ = 0;
     std::uint64_t nextSequence_ = 1;
@@ -147,7 +150,7 @@
     framework::Deadline connectAt_;
     std::atomic<framework::SteadyTime::rep> lastReceived_ { 0 };
 
-    /// Streams by sequence, for the links' threads.
+    /// Answer streams by sequence number, accessed from the links' threads.
     mutable std::mutex streamsMutex_;
     std::unordered_map<std::uint64_t, std::shared_ptr<AnswerStream>> streams_;
 };
--- a/src/router/internal/agentsessions.cpp
+++ b/src/router/internal/agentsessions.cpp
@@ -16,8 +16,8 @@
     if (!entry)
         return existing(vm);
     std::shared_ptr<AgentSession>& session = sessions_[vm];
-    // An agent that was started anew may listen elsewhere. What the old session still has in flight keeps it alive
-    // until it is settled or its deadline has passed.
+    // A restarted agent may listen on another endpoint. The old session stays alive until its dispatches in flight are
+    // settled or past their deadlines.
     if (!session || session->endpoint() != entry->endpoint)
         session = std::make_shared<AgentSession>(context_, vm, entry->endpoint);
     return session;
--- a/src/router/internal/agentsessions.h
+++ b/src/router/internal/agentsessions.h
@@ -8,16 +8,17 @@
 
 namespace lagoon::router {
 
-/// The sessions with agents, made when first needed.
+/// Holds the sessions with agents, created on first use.
 class AgentSessions {
 public:
     AgentSessions(const SessionContext&, const VmDirectory&);
 
-    /// Null if the list has no such VM. A VM whose endpoint changed gets a new session.
+    /// Returns the session with the VM's agent, and creates it if necessary. A VM whose endpoint changed gets a new
+    /// session. For a VM that the directory doesn't list, returns the existing session or null.
     std::shared_ptr<AgentSession> session(const framework::VmName&);
-    /// Null if there was nothing to say to the agent yet.
+    /// Returns null if no session with the agent was created yet.
     std::shared_ptr<AgentSession> existing(const framework::VmName&) const;
-    /// After a change of the list: ends sessions with VMs that are gone.
+    /// Ends the sessions with VMs that are gone. Called after each change of the VM list.
     void removeGone();
     void closeAll();
 
--- a/src/router/internal/answerstream.h
+++ b/src/router/internal/answerstream.h
@@ -13,25 +13,27 @@
 
 namespace lagoon::router {
 
-/// Passes one attempt's answer on to its caller, in order and each byte once. Thread-safe.
+/// Forwards the answer of one attempt to its caller, in order and each byte once. Thread-safe.
 ///
-/// Guards against answers that come late, twice or crossed: a stream belongs to one dispatch id, takes only the byte
-/// that is next (what it already has is skipped, a gap is an error), and is whole only if length and checksum agree.
+/// Protects callers from late, duplicated and mixed-up answers: a stream belongs to one dispatch id, accepts only the
+/// next byte (bytes that it already has are skipped, a gap is an error), and is complete only if length and checksum
+/// match.
 class AnswerStream {
 public:
     AnswerStream(std::shared_ptr<callers::ICallerAnswer>, std::uint32_t attempt);
 
-    /// A second head, sent again after a link was replaced, is ignored.
+    /// Forwards status and headers. Ignores a second head, which the agent sends again after a link was replaced.
     void head(unsigned short status, const callers::HttpHeaders&, framework::SteadyTime now);
-    /// False: bytes are missing before `offset`; the answer can't become whole any more over this link.
+    /// Forwards the bytes that are new. Returns false if bytes before `offset` are missing; the answer can't be
+    /// completed over this link then.
     [[nodiscard]] bool chunk(std::uint64_t offset, const std::vector<std::uint8_t>& bytes);
-    /// Whether what came is the whole answer.
+    /// Whether the answer was received completely, by its length in bytes and its FNV-1a checksum.
     [[nodiscard]] bool isComplete(std::uint64_t length, std::uint64_t checksum) const;
-    /// Nothing more reaches the caller from this attempt; returns whether anything had.
+    /// Stops forwarding to the caller. Returns whether the head had been forwarded before.
     bool detach();
 
     bool hasBegun() const;
-    /// When the head came; nothing before.
+    /// Time at which the head arrived; std::nullopt before that.
     std::optional<framework::SteadyTime> begunAt() const;
     std::uint64_t receivedBytes() const;
 
--- a/src/router/internal/dispatcher.cpp
+++ b/src/router/internal/dispatcher.cpp
@@ -21,23 +21,24 @@
 
 constexpr Milliseconds retryAfterNoReplica { 2000 };
 constexpr Milliseconds retryAfterBusy { 1000 };
-/// The refusal is to reach the caller before its deadline.
+/// A refusal is sent this long before the request's deadline, so that it reaches the caller in time.
 constexpr Milliseconds answerMargin { 20 };
 constexpr Milliseconds drainingAvoidance { 5000 };
-/// Another router may serve at once what this one, which ends, didn't start.
+/// Another router can serve at once a request that this router didn't start before its shutdown.
 constexpr Milliseconds retryAfterShutdown { 1000 };
 constexpr Milliseconds maxBundleWait { 3000 };
 constexpr Milliseconds bundlePollInterval { 100 };
 
-/// The replica works, but has no place for this request in time.
+/// Whether the replica is healthy, but can't serve the request in time.
 bool isBusy(const Error& error)
 {
     return error.code == ErrorCode::TooManyWaiting || error.code == ErrorCode::DeadlineHopeless;
 }
 
-/// Whether a retry after it is charged to no budget. A stale placement costs its agent nothing and is forgotten with
-/// the first refusal, an agent that drains is avoided from then on: neither can multiply an overload. Models that come
-/// and go, or the queue of one agent that is told to end, would use the budget up, and requests be refused for nothing.
+/// Whether a retry after this error is exempt from the retry budget. A stale placement costs its agent nothing and is
+/// removed with the first refusal, and a draining agent is excluded from selection from then on, so neither can
+/// multiply an overload. Otherwise models that are often loaded and unloaded, or the queue of a single draining agent,
+/// would exhaust the budget, and requests would be refused needlessly.
 bool isExemptFromRetryBudget(const Error& error)
 {
     const bool isLeaving = error.code == ErrorCode::Draining || error.code == ErrorCode::ShuttingDown;
@@ -96,7 +97,7 @@
     context_.keys->claim(entry.request, [this, number](const framework::Result<ClaimedKey>& key) {
         const auto found = requests_.find(number);
         if (found == requests_.end()) {
-            // Its deadline passed or its caller left meanwhile, so it will never run.
+            // The request's deadline has passed or its caller has disconnected meanwhile, so it will never run.
             if (key.has_value())
                 context_.keys->release(key.value());
             return;
@@ -136,7 +137,7 @@
         if (!service)
             return vms;
         vms = context_.directory.upstreams(service->pools, context_.site);
-        // The other site carries the traffic as well, when this one has no upstream for it.
+        // If this site has no usable upstream for the service, upstreams of another site serve the request.
         for (const framework::SiteName& site : context_.directory.sites()) {
             if (vms.empty())
                 vms = context_.directory.upstreams(service->pools, site);
@@ -145,7 +146,7 @@
         vms = context_.placements.vms(target);
     }
     std::erase_if(vms, [&](const VmName& vm) { return entry.failed.contains(vm) || !context_.directory.isUsable(vm); });
-    // Another site's warm replica serves until this site has one of its own.
+    // Replicas at other sites serve requests only until this site has a replica.
     if (std::any_of(vms.begin(), vms.end(), [this](const VmName& vm) { return isAtOwnSite(vm); }))
         std::erase_if(vms, [this](const VmName& vm) { return !isAtOwnSite(vm); });
     return vms;
@@ -189,7 +190,8 @@
             Execution::NotRun, retryAfterNoReplica };
         return refuse(number, entry.lastError.value_or(noCapacity));
     }
-    // All that the bundle decides are warm and have no place: no load will come, and waiting would end at the deadline.
+    // All replicas that the bundle decides are loaded and busy: no further load will be started, and the request would
+    // wait until its deadline in vain.
     if (entry.lastError && isBusy(*entry.lastError)
         && context_.placements.vms(where->target).size() >= replicaCap(*where)) {
         entry.refusedSites.insert(where->site);
@@ -202,7 +204,9 @@
     wakes_->wait(*where, number, waiting, std::min(desired, std::max(1U, replicaCap(*where))));
 }
 
-/// The own site first, then the others where the bundle decides replicas: during a move, both carry the traffic.
+/// Returns this router's site if possible, otherwise another site at which the bundle decides replicas: while a model
+/// moves between sites, both serve it. Sites that refused the request are skipped. Returns std::nullopt if no site is
+/// left.
 std::optional<SiteTarget> Dispatcher::nextSite(const Request& entry) const
 {
     const SiteTarget own { entry.request.target, context_.site };
@@ -275,7 +279,8 @@
     const std::vector<VmName> vms = context_.placements.vms(target);
     const auto known = static_cast<std::uint32_t>(
         std::count_if(vms.begin(), vms.end(), [this](const VmName& vm) { return isAtOwnSite(vm); }));
-    // Without one here, another site serves what this one should: during a move the new site is warmed by that.
+    // Without a replica at this site, another site serves its traffic. The requested replica warms up the new site
+    // while a model moves between sites.
     const bool isMoreNeeded = known == 0 || inFlight >= context_.settings.scaleUpInFlight;
     if (isMoreNeeded && known < replicaCap(own))
         wakes_->requestScaleUp(own, known + 1, entry.request.deadline);
@@ -290,7 +295,8 @@
         const auto entry = requests_.find(number);
         if (entry == requests_.end() || !entry->second.waitsFor)
             continue;
-        // What failed this request before has just said that it serves the target, and nobody else does.
+        // If all agents that serve the target have failed this request before, they may be tried again, since they have
+        // just reported that they serve it.
         if (candidates(entry->second).empty())
             entry->second.failed.clear();
         if (candidates(entry->second).empty())
@@ -319,8 +325,9 @@
     }
 }
 
-/// A home that has a newer bundle refuses by it, maybe because the target has moved to a site that this router's bundle
-/// doesn't name yet. The newer one is in force here in a moment, and the request is routed by it then.
+/// Delays a request that a home refused by a newer bundle, for example because the target has moved to a site that this
+/// router's bundle doesn't name yet. The newer bundle will be in force here shortly, and the request is then routed by
+/// it. Returns false if the home's bundle isn't newer or the time limit for the wait has passed.
 bool Dispatcher::awaitBundle(RequestNumber number, Request& entry, framework::BundleVersion home)
 {
     const auto now = context_.clock.now();
@@ -376,7 +383,7 @@
     }
     if (error.execution == Execution::NotRun)
         return handleNotRun(number, entry, vm, error);
-    // It may have run: only a call that may be repeated is sent again.
+    // The request may have run, so it is retried only if it is repeatable.
     if (!entry.request.isRepeatable || error.code == ErrorCode::DeadlinePassed)
         return refuse(number, error);
     entry.mayHaveRun = true;
@@ -406,8 +413,8 @@
     retry(number, entry, error);
 }
 
-/// No more work for an agent that says it drains, whatever the platform's list says. Only for a while: a new process
-/// may answer there with nothing changed in the list, and one that still drains just says so again.
+/// Excludes a draining agent from selection, even if the platform's list shows it as live. The exclusion is temporary:
+/// a new process may start on the VM without a change in the list, and an agent that still drains refuses again.
 void Dispatcher::avoidDraining(const VmName& vm)
 {
     context_.placements.removeVm(vm);
@@ -437,7 +444,7 @@
         giveUp(number, ErrorCode::DeadlinePassed, retryAfterNoReplica);
 }
 
-/// Ends a request before it has a whole answer. What its agent was never sent has surely not run.
+/// Ends a request that has no complete answer yet. A request that was never sent to its agent is reported as not run.
 void Dispatcher::giveUp(RequestNumber number, ErrorCode code, Milliseconds retryAfter)
 {
     Request& entry = requests_.at(number);
@@ -455,9 +462,9 @@
     refuse(number, why);
 }
 
-/// Guards against a process that is ended by force over those who wait: a load may take longer than the grace period,
-/// and the request's own deadline be later still, so that its connection would be closed without an answer. What can't
-/// be started in time is refused as soon as that is known.
+/// Prevents the process from being killed while requests still wait: a load may take longer than the grace period, and
+/// the request's deadline may be even later, so that its connection would be closed without an answer. Requests that
+/// can't be started in time are refused as soon as that is known.
 void Dispatcher::beginShutdown(const framework::ShutdownDeadlines& deadlines)
 {
     shutdownDeadlines_ = deadlines;
@@ -498,7 +505,7 @@
         giveUp(number, ErrorCode::ShuttingDown, retryAfterShutdown);
 }
 
-/// Copied, since answers and refusals take requests out.
+/// Returns a copy, since answers and refusals remove requests from `requests_` during iteration.
 std::vector<RequestNumber> Dispatcher::requestNumbers() const
 {
     std::vector<RequestNumber> requestNumbers;
@@ -520,7 +527,7 @@
     eraseRequest(number);
 }
 
-/// Whatever the refusal is for, it says "not run" of the whole request, not of its last attempt.
+/// Refuses the request. The refusal says "not run" only if none of the request's attempts may have run.
 void Dispatcher::refuse(RequestNumber number, Error error)
 {
     Request& entry = requests_.at(number);
--- a/src/router/internal/dispatcher.h
+++ b/src/router/internal/dispatcher.h
@@ -21,8 +21,9 @@
 
 namespace lagoon::router {
 
-/// Keeps each accepted request until its one final outcome: routes it to a replica, lets it wait for one, tries another
-/// where that is safe, and refuses it as soon as it is hopeless. All but `accept` on the control thread.
+/// Tracks each accepted request until its single final outcome: routes it to a replica, queues it until a replica is
+/// available, retries it on another replica where that is safe, and refuses it as soon as it can't meet its deadline.
+/// All methods but `accept` run on the control thread.
 class Dispatcher final : public callers::IRequestDispatcher {
 public:
     struct Context {
@@ -35,7 +36,7 @@
         PlacementCache& placements;
         AgentSessions& sessions;
         std::function<bundle::BundlePointer()> bundle;
-        /// Null: idempotency keys are taken, but not held to one run.
+        /// If null, idempotency keys are accepted but not enforced.
         IdempotencyKeys* keys = nullptr;
     };
 
@@ -46,10 +47,11 @@
     void setWakes(Wakes&);
     void setReplicaChoice(std::unique_ptr<policy::IReplicaChoice>);
     void handlePlacements(const SiteTarget&, const std::vector<framework::VmName>&, const std::set<RequestNumber>&);
-    /// `home` is the bundle by which the home refused.
+    /// `home` is the bundle version by which the home refused.
     void handleRefusal(const framework::Error&, framework::BundleVersion home, const std::set<RequestNumber>&);
     void handleForecast(const WakeReply&, const std::set<RequestNumber>&);
-    /// The process was told to end: each request, also one that still comes, has its answer in time for that.
+    /// Starts a graceful shutdown: each request, including those that still arrive, gets its answer within the
+    /// deadlines.
     void beginShutdown(const framework::ShutdownDeadlines&);
     std::size_t requests() const { return requests_.size(); }
 
@@ -58,24 +60,24 @@
         callers::CallerRequest request;
         std::shared_ptr<callers::ICallerAnswer> answer;
         std::uint32_t attempts = 0;
-        /// Agents that failed this request.
+        /// VMs whose agents failed this request.
         std::set<framework::VmName> failed;
-        /// Sites whose home said that there is no replica to be had.
+        /// Sites whose home reported that no replica is available.
         std::set<framework::SiteName> refusedSites;
         std::optional<framework::Error> lastError;
-        /// An earlier attempt may have been run.
+        /// Whether an earlier attempt may have run.
         bool mayHaveRun = false;
-        /// While waiting.
+        /// Set while the request waits for a replica.
         std::optional<SiteTarget> waitsFor;
-        /// Set when it first had to wait for a replica.
+        /// Time at which the request first had to wait for a replica; reset by the dispatch.
         std::optional<framework::SteadyTime> coldSince;
         std::unique_ptr<framework::Timer> deadlineTimer;
-        /// While the bundle by which it was refused is awaited.
+        /// Set while the request waits for the newer bundle by which a home refused it.
         std::unique_ptr<framework::Timer> bundleTimer;
         std::optional<framework::Deadline> bundleWaitDeadline;
-        /// Set once the key is ours.
+        /// Set once this router has claimed the request's idempotency key.
         std::optional<ClaimedKey> key;
-        /// While dispatched.
+        /// `agent`, `session`, `sequence` and `stream` describe the latest dispatch; `session` is null without one.
         framework::VmName agent;
         std::shared_ptr<AgentSession> session;
         framework::SequenceNumber sequence;
@@ -117,7 +119,7 @@
     std::map<RequestNumber, Request> requests_;
     std::map<framework::VmName, std::unique_ptr<framework::Timer>> drainingTimers_;
     std::uint64_t nextNumber_ = 1;
-    /// Set once the process was told to end.
+    /// Set once a graceful shutdown has started.
     std::optional<framework::ShutdownDeadlines> shutdownDeadlines_;
     std::unique_ptr<framework::Timer> startByTimer_;
     std::unique_ptr<framework::Timer> answerByTimer_;
--- a/src/router/internal/home.cpp
+++ b/src/router/internal/home.cpp
@@ -72,7 +72,7 @@
     begin(searches_.emplace(order.where, std::move(search)).first->second);
 }
 
-/// The version if this router doesn't have it yet, or none.
+/// Returns the version if it is newer than this router's bundle, otherwise 0 (no version).
 framework::BundleVersion Home::newerBundle(framework::BundleVersion version) const
 {
     return version > bundleVersion() ? version : framework::BundleVersion();
@@ -104,7 +104,8 @@
     requestBids(where, first);
 }
 
-/// Those that this router knows to have the target, then the next in rendezvous order.
+/// Returns the agents to ask for bids next: those that this router knows to serve the target, then the next ones in
+/// rendezvous order, without those already asked.
 std::vector<VmName> Home::nextCandidates(const Search& search) const
 {
     const SiteTarget& where = search.order.where;
@@ -120,7 +121,7 @@
             next.push_back(vm);
     }
     std::size_t fresh = 0;
-    // Adapters go where their model's replicas are, so both use the model's order.
+    // An adapter is loaded where replicas of its model are, so both use the rendezvous order of the model.
     for (const VmName& vm : policy::rendezvousOrder(where.target.model.value(), live)) {
         if (fresh >= context_.settings.bids)
             break;
@@ -189,7 +190,7 @@
     Search& search = searches_.at(where);
     search.bidTimer.reset();
     search.pendingBids = 0;
-    // Late bids of this round must not end the next round early.
+    // Marks the missing bids as answered, since late bids of this round must not end the next round early.
     for (Candidate& candidate : search.candidates)
         candidate.hasAnswered = true;
     evaluate(where);
@@ -215,10 +216,10 @@
         fail(where, search.lastError.value_or(mostSpecificRefusal(search)));
 }
 
-/// Null if none of those asked can load it, or enough of them have failed to.
+/// Returns null if none of the candidates can load the target, or the maximum number of loads has failed.
 Home::Candidate* Home::chooseLoader(Search& search) const
 {
-    // Someone is loading it already, for another home or for one that died: wait with them.
+    // If an agent is already loading the target for another home, or for one that crashed, joins that load.
     for (Candidate& candidate : search.candidates) {
         if (candidate.isLoading)
             return &candidate;
@@ -235,7 +236,8 @@
     return chosen && search.loadAttempts < maxLoadAttempts ? bidders[*chosen] : nullptr;
 }
 
-/// The most telling reason among those of the agents that were asked.
+/// Returns the most specific reason among the refusals of the candidates: any reason other than `NoCapacity`, if there
+/// is one.
 Error Home::mostSpecificRefusal(const Search& search) const
 {
     ErrorCode code = ErrorCode::NoCapacity;
@@ -247,8 +249,9 @@
         framework::Execution::NotRun, retryAfterNoCapacity };
 }
 
-/// An upstream that has just started, or still unloads the model, can load it in a moment: its callers wait for that
-/// instead of being refused.
+/// Schedules another round of bids from the upstreams that aren't ready. An upstream that has just started, or still
+/// unloads the model, can load it shortly, so the requests wait instead of being refused. Returns false if there is no
+/// such upstream, too many loads have failed or the retry period is over.
 bool Home::retryNotReady(const SiteTarget& where)
 {
     Search& search = searches_.at(where);
@@ -268,8 +271,10 @@
     return true;
 }
 
-/// A roll-out lowers counts before it moves the head, so a router can meet counts of a bundle that it hasn't read. It
-/// is in force in a moment, perhaps with the target at the other site: until then nobody is refused for want of it.
+/// A roll-out lowers replica counts before it moves the bundle head, so a router can see counts of a bundle that it
+/// hasn't read yet. That bundle will be in force shortly, possibly with the target at another site, so until then no
+/// request is refused for lack of replicas. Restarts the search once the bundle is in force. Returns false if
+/// there is nothing to wait for or the retry period is over.
 bool Home::awaitBundle(const SiteTarget& where)
 {
     Search& search = searches_.at(where);
@@ -289,7 +294,8 @@
     return true;
 }
 
-/// Bounded, since a platform outage keeps agents from being ready, and bundles from being read, for long.
+/// Whether the retry period is still running. It is bounded, since during a platform outage agents aren't ready, and
+/// bundles can't be read, for a long time.
 bool Home::mayRetry(Search& search)
 {
     const auto now = context_.clock.now();
@@ -388,8 +394,9 @@
     evaluate(where);
 }
 
-/// The agent died, or only its link, while it loaded. Its claim and the engine's load live on, and the next process on
-/// the VM takes both over in a moment; were the callers refused now, the load would end with nobody waiting.
+/// Treats the agent as not ready, since it or its link failed during a load. Its claim and the engine's load continue,
+/// and the next process on the VM takes both over shortly. If the requests were refused now, the load would finish with
+/// no request waiting for it.
 void Home::expectRestart(Search& search, const VmName& vm)
 {
     search.expectsRestart.insert(vm);
@@ -399,7 +406,8 @@
     }
 }
 
-/// The cap is reached by replicas that none of the asked agents has: the platform's object says who holds them.
+/// Reads the holders of the replicas from the platform's replica object. Used when the replica cap is reached, but by
+/// replicas that none of the candidates has.
 void Home::queryHolders(const SiteTarget& where)
 {
     Search& search = searches_.at(where);
@@ -417,7 +425,7 @@
         for (const VmName& vm : holders.value().vms) {
             if (!context_.directory.isUsable(vm))
                 continue;
-            // Asked again as well: it may have begun to load since its bid.
+            // A holder that has bid before is asked again, since it may have started to load after its bid.
             std::erase_if(search->candidates, [&](const Candidate& candidate) { return candidate.vm == vm; });
             unasked.push_back(vm);
         }
@@ -437,7 +445,7 @@
 
 void Home::finish(const SiteTarget& where, const WakeReply& reply)
 {
-    // Taken out first: a handler may wake the same target again.
+    // Removes the search first, since a handler may send another wake for the same target.
     auto search = searches_.extract(where);
     replyAll(search.mapped(), reply);
 }
--- a/src/router/internal/home.h
+++ b/src/router/internal/home.h
@@ -20,10 +20,10 @@
 
 namespace lagoon::router {
 
-/// What the platform's object of a target says.
+/// Contents of the platform's replica object of a target.
 struct TargetHolders {
     std::vector<framework::VmName> vms;
-    /// The newest bundle that its counts are from.
+    /// Version of the newest bundle that set its replica counts.
     framework::BundleVersion bundleVersion;
 };
 
@@ -31,9 +31,10 @@
 using HoldersHandler = std::function<void(const framework::Result<TargetHolders>&)>;
 using FindHolders = std::function<void(const SiteTarget&, HoldersHandler)>;
 
-/// The duty of the router that rendezvous hashing names for a target: gathers all routers' wakes, finds who has the
-/// target or chooses who loads it, and answers. Keeps nothing that must last: two homes at once cost a second round of
-/// bids, and the claims in the platform keep the replicas within the decided count. Control thread only.
+/// Coordinates the loads of the targets that rendezvous hashing assigns to this router: collects the wakes of all
+/// routers, finds the agents that serve the target or chooses one to load it, and replies. Has no persistent state: if
+/// two routers act as home of a target at once, the cost is a second round of bids, and the claims in the platform keep
+/// the replicas within the decided count. Control thread only.
 class Home {
 public:
     struct Context {
@@ -53,7 +54,7 @@
 
     explicit Home(const Context&);
 
-    /// `sender` is the router that asks; its newer wake replaces an older one's reply handler.
+    /// `sender` is the requesting router. Its newer wake replaces the reply handler of its older one.
     void wake(const framework::VmName& sender, const WakeOrder&, WakeReplyHandler);
     void setLoadPlacement(std::unique_ptr<policy::ILoadPlacement>);
 
@@ -65,25 +66,26 @@
         bool isLoading = false;
         policy::LoadBid bid;
     };
-    /// The search for one target's replicas, from its first wake to its final reply.
+    /// The search for replicas of one target, from the first wake to the final reply.
     struct Search {
         std::uint64_t number = 0;
         WakeOrder order;
         std::map<framework::VmName, WakeReplyHandler> replies;
-        /// In rendezvous order, those asked so far.
+        /// Agents that were asked for bids so far, in the order in which they were asked.
         std::vector<Candidate> candidates;
         std::set<framework::VmName> asked;
         std::size_t pendingBids = 0;
         std::unique_ptr<framework::Timer> bidTimer;
-        /// Until when upstreams that aren't ready are asked again; set when the first says so.
+        /// Deadline for retries while upstreams aren't ready or a newer bundle is awaited; set by the first of them.
         std::optional<framework::Deadline> retryDeadline;
         bool isLoading = false;
         bool hasQueriedHolders = false;
         std::uint32_t loadAttempts = 0;
         std::optional<framework::Error> lastError;
-        /// The target's counts are from this bundle, which this router doesn't have yet.
+        /// Version of a bundle that a peer or the target's replica counts refer to and that this router doesn't have
+        /// yet; 0 if there is none.
         framework::BundleVersion awaitedBundle;
-        /// Agents whose link was lost while they loaded.
+        /// VMs whose agents are expected to come back: their link was lost during a load, or they weren't ready for it.
         std::set<framework::VmName> expectsRestart;
     };
     using Searches = std::map<SiteTarget, Search>;
--- a/src/router/internal/idempotencykeys.cpp
+++ b/src/router/internal/idempotencykeys.cpp
@@ -29,7 +29,7 @@
 constexpr Milliseconds retryAfterDuplicate { 1000 };
 constexpr Milliseconds retryAfterOutage { 2000 };
 
-/// The key itself may hold any text, and a caller's secret; the object's name shows neither.
+/// The object's name is a digest, since the key may contain any characters, and a caller's secret.
 ObjectKey objectFor(const callers::CallerRequest& request)
 {
     const std::string text = wire::targetText(toWire(request.target)) + '\n' + *request.idempotencyKey;
@@ -63,7 +63,8 @@
         "the key was brought before; that request may have run", Execution::Unknown, retryAfterDuplicate };
 }
 
-/// Whatever became of the write: the request itself hasn't been sent to anyone.
+/// Converts any error of a claim but `DuplicateKey` to "not run": whatever the state of the write, the request itself
+/// hasn't been sent.
 Error notClaimed(Error error)
 {
     if (error.code == ErrorCode::DuplicateKey)
@@ -126,8 +127,8 @@
     });
 }
 
-/// Guards against a process that ends before it has given back the key of a request that it refused as not run: its
-/// caller brings the key again, as it was told to, and would hear that the request may have run.
+/// Prevents the process from exiting before it has released the key of a request that it refused as not run: the caller
+/// would retry with the same key, as instructed, and be told that the request may have run.
 void IdempotencyKeys::waitUntilSettled(Deadline deadline)
 {
     std::unique_lock lock(callsMutex_);
@@ -160,8 +161,8 @@
     timer_ = control_.runAt(Deadline::after(clock_.now(), retention_), [this] { sweep(); });
 }
 
-/// A key that was there a retention ago, in the same version, is older than that: no clocks need to agree, and no key
-/// needs to be read.
+/// Removes the keys that were present in the same version one retention period ago and are thus older than that. This
+/// needs neither synchronized clocks nor a read of each key.
 void IdempotencyKeys::removeExpired()
 {
     const Deadline deadline = Deadline::after(clock_.now(), sweepTimeout);
--- a/src/router/internal/idempotencykeys.h
+++ b/src/router/internal/idempotencykeys.h
@@ -16,15 +16,15 @@
 
 namespace lagoon::router {
 
-/// A key that this router was first to bring.
+/// An idempotency key that this router has claimed.
 struct ClaimedKey {
     objectstore::ObjectKey object;
     framework::ObjectVersion version;
 };
 
-/// Holds calls that may not be repeated and carry the same idempotency key to one run, whichever routers they reach:
-/// the first creates an object in the platform, and only it runs. Costs one write for each such call, and one more
-/// when it turns out not to have run; so it suits today's rates, not each of 16,000 requests a second
+/// Ensures that of the non-repeatable calls with the same idempotency key only one runs, whichever routers they reach:
+/// the first one creates an object in the platform, and only that one runs. Each such call costs one write, and a
+/// second one if it turns out not to have run. This suits today's rates, but not 16,000 such requests per second
 /// (docs/CAPACITY.md).
 class IdempotencyKeys {
 public:
@@ -33,15 +33,17 @@
     IdempotencyKeys(std::shared_ptr<objectstore::IObjectStore>, framework::WorkerPool&, framework::IControlExecutor&,
         const framework::IClock&, std::shared_ptr<framework::Metrics>, framework::Milliseconds retention);
 
-    /// `DuplicateKey` if someone brought the key before; whether that one ran is then unknown. Without the platform's
-    /// word the request is refused as not run. The handler is called on the control thread.
+    /// Claims the request's key. Fails with `DuplicateKey` if the key was claimed before; whether that earlier request
+    /// ran is unknown then. If the platform doesn't answer, the request is refused as not run. The handler is called on
+    /// the control thread.
     void claim(const callers::CallerRequest&, ClaimHandler);
-    /// The request is known not to have run: the key may be brought again.
+    /// Releases the key of a request that is known not to have run, so that the key can be claimed again.
     void release(const ClaimedKey&);
-    /// Blocks until the platform has answered for all claims and releases, or until the deadline.
+    /// Blocks until the platform has answered all claims and releases, or until the deadline.
     void waitUntilSettled(framework::Deadline);
-    /// Removes keys older than the retention, those of routers that died among them, if `isOwner` says that this is
-    /// the router to do so. Calls itself again after each retention.
+    /// Starts the periodic sweep, once per retention period. A sweep removes keys older than the retention period,
+    /// including those of crashed routers. It is skipped unless `isOwner` returns true, so that one router does the
+    /// work.
     void startSweeping(std::function<bool()> isOwner);
 
 private:
@@ -60,11 +62,11 @@
     framework::Milliseconds retention_;
     std::function<bool()> isOwner_;
     std::unique_ptr<framework::Timer> timer_;
-    /// By the last sweep; workers only, one sweep at a time.
+    /// Keys that the last sweep left in place. Accessed on worker threads only, by one sweep at a time.
     SeenKeys seen_;
     std::mutex callsMutex_;
     std::condition_variable isSettled_;
-    /// Claims and releases whose outcome hasn't been taken yet.
+    /// Number of claims and releases in progress, including claims whose handler hasn't returned yet.
     std::size_t calls_ = 0;
 };
 
--- a/src/router/internal/linkserver.cpp
+++ b/src/router/internal/linkserver.cpp
@@ -100,7 +100,7 @@
     order.desiredReplicas = wake.wanted_replicas;
     order.priority = wake.priority;
     order.bundleVersion = BundleVersion(wake.bundle_version);
-    // Says that the wake was heard; the asker takes a second of silence for a dead home.
+    // Acknowledges the wake at once: the sender considers a home dead if it receives nothing for one second.
     link->send(wire::message(toWire(WakeReply {}, wake, now)));
     context_.home.wake(senders_.at(link), order,
         [this, link, request = std::make_shared<wire::fb::WakeT>(wake)](
--- a/src/router/internal/linkserver.h
+++ b/src/router/internal/linkserver.h
@@ -13,7 +13,7 @@
 
 namespace lagoon::router {
 
-/// Answers the other routers' wakes.
+/// Accepts links from other routers and answers their wakes.
 class LinkServer {
 public:
     struct Context {
@@ -38,7 +38,7 @@
     void wake(const LinkPointer&, const wire::fb::WakeT&);
 
     Context context_;
-    /// Who said hello on which link.
+    /// The router at the other end of each link, known from its hello.
     std::map<LinkPointer, framework::VmName> senders_;
 };
 
--- a/src/router/internal/loadgate.cpp
+++ b/src/router/internal/loadgate.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// How often waiting loads are looked at while the store's rate holds them.
+/// Interval at which queued loads are checked while the weight store's rate limit delays them.
 constexpr Milliseconds pollInterval { 50 };
 
 std::string keyOf(const SiteTarget& where) { return where.site.value() + ":" + wire::targetText(toWire(where.target)); }
@@ -78,7 +78,7 @@
     }
 }
 
-/// Which waiting load would start next if those of `excluded` had.
+/// Returns the queued load that would start next if those in `excluded` had started; std::nullopt if there is none.
 std::optional<SiteTarget> LoadGate::nextLoad(const std::set<SiteTarget>& excluded) const
 {
     std::vector<SiteTarget> targets;
@@ -93,7 +93,8 @@
     return next ? std::optional(targets[*next]) : std::nullopt;
 }
 
-/// Asks the order itself: by deadlines alone, a load that others of more value overtake seemed next.
+/// Returns the number of queued loads that start before this one. Uses the load order itself: by deadlines alone, a
+/// load that more valuable loads overtake would seem to be next.
 std::uint32_t LoadGate::loadsAhead(const SiteTarget& where) const
 {
     std::set<SiteTarget> excluded;
--- a/src/router/internal/loadgate.h
+++ b/src/router/internal/loadgate.h
@@ -18,15 +18,15 @@
 
 namespace lagoon::router {
 
-/// Those who wait for a load.
+/// The waiting requests that need a load.
 struct LoadDemand {
     framework::Deadline earliest;
     std::uint32_t waiters = 0;
-    /// The highest.
+    /// Highest priority among them.
     std::uint8_t priority = 0;
 };
 
-/// A load that a home has decided on.
+/// A load that a home has decided on and that the gate queues.
 struct GatedLoad {
     SiteTarget where;
     policy::CheckpointPlace checkpoint = policy::CheckpointPlace::Remote;
@@ -34,23 +34,24 @@
     LoadDemand demand;
 };
 
-/// Starts this home's loads in the policy's order, no faster than its share of the weight store, and knows how long
-/// they take. Loads of checkpoints that the upstream already has start at once. Control thread only.
+/// Starts this home's loads in the order given by the policy, limited to its share of the weight store's throughput,
+/// and forecasts their duration. Loads of checkpoints that the upstream has cached start at once. Control thread only.
 class LoadGate {
 public:
     LoadGate(framework::IControlExecutor&, const framework::IClock&, framework::Metrics&);
 
-    /// Calls `start` at once or when the load's turn has come.
+    /// Calls `start` at once, or when the load reaches the front of the queue.
     void enqueue(const GatedLoad&, std::function<void()> start);
-    /// Others wait for it by now; nothing if it isn't here.
+    /// Updates the demand for a queued or running load. Has no effect if there is no such load.
     void setDemand(const SiteTarget&, const LoadDemand&);
-    /// A started load has ended.
+    /// Removes a load that has ended. Records its duration if the target is loaded.
     void ended(const SiteTarget&, bool isLoaded);
-    /// Of a load that waits or runs here.
+    /// Forecasts the end of a queued or running load. Returns an empty forecast if there is no such load.
     policy::LoadForecast forecast(const SiteTarget&) const;
 
     void setPolicy(const bundle::PolicyNumbers&, std::unique_ptr<policy::ILoadOrder>);
-    /// Of all sites; `rank` is this router's position among them by name, from 0, or `count` if it is none of them.
+    /// Sets the number of homes at all sites. `rank` is this router's position among them, sorted by name and starting
+    /// at 0, or `count` if this router is no home.
     void setHomes(std::uint32_t count, std::uint32_t rank);
 
 private:
--- a/src/router/internal/peerlinks.h
+++ b/src/router/internal/peerlinks.h
@@ -12,15 +12,15 @@
 
 namespace lagoon::router {
 
-/// Wakes sent to other routers that are homes. A wake is only ever a hint, so a lost link is answered with an error and
-/// the caller asks the next router. Control thread only.
+/// Sends wakes to the routers that are homes. A wake is only a hint, so nothing is resent: if a link is lost, its wakes
+/// fail with an error and `Wakes` tries the next router. Control thread only.
 class PeerLinks : public std::enable_shared_from_this<PeerLinks> {
 public:
     PeerLinks(const SessionContext&, const VmDirectory&);
 
-    /// The handler gets the home's replies, or an error in a final one with `LinkLost`.
+    /// The handler receives the home's replies, or a final reply with the error `LinkLost` if the link is lost.
     void wake(const framework::VmName& home, const WakeOrder&, WakeReplyHandler);
-    /// The home is silent: its link is given up, and the next wake opens another.
+    /// Closes the link to a home that doesn't respond. The next wake opens a new link.
     void drop(const framework::VmName& home);
     void closeAll();
 
--- a/src/router/internal/placementcache.h
+++ b/src/router/internal/placementcache.h
@@ -9,7 +9,8 @@
 
 namespace lagoon::router {
 
-/// Which agents served a target when last heard of. Only a hint: an agent that no longer has it says so, not run.
+/// Caches which agents serve a target. Entries may be stale: an agent that no longer serves the target refuses a
+/// dispatch as not run.
 class PlacementCache {
 public:
     void add(const callers::RequestTarget&, const framework::VmName&);
--- a/src/router/internal/router.cpp
+++ b/src/router/internal/router.cpp
@@ -41,7 +41,7 @@
 
 constexpr std::size_t platformThreads = 2;
 constexpr Milliseconds holdersTimeout { 1000 };
-/// For callers that still send the body of a request that was refused; as long as for one that comes in full service.
+/// Time for callers to finish sending the body of a refused request; the same as in normal operation.
 constexpr Milliseconds bodyDrainTimeout { 2000 };
 
 framework::Result<TargetHolders> holdersOf(const std::string& text, const objectstore::ObjectKey& key)
@@ -109,9 +109,9 @@
     std::atomic<bool> hasVms_ { false };
     std::atomic<bool> isShuttingDown_ { false };
     bool isStarted_ = false;
-    /// All of it was started.
+    /// Set once all components have started.
     bool isServing_ = false;
-    /// Set when it is first told to end.
+    /// Set by the first call of `drain`.
     std::optional<framework::ShutdownDeadlines> shutdownDeadlines_;
 };
 
@@ -208,8 +208,9 @@
     hasVms_ = true;
 }
 
-/// As many homes as the weight store has full-speed places, shared among the sites: each home then has a place of its
-/// own. With more homes than places, the homes' shares of one place each would add up to more than the store takes.
+/// Returns the number of loads that the weight store serves at full speed, divided by the number of sites, and at least
+/// 1: each home then has a slot of its own at the store. With more homes than slots, the homes' minimum of one slot
+/// each would add up to more than the store can serve.
 std::size_t Router::Implementation::homesPerSite() const
 {
     const bundle::BundlePointer bundle = bundles_->current();
@@ -217,7 +218,7 @@
     return std::max<std::size_t>(1, places / std::max<std::size_t>(1, directory_.sites().size()));
 }
 
-/// Tells the gate how many homes there are, and which of them this router is.
+/// Updates the load gate with the number of homes and this router's rank among them.
 void Router::Implementation::updateStoreShare()
 {
     std::vector<VmName> homes;
@@ -245,7 +246,8 @@
     });
 }
 
-/// One router of all sites; two for a moment do no harm.
+/// Whether this router is the one, among the routers of all sites, that sweeps idempotency keys. Two sweepers at once,
+/// while VM lists differ, do no harm.
 bool Router::Implementation::isKeySweeper() const
 {
     const std::vector<VmName> order = policy::rendezvousOrder("keys", directory_.liveRouters());
@@ -287,9 +289,9 @@
     return endpoints;
 }
 
-/// Guards against cutting requests in flight: the balancer sees "not ready", new requests are refused as not run, and
-/// nothing is closed before the last reply has left. What can't be served within the grace period has its answer before
-/// that is over, since the process is ended by force then.
+/// Prevents requests in flight from being cut: the load balancer sees "not ready", new requests are refused as not run,
+/// and no connection is closed before the last reply was sent. Requests that can't be served within the grace period
+/// are answered before it is over, since the platform kills the process then.
 void Router::Implementation::drain()
 {
     if (!shutdownDeadlines_)
@@ -299,17 +301,18 @@
     framework::logInfo("router", "shutting down, refusing new requests");
     callerServer_.refuseNew();
     control_.post([this, end] { dispatcher_.beginShutdown(end); });
-    // Callers keep connections that no reply has told them to close yet, and balancers don't know yet.
+    // Callers still use connections on which no reply has asked them to close, and load balancers haven't noticed the
+    // shutdown yet.
     if (isServing_)
         std::this_thread::sleep_until(end.noticedBy.at());
     const bool isIdle = callerServer_.waitUntilIdle(end.exitBy);
-    // Some of these bodies never come, so they aren't waited for as long as the grace period lasts.
+    // Some request bodies never arrive, so the wait for them is shorter than the grace period.
     callerServer_.waitUntilAllLeft(std::min(end.exitBy, Deadline::after(clock_.now(), bodyDrainTimeout)));
     keys_.waitUntilSettled(end.exitBy);
     if (isIdle)
         framework::logInfo("router", "drained");
     else
-        framework::logWarning("router", "the grace period is over, requests without an end are cut");
+        framework::logWarning("router", "the grace period is over, closing the connections of unfinished requests");
 }
 
 void Router::Implementation::shutDown()
--- a/src/router/internal/routersettings.cpp
+++ b/src/router/internal/routersettings.cpp
@@ -35,7 +35,8 @@
         = static_cast<std::uint32_t>(section.numberOr("scale_up_in_flight", read.scaleUpInFlight, 1, 100000));
     read.bids = section.numberOr("bids", read.bids, 1, 1000);
     read.bidTimeout = milliseconds(section, "bid_timeout_ms", read.bidTimeout, 60000);
-    // A part's unknown keys are its own to find.
+    // Records unknown keys of the section. The parent object shares the error and reports it, so the result isn't
+    // needed.
     (void)section.finish();
     return read;
 }
--- a/src/router/internal/vmdirectory.h
+++ b/src/router/internal/vmdirectory.h
@@ -10,23 +10,26 @@
 
 namespace lagoon::router {
 
-/// Who is there, by the platform's lagging list, corrected by what this process saw itself since.
+/// The VMs on the platform's list. Since the list lags behind, agents that reported to this process that they are
+/// draining are tracked as well.
 class VmDirectory {
 public:
     void setEntries(const objectstore::VmEntries&);
-    /// The agent said that it is draining: no more work for it, whatever the list says, until `clearDraining`.
+    /// Marks a VM whose agent reported that it is draining. It gets no more work until `clearDraining`, even if the
+    /// list shows it as live.
     void setDraining(const framework::VmName&);
     void clearDraining(const framework::VmName&);
 
     const objectstore::VmEntry* find(const framework::VmName&) const;
     bool isUsable(const framework::VmName&) const;
     bool isGone(const framework::VmName&) const;
-    /// Live upstreams of the pools at the site that take work.
+    /// Returns the live upstreams of the pools at the site, without those that are draining.
     std::vector<framework::VmName> upstreams(const std::vector<framework::PoolName>&, const framework::SiteName&) const;
     std::vector<framework::VmName> routers(const framework::SiteName&) const;
-    /// The site's routers that do the home duty: at most `maxHomes`, the same at everyone with the same list.
+    /// Returns the site's routers that act as homes, at most `maxHomes`. All processes with the same VM list get the
+    /// same result.
     std::vector<framework::VmName> homes(const framework::SiteName&, std::size_t maxHomes) const;
-    /// Of all sites, by name.
+    /// Returns the live routers of all sites, sorted by name.
     std::vector<framework::VmName> liveRouters() const;
     std::set<framework::SiteName> sites() const;
     bool isEmpty() const { return entries_.empty(); }
--- a/src/router/internal/vmlistwatcher.cpp
+++ b/src/router/internal/vmlistwatcher.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-/// After this and a call's timeout a connection that has gone silent is noticed, and with it a VM that leaves.
+/// Maximum duration of one long poll. A silent connection is detected after this time plus a call's timeout, which
+/// bounds how late the watcher sees that a VM leaves.
 constexpr Milliseconds waitLimit { 2500 };
 constexpr Milliseconds minRetryDelay { 200 };
 constexpr Milliseconds maxRetryDelay { 3000 };
--- a/src/router/internal/vmlistwatcher.h
+++ b/src/router/internal/vmlistwatcher.h
@@ -14,7 +14,7 @@
 
 namespace lagoon::router {
 
-/// Follows the platform's list of VMs on a thread of its own. While the platform is down the last list stays.
+/// Watches the platform's list of VMs on its own thread. During a platform outage the last known list stays in force.
 class VmListWatcher {
 public:
     VmListWatcher(std::shared_ptr<objectstore::IVmList>, framework::IControlExecutor&, const framework::IClock&,
--- a/src/router/internal/wakes.cpp
+++ b/src/router/internal/wakes.cpp
@@ -34,7 +34,7 @@
     waiting.desiredReplicas = std::max(waiting.desiredReplicas, desiredReplicas);
     if (!waiting.timer)
         return send(where);
-    // The next wake may be a second away; what is hopeless already is to hear so now.
+    // The next wake may be up to a second away, so a request that can't meet its deadline is refused now.
     if (const std::optional<WakeReply> progress = waiting.progress)
         context_.onForecast(*progress, { number });
 }
@@ -100,8 +100,8 @@
     send(where);
 }
 
-/// Guards against a home that is frozen, or whose link has gone silent: nothing breaks, and its wakes would go unheard
-/// until the requests' deadlines. A home says at once that it has heard a wake, so a second of silence is enough.
+/// Excludes a home that is frozen or whose link has gone silent: no error occurs, and its wakes would stay unanswered
+/// until the requests' deadlines. A home acknowledges each wake at once, so one second without a reply is enough.
 void Wakes::avoidSilentHome(Waiting& waiting)
 {
     const auto now = context_.clock.now();
@@ -134,8 +134,8 @@
         context_.onForecast(reply, requests);
         return;
     }
-    // The home itself is the trouble, not the target: the next router in the order takes over at once, and in the end
-    // this one does, so that a wake never depends on another router's life.
+    // The home failed, not the target: the next router in rendezvous order takes over at once. This router is the last
+    // choice, so that a wake never depends on the availability of another router.
     if (reply.error && reply.error->code == ErrorCode::LinkLost && reply.error->step == "wake") {
         context_.metrics.count("lagoon_home_failovers_total");
         waiting.failedHomes[home] = Deadline::after(context_.clock.now(), homeAvoidance);
--- a/src/router/internal/wakes.h
+++ b/src/router/internal/wakes.h
@@ -15,7 +15,7 @@
 
 namespace lagoon::router {
 
-/// Names a request within this process.
+/// Identifies a request within this process.
 using RequestNumber = framework::StrongType<struct RequestNumberTag, std::uint64_t>;
 
 struct WaitingRequest {
@@ -23,8 +23,8 @@
     std::uint8_t priority = 0;
 };
 
-/// The requests that wait for a target, and the wakes sent for them: one each second per target, to the first router in
-/// rendezvous order that answers. Control thread only.
+/// Tracks the requests that wait for a target and sends wakes for them: one per second and target, to the first router
+/// in rendezvous order that answers. Control thread only.
 class Wakes {
 public:
     struct Context {
@@ -35,16 +35,16 @@
         const VmDirectory& directory;
         Home& home;
         PeerLinks& peers;
-        /// Routers of one site that do the home duty, at most.
+        /// Returns the maximum number of routers per site that act as homes.
         std::function<std::size_t()> homesPerSite;
         std::function<framework::BundleVersion()> bundleVersion;
-        /// The target is served at these agents; its waiting requests may go.
+        /// Called when agents serve the target, so that its waiting requests can be dispatched.
         std::function<void(const SiteTarget&, const std::vector<framework::VmName>&, const std::set<RequestNumber>&)>
             onPlaced;
-        /// No replica to be had now.
+        /// Called when the home reports that no replica is available. `home` is the bundle version by which it decided.
         std::function<void(const framework::Error&, framework::BundleVersion home, const std::set<RequestNumber>&)>
             onRefused;
-        /// The load won't end before `soonestAt`.
+        /// Called with a progress report of the home: the load won't end before `soonestAt`.
         std::function<void(const WakeReply&, const std::set<RequestNumber>&)> onForecast;
     };
 
@@ -52,9 +52,9 @@
 
     void wait(const SiteTarget&, RequestNumber, const WaitingRequest&, std::uint32_t desiredReplicas);
     void stopWaiting(const SiteTarget&, RequestNumber);
-    /// Asks for another replica although nothing waits; at most once a second per target.
+    /// Requests another replica although no request waits. Sends at most one wake per second and target.
     void requestScaleUp(const SiteTarget&, std::uint32_t desiredReplicas, framework::Deadline usefulUntil);
-    /// What the target's home last said of the load that goes on.
+    /// Returns the last progress report of the target's home; std::nullopt if no load is known to be in progress.
     std::optional<WakeReply> progress(const SiteTarget&) const;
     std::size_t waiting() const { return waiting_; }
 
@@ -63,13 +63,13 @@
         std::map<RequestNumber, WaitingRequest> requests;
         std::uint32_t desiredReplicas = 1;
         framework::Deadline usefulUntil;
-        /// Asked for more replicas since the last wake.
+        /// Whether more replicas were requested since the last wake.
         bool isScaleUpRequested = false;
-        /// What the home last said, while the load goes on.
+        /// Last progress report of the home, while the load is in progress.
         std::optional<WakeReply> progress;
-        /// Homes that didn't answer, each until it is tried again.
+        /// Homes that failed or didn't answer, each with the time until which it is excluded from selection.
         std::map<framework::VmName, framework::Deadline> failedHomes;
-        /// That the last wake went to, and whether it said anything since.
+        /// The home that the last wake was sent to, and whether it has replied since.
         framework::VmName home;
         bool hasHomeAnswered = false;
         std::unique_ptr<framework::Timer> timer;
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -6,17 +6,19 @@
 
 #include <memory>
 
-/// The process that callers speak to: keeps each request until its one final answer, and is home for some targets.
+/// The process that accepts callers' requests: it tracks each request until its single final answer, and acts as the
+/// home (the router that coordinates loads) of some targets.
 namespace lagoon::router {
 
-/// Where a running router can be reached.
+/// The endpoints on which a running router listens.
 struct RouterEndpoints {
     framework::Endpoint callers;
     framework::Endpoint link;
     framework::Endpoint ops;
 };
 
-/// Wires the router's parts together. One per process or, in programs that embed it, one per object.
+/// Creates and connects the router's components. A process usually has one router; programs that embed the router may
+/// create several.
 class Router {
 public:
     explicit Router(const RouterSettings&);
@@ -24,13 +26,15 @@
     Router(const Router&) = delete;
     Router& operator=(const Router&) = delete;
 
-    /// Listens and begins to read the bundle and the VM list; ready for callers once it has both.
+    /// Opens the listening sockets and starts to read the bundle and the VM list. The router reports ready once it has
+    /// both.
     framework::Result<RouterEndpoints> start();
-    /// Refuses new requests as not run and returns once those in flight have ended, before the grace period of the
-    /// settings is over: what can't end by then is refused or broken off. Takes 2.5 s, or half of a shorter grace
-    /// period, also if nothing is in flight, so that callers and balancers notice. Nothing is closed yet.
+    /// Refuses new requests as not run and returns once the requests in flight have ended. Returns before the
+    /// configured grace period is over: requests that can't finish by then are refused or broken off. Takes at least
+    /// 2.5 s, or half of a shorter grace period, even if nothing is in flight, so that callers and load balancers
+    /// notice the shutdown. Closes no connections.
     void drain();
-    /// Drains, then closes all.
+    /// Drains, then closes all connections and stops all threads.
     void shutDown();
 
 private:
--- a/src/router/routersettings.h
+++ b/src/router/routersettings.h
@@ -12,7 +12,7 @@
 
 namespace lagoon::router {
 
-/// All that a router is told. See docs/OPERATING.md for the keys.
+/// The complete settings of a router. See docs/OPERATING.md for the keys.
 struct RouterSettings {
     framework::ProcessIdentity identity;
     framework::Endpoint callers;
@@ -21,11 +21,12 @@
     objectstore::ObjectStoreSettings platform;
     callers::CallerLimits limits;
     DispatchSettings dispatch;
-    /// From the request to end until the process is ended by force.
+    /// Time from the shutdown request until the platform kills the process.
     framework::Milliseconds shutdownGrace = framework::usualGrace;
 };
 
-/// Reads and checks a settings text; the first fault names the source, the key and what was expected.
+/// Parses and validates a settings text. The error describes the first fault with the source, the key and the expected
+/// value.
 framework::Result<RouterSettings> parseRouterSettings(const std::string& text, const std::string& source);
 
 } // namespace lagoon::router
--- a/src/router/tests/agentsession_test.cpp
+++ b/src/router/tests/agentsession_test.cpp
@@ -13,7 +13,7 @@
 
 constexpr Milliseconds longTimeout { 60000 };
 
-/// One dispatch to `draft-1`, with its outcome.
+/// Sends one dispatch to `draft-1` and records its outcome.
 class SessionFixture : public RouterFixture {
 public:
     SessionFixture() { dispatch(); }
@@ -34,7 +34,7 @@
 
     wire::fb::DispatchIdT sentId(wire::FakeLink& link) { return *link.takeSent(Body::Dispatch).body.AsDispatch()->id; }
 
-    /// Lets the link fall silent until the session gives it up, and greets on the next one.
+    /// Delivers nothing on the link until the session replaces it, and completes the handshake on the new one.
     std::shared_ptr<wire::FakeLink> replaceSilentLink(std::uint64_t incarnation = 1, std::uint64_t session = 7)
     {
         const std::size_t before = transport_.connections();
@@ -63,9 +63,9 @@
     BOOST_TEST(link->takeSent(Body::Settle).body.AsSettle()->floor == 2u);
 }
 
-// The link to an agent goes silent for good after a slot hold was sent; the frame never arrived. The router opens
-// another link and asks; the agent fences the id. Only then the caller may be told "not run", and nothing is sent
-// twice.
+// The link to an agent goes silent permanently after a slot hold was sent, and the frame never arrives. The router
+// opens another link and resolves the dispatch; the agent fences its id. Only then may the caller receive "not run".
+// The dispatch must not be sent twice.
 BOOST_AUTO_TEST_CASE(onlyTheAgentCanReportNotRun)
 {
     const auto silent = completeHandshake("draft-1");
@@ -80,7 +80,8 @@
     BOOST_CHECK(outcomes_[0].error().execution == Execution::NotRun);
 }
 
-// As before, but the agent had run it: the answer comes over the new link, from the byte where the old one ended.
+// The link goes silent after the agent has received a slot hold and runs it. The answer must arrive over the new link,
+// from the byte at which the old one ended.
 BOOST_AUTO_TEST_CASE(aRunningRequestResumesOnTheNewLink)
 {
     const auto silent = completeHandshake("draft-1");
@@ -93,8 +94,8 @@
     BOOST_TEST(answer_->body_ == "held");
 }
 
-// The agent is killed after a slot hold was sent and a new one is started on the VM. The new one's ledger is empty, so
-// nobody can know whether the hold was made: the outcome must be "unknown", never "not run".
+// The agent is killed after a slot hold was sent, and a new agent starts on the VM. Its ledger is empty, so it can't be
+// determined whether the hold was made: the outcome must be "unknown", never "not run".
 BOOST_AUTO_TEST_CASE(aDispatchIsUnknownAfterTheAgentRestarts)
 {
     const auto old = completeHandshake("draft-1", 1);
@@ -108,7 +109,7 @@
     BOOST_CHECK(outcomes_[0].error().execution == Execution::Unknown);
 }
 
-// The agent answers, but it has dropped the session meanwhile, and with it the ledger of what it ran.
+// The agent reconnects, but has dropped the session meanwhile, and with it the ledger of the requests that it ran.
 BOOST_AUTO_TEST_CASE(aDispatchIsUnknownAfterTheAgentDropsTheSession)
 {
     const auto silent = completeHandshake("draft-1", 1, 7);
@@ -118,8 +119,8 @@
     BOOST_CHECK(outcomes_[0].error().execution == Execution::Unknown);
 }
 
-// A link has been idle for longer than the silence limit, as is normal, when the next hold comes. It isn't silent: it
-// must be used, and a load that is asked for then must not be given up in its first moment.
+// A link has been idle for longer than the silence limit, which is normal, when the next hold arrives. The link must be
+// used, not treated as silent, or a load order sent on it would be given up at once.
 BOOST_AUTO_TEST_CASE(anIdleLinkIsNotTreatedAsSilent)
 {
     const auto link = completeHandshake("draft-1");
@@ -134,7 +135,7 @@
     BOOST_TEST(outcomes_.size() == 2u);
 }
 
-// Nothing listens at the agent's endpoint: nothing left this process, so it is "not run" at once.
+// Nothing listens on the agent's endpoint. The dispatch hasn't left this process, so it must be "not run" at once.
 BOOST_AUTO_TEST_CASE(aDispatchOnARefusedConnectionIsNotRun)
 {
     link("draft-1")->cut("connect");
@@ -143,8 +144,8 @@
     BOOST_CHECK(outcomes_[0].error().execution == Execution::NotRun);
 }
 
-// An answer's bytes were changed or lost on the way: the agent's checksum shows it, and the caller must not take the
-// answer for whole.
+// Bytes of an answer were changed or lost on the way. The length and checksum from the agent reveal this, and the
+// answer must not be reported as complete.
 BOOST_AUTO_TEST_CASE(anAnswerWithAWrongChecksumIsNotComplete)
 {
     const auto link = completeHandshake("draft-1");
@@ -161,7 +162,7 @@
     BOOST_CHECK(outcomes_[0].error().execution == Execution::Unknown);
 }
 
-// Two callers' answers cross on one link: an answer with another router's or another request's id must not reach ours.
+// An answer with the id of another router or of another request arrives on the link. It must not reach this caller.
 BOOST_AUTO_TEST_CASE(anAnswerToAnotherRequestIsIgnored)
 {
     const auto link = completeHandshake("draft-1");
@@ -176,7 +177,7 @@
     BOOST_TEST(outcomes_.empty());
 }
 
-// The platform says that the VM is gone while a hold is in flight: nobody is left to ask.
+// The platform reports that the VM is gone while a hold is in flight, so no agent can report whether it ran.
 BOOST_AUTO_TEST_CASE(aSentDispatchIsUnknownAfterItsVmIsGone)
 {
     const auto link = completeHandshake("draft-1");
--- a/src/router/tests/answerstream_test.cpp
+++ b/src/router/tests/answerstream_test.cpp
@@ -15,7 +15,8 @@
 
 BOOST_AUTO_TEST_SUITE(AnswerStreams)
 
-// A link is replaced in mid-answer and the agent sends again what had already come. The caller must see each byte once.
+// A link is replaced in the middle of an answer, and the agent resends bytes that had already arrived. The caller must
+// receive each byte once.
 BOOST_AUTO_TEST_CASE(resentBytesReachTheCallerOnce)
 {
     auto answer = std::make_shared<FakeAnswer>();
@@ -28,7 +29,7 @@
     BOOST_TEST(stream.isComplete(11, policy::fnv1a("hello world", 11)));
 }
 
-// A chunk is lost on the way. What follows it must not be glued to what came before.
+// A chunk is lost on the way. The bytes after the gap must not be appended to those before it.
 BOOST_AUTO_TEST_CASE(bytesAfterAGapAreDropped)
 {
     auto answer = std::make_shared<FakeAnswer>();
@@ -48,7 +49,7 @@
     BOOST_TEST(!stream.isComplete(5, policy::fnv1a("hello", 5)));
 }
 
-// A first attempt was given up and a second began; the first one's answer comes late. The caller must not see it.
+// The first attempt was given up and a second one started. The late answer of the first must not reach the caller.
 BOOST_AUTO_TEST_CASE(aDetachedAttemptSendsNothingToTheCaller)
 {
     auto answer = std::make_shared<FakeAnswer>();
--- a/src/router/tests/dispatcher_test.cpp
+++ b/src/router/tests/dispatcher_test.cpp
@@ -15,7 +15,7 @@
 
 class DispatchFixture : public RouterFixture {
 public:
-    /// The agents that were asked to bid answer: the first can load, or none can.
+    /// Answers the bid request that the agent received.
     void bid(const std::string& vm, bool canLoad, bool isLoaded = false)
     {
         const auto to = link(vm);
@@ -37,7 +37,7 @@
         bid("draft-2", canLoad);
     }
 
-    /// The agent that was told to load, and its order.
+    /// Returns the agent that received a load order, and stores the order's correlation; empty if there was none.
     std::string takeLoadOrder()
     {
         for (std::string vm : { "draft-1", "draft-2" }) {
@@ -67,7 +67,7 @@
         return *link(vm)->takeSent(Body::Dispatch).body.AsDispatch()->id;
     }
 
-    /// The agent that a request went to, and its dispatch.
+    /// Returns the agent that received a dispatch, and the dispatch's id.
     std::pair<std::string, wire::fb::DispatchIdT> firstDispatch()
     {
         for (std::string vm : { "draft-1", "draft-2" }) {
@@ -113,8 +113,8 @@
     BOOST_TEST(dispatcher_.requests() == 0u);
 }
 
-// No upstream can make room. The caller must hear so at once, as not run and with a time to come back, not at its
-// deadline.
+// No upstream can free enough memory. The request must be refused at once, as not run and with a retry-after time, not
+// at its deadline.
 BOOST_AUTO_TEST_CASE(aRequestIsRefusedAtOnceIfNoUpstreamHasMemory)
 {
     const auto caller = ask(notes(), longTimeout, false);
@@ -125,7 +125,7 @@
     BOOST_TEST(caller->refused_->retryAfter.has_value());
 }
 
-// A load fails at the first upstream: the second is tried before anyone is refused.
+// A load fails at the first upstream. The second must be tried before a request is refused.
 BOOST_AUTO_TEST_CASE(aFailedLoadIsRetriedOnAnotherUpstream)
 {
     const auto caller = ask(notes(), longTimeout, false);
@@ -139,8 +139,9 @@
     BOOST_TEST(caller->isComplete_);
 }
 
-// Operators move a model while a cold request for it waits: the count at this site is lowered a moment before this
-// router has the new bundle. The request must wait for that bundle, not be refused for want of a replica.
+// Operators move a model to another site while a cold request for it waits, and the count at this site is lowered
+// shortly before this router has the new bundle. The request must wait for that bundle, not be refused for lack of a
+// replica.
 BOOST_AUTO_TEST_CASE(aRequestWaitsForTheBundleThatLoweredTheCount)
 {
     holders_.bundleVersion = framework::BundleVersion(4);
@@ -161,8 +162,8 @@
     BOOST_TEST(caller->isComplete_);
 }
 
-// Before a move ends both sites decide a replica, and only the other site's is warm. It serves; meanwhile this site
-// gets its own, or it would stay cold until the other is taken away.
+// During a move the bundle decides a replica at both sites, and only the one at the other site is loaded. It must
+// serve, and this site must load its own meanwhile, or it would stay cold until the other replica is removed.
 BOOST_AUTO_TEST_CASE(anotherSitesReplicaServesWhileALocalOneIsLoaded)
 {
     placements_.add(notes(), framework::VmName("far-1"));
@@ -179,8 +180,8 @@
     BOOST_TEST(second->isComplete_);
 }
 
-// The router that is home for the model freezes with its connections open. After a second without a word the next
-// router in the order must do its duty, or the request would wait until its deadline.
+// The router that is home for the model freezes with its connections open. After one second without a reply the next
+// router in rendezvous order must act as home, or the request would wait until its deadline.
 BOOST_AUTO_TEST_CASE(aSilentHomeIsReplacedByTheNextRouter)
 {
     const std::string home = addHomeFor("notes");
@@ -196,8 +197,8 @@
     BOOST_TEST(caller->isComplete_);
 }
 
-// An agent's link broke under a request, which therefore avoids it; but the agent lives, and the home finds that only
-// it has the model. The request must go there, not wait until its deadline for another.
+// An agent's link breaks during a request, so the request excludes the agent. But the agent is healthy, and the home
+// finds that it alone serves the model. The request must be sent there, not wait for another agent until its deadline.
 BOOST_AUTO_TEST_CASE(anAgentThatFailedIsUsedAgainIfItIsTheOnlyOne)
 {
     placements_.add(notes(), framework::VmName("draft-1"));
@@ -212,7 +213,8 @@
     BOOST_TEST(caller->isComplete_);
 }
 
-// The weight store crawls and the load doesn't end. The waiting request is refused as not run before its deadline.
+// The weight store is too slow for the load to end in time. The waiting request must be refused as not run before its
+// deadline.
 BOOST_AUTO_TEST_CASE(aWaitingRequestIsRefusedBeforeItsDeadline)
 {
     const auto caller = ask(notes(), Milliseconds(100), false);
@@ -224,7 +226,8 @@
     BOOST_TEST(dispatcher_.requests() == 0u);
 }
 
-// A hold was sent and its agent never answers: at the deadline the caller hears "unknown", since it may have been made.
+// A slot hold was sent and its agent never answers. At the deadline the caller must receive "unknown", since the hold
+// may have been made.
 BOOST_AUTO_TEST_CASE(aSentRequestEndsAsUnknownAtItsDeadline)
 {
     const auto caller = ask(holds(), Milliseconds(1000), false);
@@ -246,7 +249,8 @@
     BOOST_TEST(caller->attempt_ == 2u);
 }
 
-// An agent dies after a hold was sent. A second attempt could hold two slots: the caller hears "unknown" instead.
+// The upstream fails after a slot hold was sent. A second attempt could hold two slots, so the caller must receive
+// "unknown" instead.
 BOOST_AUTO_TEST_CASE(aRequestThatMayHaveRunIsNotRetried)
 {
     const auto caller = ask(holds(), longTimeout, false);
@@ -267,7 +271,7 @@
     BOOST_TEST(caller->isComplete_);
 }
 
-// Every upstream fails every request. Retries must stop when their budget is spent, or they multiply the overload.
+// Every upstream fails every request. Retries must stop once their budget is spent, or they would multiply an overload.
 BOOST_AUTO_TEST_CASE(retriesStayWithinTheBudget)
 {
     settings_.retryShare = 0;
@@ -303,7 +307,8 @@
     BOOST_TEST(caller->finalCount_ == 0);
 }
 
-// A stream is cut in the middle: the caller must see its connection break, not a refusal glued to half an answer.
+// An answer is cut after its head was sent. The caller's connection must be broken off, without a refusal appended to
+// the incomplete answer.
 BOOST_AUTO_TEST_CASE(aStartedAnswerIsBrokenOff)
 {
     const auto caller = ask(holds(), longTimeout, true);
@@ -317,8 +322,8 @@
     BOOST_TEST(caller->finalCount_ == 1);
 }
 
-// The placement cache says that an agent has the model, but it was unloaded: the request is not run there, and waits
-// for a new load instead of being refused.
+// The placement cache lists an agent that has unloaded the model since. The agent refuses the request as not run, and
+// the request must wait for a new load instead of being refused.
 BOOST_AUTO_TEST_CASE(aStalePlacementLeadsToANewLoad)
 {
     placements_.add(notes(), framework::VmName("draft-1"));
@@ -334,8 +339,8 @@
     BOOST_TEST(caller->isComplete_);
 }
 
-// An agent is restarted for a new program version: it drains, ends, and a new process answers at the same place. It
-// must get work again, though nothing in the platform's list changed.
+// An agent is restarted for a new program version: it drains and exits, and a new process listens on the same endpoint.
+// It must get work again, although the platform's list hasn't changed.
 BOOST_AUTO_TEST_CASE(anAgentThatDrainedGetsWorkAgain)
 {
     const auto first = ask(holds(), longTimeout, false);
@@ -363,7 +368,7 @@
     const auto low = ask(notes(), longTimeout, false, 2);
     const wire::Message first = link("entry-2")->takeSent(Body::Wake);
     BOOST_TEST(+first.body.AsWake()->priority == 2);
-    // The home says that it has heard, or it would be passed by.
+    // The home acknowledges the wake, or it would be excluded as silent.
     wire::fb::WakeResultT heard;
     heard.correlation = first.body.AsWake()->correlation;
     heard.target = std::make_unique<wire::fb::TargetT>(*first.body.AsWake()->target);
@@ -374,8 +379,9 @@
     BOOST_TEST(+link("entry-2")->takeSent(Body::Wake).body.AsWake()->priority == 7);
 }
 
-// The store's one place is taken and another load waits for it, when a caller of high priority at some router joins
-// those who wait for a queued load. The load must overtake, and those who wait must be told of the earlier end.
+// The weight store's only slot is occupied and another load waits for it. Then a request of high priority at another
+// router joins the requests that wait for a queued load. That load must overtake the other one, and the waiting routers
+// must receive the earlier forecast.
 BOOST_AUTO_TEST_CASE(aLaterWakeRaisesThePriorityOfAQueuedLoad)
 {
     bundle::PolicyNumbers numbers;
@@ -401,8 +407,8 @@
     BOOST_CHECK(*soonest < before);
 }
 
-// The one replica that the bundle decides is warm, but its agent can't serve the request in time. No other will be
-// loaded: the caller must hear so at once, not wait for a replica until its deadline.
+// The only replica that the bundle decides is loaded, but its agent can't serve the request in time. No other replica
+// will be loaded, so the request must be refused at once, not wait until its deadline.
 BOOST_AUTO_TEST_CASE(aRequestIsRefusedAtOnceIfAllReplicasAreBusy)
 {
     placements_.add(notes(), framework::VmName("draft-1"));
@@ -415,8 +421,8 @@
     BOOST_TEST(dispatcher_.requests() == 0u);
 }
 
-// Models come and go at the agents, so that many placements in the cache are stale. More requests than the retry budget
-// allows meet one; none of them may be refused for that.
+// Agents often load and unload models, so that many placements in the cache are stale. More requests than the retry
+// budget allows are sent to a stale placement; none of them may be refused for that.
 BOOST_AUTO_TEST_CASE(stalePlacementsDontConsumeTheRetryBudget)
 {
     const int requests = 2 * static_cast<int>(settings_.retryReserve);
@@ -445,8 +451,9 @@
 
 } // namespace
 
-// The router is told to end while a request waits for a load that takes longer than the grace period; nothing forecasts
-// it. The request must be refused as not run while there is time to be served elsewhere, not at its own late deadline.
+// The router shuts down while a request waits for a load that takes longer than the grace period, and there is no
+// forecast for it. The request must be refused as not run while there is still time to serve it elsewhere, not at its
+// own later deadline.
 BOOST_AUTO_TEST_CASE(onShutdownARequestWaitingForALoadIsRefused)
 {
     const auto caller = ask(notes(), longTimeout, false);
@@ -460,7 +467,7 @@
     BOOST_TEST(wakes_.waiting() == 0u);
 }
 
-// The load ends within the grace period: the request is served as if the router stayed.
+// The load ends within the grace period. The request must be served as in normal operation.
 BOOST_AUTO_TEST_CASE(onShutdownALoadThatFinishesInTimeIsUsed)
 {
     const auto caller = ask(notes(), longTimeout, false);
@@ -472,7 +479,7 @@
     BOOST_TEST(caller->isComplete_);
 }
 
-// What is known to come too late is refused at once, not held until the last moment; nor is a later request.
+// A request whose load is forecast to end too late must be refused at once, not shortly before the router exits.
 BOOST_AUTO_TEST_CASE(onShutdownAHopelessRequestIsRefusedAtOnce)
 {
     const auto caller = ask(notes(), longTimeout, false);
@@ -485,7 +492,8 @@
     checkNotStarted(*caller);
 }
 
-// A request whose body came late is handed over when nothing may be started any more.
+// A request whose body arrived late is accepted after the time until which requests may be started. It must be refused
+// at once.
 BOOST_AUTO_TEST_CASE(onShutdownALateRequestIsRefusedAtOnce)
 {
     const auto deadlines = framework::ShutdownDeadlines::after(control_.now(), grace);
@@ -494,7 +502,8 @@
     checkNotStarted(*ask(holds(), longTimeout, false));
 }
 
-// An agent's link isn't open yet: the request has not left the router, so it surely didn't run.
+// The link to the agent isn't open yet, so the request hasn't left the router. It must be refused as not run and never
+// be sent.
 BOOST_AUTO_TEST_CASE(onShutdownAnUnsentRequestIsNotRun)
 {
     const auto caller = ask(holds(), longTimeout, false);
@@ -512,8 +521,9 @@
     }
 }
 
-// An agent has two requests when time is up, one of them with a begun answer. The first may have run; the second is
-// broken off, never ended as if it were whole. The agent is told to stop both.
+// Two requests still run when the time for answers is over, one of them with a started answer. The one without an
+// answer may have run, so it must end as "unknown". The started answer must be broken off, never ended as if it were
+// complete.
 BOOST_AUTO_TEST_CASE(onShutdownARunningRequestIsUnknownOrBrokenOff)
 {
     const auto silent = ask(holds(), longTimeout, false);
@@ -529,7 +539,7 @@
     dispatcher_.beginShutdown(deadlines);
     for (const std::string& each : { vm, otherVm })
         link(each)->takeSent();
-    // In steps that an agent's sign of life can keep pace with.
+    // Advances in steps short enough for the agents' pongs to keep the links from counting as silent.
     while (!deadlines.answerBy.hasPassed(control_.now())) {
         BOOST_TEST(silent->finalCount_ + begun->finalCount_ == 0);
         for (const std::string& each : { vm, otherVm })
@@ -544,9 +554,9 @@
     BOOST_TEST(dispatcher_.requests() == 0u);
 }
 
-// An agent that is told to end refuses its whole queue as not run. Each of these is to go to another agent: the budget
-// that keeps retries from multiplying an overload must not refuse them, as an agent that drains is asked no second
-// time.
+// An agent that shuts down refuses its whole queue as not run. Each of these requests must be retried on another agent.
+// The retry budget, which keeps retries from multiplying an overload, must not refuse them, since a draining agent is
+// not selected a second time.
 BOOST_AUTO_TEST_CASE(aDrainingAgentsQueueIsRetriedOnOtherAgents)
 {
     std::vector<std::shared_ptr<FakeAnswer>> callers;
@@ -567,8 +577,8 @@
     BOOST_TEST(dispatcher_.requests() == 100u);
 }
 
-// A request that may be repeated was lost with its first agent, which may have run it, and then waits in vain for
-// another. "Not run" would not be true.
+// The first agent fails a repeatable request that may have run, and the request then waits for another replica until
+// its deadline. It must not be refused as "not run".
 BOOST_AUTO_TEST_CASE(aRequestThatMayHaveRunIsNotReportedAsNotRunLater)
 {
     placements_.add(notes(), framework::VmName("draft-1"));
--- a/src/router/tests/fixture.h
+++ b/src/router/tests/fixture.h
@@ -15,7 +15,7 @@
 
 namespace lagoon::router {
 
-/// A caller that remembers what it was given.
+/// A caller that records the answer, error or refusal that it receives.
 class FakeAnswer final : public callers::ICallerAnswer {
 public:
     void begin(unsigned short, const callers::HttpHeaders&, std::uint32_t attempt) override { attempt_ = attempt; }
@@ -34,23 +34,23 @@
     std::function<void()> onGone_;
 };
 
-/// The router's control side with a manual clock, whose agents are the test itself.
-/// One pool; `far-1` at another site and no decided replicas there; `draft-1` and `draft-2` may load `notes` (one
-/// replica) and run the service `holds`.
+/// The components of a router that run on the control thread, with a manual clock. The test plays the agents. There is
+/// one pool: its upstreams `draft-1` and `draft-2` may load the model `notes` (one replica) and run the service
+/// `holds`. The upstream `far-1` is at another site, for which the bundle decides no replicas.
 class RouterFixture {
 public:
     RouterFixture();
 
-    /// The newest link to the agent; the agent says hello on it.
+    /// Answers the hello on the newest link to the agent, and returns that link.
     std::shared_ptr<wire::FakeLink> completeHandshake(
         const std::string& vm, std::uint64_t incarnation = 1, std::uint64_t session = 7);
     std::shared_ptr<wire::FakeLink> link(const std::string& vm) const;
     std::shared_ptr<FakeAnswer> ask(
         const callers::RequestTarget&, framework::Milliseconds timeout, bool isRepeatable, std::uint8_t priority = 0);
-    /// An answer of one chunk, whole.
+    /// Delivers a complete answer of one chunk.
     void answer(wire::FakeLink&, const wire::fb::DispatchIdT&, const std::string& body);
     void refuse(wire::FakeLink&, const wire::fb::DispatchIdT&, framework::ErrorCode, framework::Execution);
-    /// Adds a router that is home for the key before this one; returns its name.
+    /// Adds a router that precedes this one in the rendezvous order of the key, and returns its name.
     std::string addHomeFor(const std::string& key);
     void runPending() { control_.runPosted(); }
 
@@ -61,7 +61,7 @@
     DispatchSettings settings_;
     wire::FakeTransport transport_;
     bundle::BundlePointer bundle_;
-    /// What the platform's object of each target says.
+    /// Contents of the platform's replica object of every target.
     TargetHolders holders_;
     objectstore::VmEntries vms_;
     VmDirectory directory_;
--- a/src/router/tests/idempotencykeys_test.cpp
+++ b/src/router/tests/idempotencykeys_test.cpp
@@ -42,7 +42,7 @@
         return store_->list("keys/", framework::Deadline::after(control_.now(), Milliseconds(1000))).value().size();
     }
 
-    /// One sweep, waited for through the worker's queue.
+    /// Runs one sweep, and waits for it by a second task in the worker's queue.
     void sweep()
     {
         control_.advance(retention);
@@ -51,8 +51,8 @@
         swept.get_future().get();
     }
 
-    /// Begins with the real clock, by which `objectstore::updateObject` waits: a fixed start would be past on a machine
-    /// that has been up for longer.
+    /// Starts at the real time, since `objectstore::updateObject` waits by the real clock: a fixed start time would be
+    /// in the past on a machine that has been up for longer.
     framework::ManualControl control_ { framework::SystemClock().now() };
     framework::WorkerPool workers_ { 1 };
     std::shared_ptr<framework::Metrics> metrics_ = std::make_shared<framework::Metrics>();
@@ -64,8 +64,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(IdempotencyKeysOfRouters, KeysFixture)
 
-// A kiosk sends a slot hold, loses its connection and sends it again through another router with the same key. The
-// second must not run: the first may have.
+// A kiosk sends a slot hold, loses its connection and resends the hold with the same key through another router. The
+// second request must not run, since the first may have run.
 BOOST_AUTO_TEST_CASE(aDuplicateKeyIsRefusedAsUnknown)
 {
     BOOST_TEST(claim("slot-5").has_value());
@@ -76,7 +76,7 @@
     BOOST_TEST(claim("slot-6").has_value());
 }
 
-// The platform's answer to the create is lost: the key is ours all the same, and the call must run.
+// The platform's response to the create is lost. The claim must still succeed, since this router's object was stored.
 BOOST_AUTO_TEST_CASE(aClaimSucceedsWhenThePlatformsResponseIsLost)
 {
     store_->failNextWrites({ objectstore::WriteFault::LoseAnswer });
@@ -84,7 +84,7 @@
     BOOST_TEST(storedKeys() == 1u);
 }
 
-// The platform is down: nobody can say whether the key is new, so the call isn't run, and the caller is told so.
+// During a platform outage it is unknown whether the key is new, so the request must be refused as not run.
 BOOST_AUTO_TEST_CASE(aClaimDuringAPlatformOutageIsNotRun)
 {
     store_->setAvailable(false);
@@ -110,8 +110,8 @@
     BOOST_TEST(claim("slot-5").has_value());
 }
 
-// A router that ends refuses a request as not run and gives its key back. It must not end before the platform has that,
-// or the caller's next try is taken for a repetition.
+// A router that shuts down refuses a request as not run and releases its key. It must not exit before the platform has
+// confirmed the release, or the caller's retry is refused as a duplicate.
 BOOST_AUTO_TEST_CASE(shutdownWaitsForKeyReleases)
 {
     const auto key = claim("slot-5");
@@ -126,7 +126,8 @@
     BOOST_TEST(storedKeys() == 0u);
 }
 
-// A router dies and leaves its keys. They must not stay for ever, nor go before the retention is over.
+// A router crashes and leaves its keys behind. They must be removed eventually, but not before the retention period is
+// over.
 BOOST_AUTO_TEST_CASE(keysAreSweptAfterTheRetention)
 {
     BOOST_TEST(claim("slot-5").has_value());
--- a/src/router/tests/loadgate_test.cpp
+++ b/src/router/tests/loadgate_test.cpp
@@ -17,7 +17,7 @@
 
 SiteTarget target(const std::string& model) { return { { framework::ModelName(model), {}, {} }, site }; }
 
-/// A gate with one place at the weight store, taken by the load of `running`.
+/// A gate with one slot at the weight store, occupied by the load of `running`.
 class GateFixture {
 public:
     GateFixture()
@@ -63,8 +63,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(LoadGates, GateFixture)
 
-// Fifty wait for one model, one with a nearer deadline for another. The order starts the crowd's load first; told by
-// deadlines that they come second, the fifty were refused as hopeless.
+// Prevents needless refusals: 50 requests wait for one model, and one request with an earlier deadline for another. The
+// load order starts the load for the 50 first. A forecast by deadlines put them second, and they were refused as
+// hopeless.
 BOOST_AUTO_TEST_CASE(theForecastFollowsTheLoadOrder)
 {
     enqueue(load("single"));
@@ -90,7 +91,7 @@
     BOOST_TEST(started_ == inOrder, boost::test_tools::per_element());
 }
 
-// A load waits for its place when a caller of high priority joins those who wait for it.
+// A request of high priority joins the requests that wait for a queued load.
 BOOST_AUTO_TEST_CASE(aRaisedPriorityMovesAWaitingLoadAhead)
 {
     enqueue(load("first"));
--- a/src/router/tests/vmdirectory_test.cpp
+++ b/src/router/tests/vmdirectory_test.cpp
@@ -36,7 +36,8 @@
 
 BOOST_AUTO_TEST_SUITE(VmDirectories)
 
-// A VM is about to be reclaimed, or its agent says that it drains while the list still has it live: neither gets work.
+// A VM that is about to be reclaimed, and one whose agent reports that it drains while the list still shows it as live,
+// must get no work.
 BOOST_AUTO_TEST_CASE(leavingAndDrainingUpstreamsGetNoWork)
 {
     VmDirectory directory
@@ -49,8 +50,8 @@
     BOOST_TEST(directory.upstreams({ pool }, site).size() == 2u);
 }
 
-// 370 routers, each with one place at a weight store that has four, would start 370 loads at once. Only as many routers
-// as there are places are homes, and all routers name the same ones.
+// Prevents overload of the weight store: 370 homes with a minimum of one slot each would start 370 loads at a store
+// with four slots. Only as many routers as there are slots are homes, and all routers select the same ones.
 BOOST_AUTO_TEST_CASE(homesAreLimitedAndTheSameOnAllRouters)
 {
     objectstore::VmEntries entries;
--- a/src/router/tests/vmlistwatcher_test.cpp
+++ b/src/router/tests/vmlistwatcher_test.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-/// A VM that leaves gets no new work after a few seconds.
+/// Time within which a router must stop sending new work to a VM that leaves.
 constexpr Milliseconds leavingNotice { 4000 };
-/// A call ends so long after the platform's own wait.
+/// Time that a call to the platform may take beyond the long poll itself.
 constexpr Milliseconds callTimeout { 1000 };
 
-/// Answers the first call; the second falls silent until it is stopped.
+/// Answers the first call; the second blocks until it is stopped.
 class SilentVmList final : public objectstore::IVmList {
 public:
     explicit SilentVmList(const framework::IClock& clock)
@@ -48,7 +48,8 @@
 
 BOOST_AUTO_TEST_SUITE(VmListWatchers)
 
-// Guards against a connection to the platform that has gone silent and hides for long that a VM leaves.
+// A silent connection to the platform must not hide that a VM leaves: the wait for a change must end early enough to
+// reconnect within the notice time.
 BOOST_AUTO_TEST_CASE(aSilentConnectionIsReplacedWithinTheLeavingNotice)
 {
     framework::ManualControl control;
--- a/src/router/types/routersettings.h
+++ b/src/router/types/routersettings.h
@@ -9,26 +9,26 @@
 
 namespace lagoon::router {
 
-/// Numbers of a router's dispatch, from the section `dispatch` of its settings.
+/// Dispatch settings of a router, from the section `dispatch` of its settings.
 struct DispatchSettings {
-    /// Requests that wait for a replica; more are refused at once.
+    /// Maximum number of requests that wait for a replica; further requests are refused at once.
     std::size_t waitingRequests = 10000;
-    /// A link with work in flight from which nothing came for this long is given up for a new one.
+    /// A link with work in flight that delivers nothing for this long is replaced by a new one.
     framework::Milliseconds silenceLimit { 2000 };
     framework::Milliseconds pingInterval { 500 };
-    /// A link without work is closed after this.
+    /// A link without work is closed after this time.
     framework::Milliseconds idleLimit { 60000 };
-    /// After this many retries per request none is tried.
+    /// Maximum number of attempts per request, including the first.
     std::uint32_t attempts = 4;
-    /// Retries earned per request, and how many may be saved up.
+    /// Retry budget: retries earned per accepted request, and the maximum number that may accumulate.
     double retryShare = 0.1;
     double retryReserve = 20;
-    /// In-flight requests of this router per replica above which another replica is asked for.
+    /// Number of this router's in-flight requests at a replica from which on another replica is requested.
     std::uint32_t scaleUpInFlight = 8;
-    /// Agents asked for a bid per load, beside those known to have the target.
+    /// Number of agents asked for a bid per round, in addition to those known to serve the target.
     std::size_t bids = 8;
     framework::Milliseconds bidTimeout { 500 };
-    /// How long an idempotency key is kept at least.
+    /// Minimum time for which an idempotency key is kept.
     framework::Milliseconds keyRetention { 3600000 };
 };
 
--- a/src/router/types/wake.h
+++ b/src/router/types/wake.h
@@ -12,7 +12,7 @@
 
 namespace lagoon::router {
 
-/// A target at one of the sites: what a home is responsible for.
+/// A target at one site: the unit that a home is responsible for.
 struct SiteTarget {
     callers::RequestTarget target;
     framework::SiteName site;
@@ -20,31 +20,31 @@
     friend auto operator<=>(const SiteTarget&, const SiteTarget&) = default;
 };
 
-/// Someone waits for a target.
+/// A router's request to a home: requests wait for a target, so the home finds or loads replicas of it.
 struct WakeOrder {
     SiteTarget where;
     std::uint32_t waiters = 0;
     framework::Deadline earliest;
     framework::Deadline latest;
     std::uint32_t desiredReplicas = 1;
-    /// Highest among those waiting.
+    /// Highest priority among the waiting requests.
     std::uint8_t priority = 0;
-    /// That the asking router has in force; a home with an older one waits for it.
+    /// Bundle version in force at the requesting router. A home with an older bundle waits until it has this one.
     framework::BundleVersion bundleVersion = {};
 };
 
-/// What a home says to a wake: perhaps several times "not yet", then once something final.
+/// A home's reply to a wake: any number of progress reports, then one final reply.
 struct WakeReply {
     bool isFinal = false;
-    /// Agents that serve the target now.
+    /// VMs of the agents that serve the target now.
     std::vector<framework::VmName> placements = {};
     /// Set in a final reply without placements.
     std::optional<framework::Error> error = std::nullopt;
-    /// Not final: the soonest that the load may end; who can't wait as long is refused.
+    /// In progress reports: earliest expected end of the load. Requests with an earlier deadline are refused.
     std::optional<framework::Deadline> soonestAt = std::nullopt;
-    /// Not final: when to come back for who is refused.
+    /// In progress reports: `Retry-After` for requests that are refused meanwhile.
     std::optional<framework::Milliseconds> retryAfter = std::nullopt;
-    /// That the home decided by.
+    /// Bundle version by which the home decided.
     framework::BundleVersion bundleVersion = {};
 };
 
