--- a/src/router/internal/agentsession.h
+++ b/src/router/internal/agentsession.h
@@ -62,7 +62,8 @@
         wire::fb::DispatchT, framework::Deadline, std::shared_ptr<AnswerStream>, OutcomeHandler);
     /// Tells the agent to stop the dispatch. The outcome handler won't be called.
     void cancel(framework::SequenceNumber);
-    /// Whether the dispatch was handed to a link. A dispatch that wasn't sent can't have run.
+    /// Whether the dispatch was handed to a link; true also if it has already ended. A dispatch that wasn't sent can't
+    /// have run.
     bool wasSent(framework::SequenceNumber) const;
     void requestBid(const wire::fb::TargetT&, framework::BundleVersion, AnswerHandler<wire::fb::BidT>);
     void load(wire::fb::LoadT, AnswerHandler<wire::fb::LoadResultT>);
--- a/src/router/internal/home.cpp
+++ b/src/router/internal/home.cpp
@@ -219,7 +219,7 @@
 /// Returns null if none of the candidates can load the target, or the maximum number of loads has failed.
 Home::Candidate* Home::chooseLoader(Search& search) const
 {
-    // If an agent is already loading the target for another home, or for one that crashed, joins that load.
+    // An agent may already be loading the target for another home, or for one that crashed: joins that load.
     for (Candidate& candidate : search.candidates) {
         if (candidate.isLoading)
             return &candidate;
@@ -273,8 +273,8 @@
 
 /// A roll-out lowers replica counts before it moves the bundle head, so a router can see counts of a bundle that it
 /// hasn't read yet. That bundle will be in force shortly, possibly with the target at another site, so until then no
-/// request is refused for lack of replicas. Restarts the search once the bundle is in force. Returns false if
-/// there is nothing to wait for or the retry period is over.
+/// request is refused for lack of replicas. Restarts the search once the bundle is in force. Returns false if there is
+/// nothing to wait for or the retry period is over.
 bool Home::awaitBundle(const SiteTarget& where)
 {
     Search& search = searches_.at(where);
@@ -406,7 +406,7 @@
     }
 }
 
-/// Reads the holders of the replicas from the platform's replica object. Used when the replica cap is reached, but by
+/// Reads the holders of the replicas from the platform's replica object. Used when the replica cap is reached by
 /// replicas that none of the candidates has.
 void Home::queryHolders(const SiteTarget& where)
 {
--- a/src/router/tests/loadgate_test.cpp
+++ b/src/router/tests/loadgate_test.cpp
@@ -91,7 +91,7 @@
     BOOST_TEST(started_ == inOrder, boost::test_tools::per_element());
 }
 
-// A request of high priority joins the requests that wait for a queued load.
+// A request of high priority joins the requests that wait for a queued load. The load must move ahead of the other.
 BOOST_AUTO_TEST_CASE(aRaisedPriorityMovesAWaitingLoadAhead)
 {
     enqueue(load("first"));
--- a/src/router/types/wake.h
+++ b/src/router/types/wake.h
@@ -20,7 +20,7 @@
     friend auto operator<=>(const SiteTarget&, const SiteTarget&) = default;
 };
 
-/// A router's request to a home: requests wait for a target, so the home finds or loads replicas of it.
+/// A router's request to a home to find or load replicas of a target, since callers' requests wait for it.
 struct WakeOrder {
     SiteTarget where;
     std::uint32_t waiters = 0;
