--- a/src/agent/internal/admission.cpp
+++ b/src/agent/internal/admissionqueue.cpp
@@ -1,38 +1,38 @@
-#include "agent/internal/admission.h"
+#include "agent/internal/admissionqueue.h"
 
 #include <algorithm>
 #include <tuple>
 
 namespace lagoon::agent {
 
-bool Admission::TurnOrder::operator()(const WaitingDispatch& one, const WaitingDispatch& other) const
+bool AdmissionQueue::QueueOrder::operator()(const WaitingDispatch& one, const WaitingDispatch& other) const
 {
     return std::tie(other.priority, one.deadline, one.key) < std::tie(one.priority, other.deadline, other.key);
 }
 
-Admission::Admission(std::uint32_t mostRunning, std::uint32_t mostWaiting)
-    : mostRunning_(mostRunning)
-    , mostWaiting_(mostWaiting)
+AdmissionQueue::AdmissionQueue(std::uint32_t maxRunning, std::uint32_t maxWaiting)
+    : maxRunning_(maxRunning)
+    , maxWaiting_(maxWaiting)
 {
 }
 
-bool Admission::enqueue(const WaitingDispatch& dispatch)
+bool AdmissionQueue::enqueue(const WaitingDispatch& dispatch)
 {
-    if (!hasFreePlace() && queue_.size() >= mostWaiting_)
+    if (!hasFreeSlot() && queue_.size() >= maxWaiting_)
         return false;
     queue_.insert(dispatch);
     return true;
 }
 
-void Admission::remove(const DispatchKey& key)
+void AdmissionQueue::remove(const DispatchKey& key)
 {
     std::erase_if(queue_, [&](const WaitingDispatch& dispatch) { return dispatch.key == key; });
 }
 
-std::vector<WaitingDispatch> Admission::takeStartable()
+std::vector<WaitingDispatch> AdmissionQueue::takeStartable()
 {
     std::vector<WaitingDispatch> started;
-    while (running_ < mostRunning_ && !queue_.empty()) {
+    while (running_ < maxRunning_ && !queue_.empty()) {
         started.push_back(*queue_.begin());
         queue_.erase(queue_.begin());
         ++running_;
@@ -40,7 +40,7 @@
     return started;
 }
 
-std::vector<WaitingDispatch> Admission::takeExpired(framework::SteadyTime now)
+std::vector<WaitingDispatch> AdmissionQueue::takeExpired(framework::SteadyTime now)
 {
     std::vector<WaitingDispatch> expired;
     for (const WaitingDispatch& dispatch : queue_) {
@@ -52,15 +52,15 @@
     return expired;
 }
 
-void Admission::ended() { --running_; }
+void AdmissionQueue::recordEnd() { --running_; }
 
-bool Admission::isWaiting(const DispatchKey& key) const
+bool AdmissionQueue::isWaiting(const DispatchKey& key) const
 {
     return std::any_of(
         queue_.begin(), queue_.end(), [&](const WaitingDispatch& dispatch) { return dispatch.key == key; });
 }
 
-std::uint32_t Admission::ahead(const WaitingDispatch& dispatch) const
+std::uint32_t AdmissionQueue::ahead(const WaitingDispatch& dispatch) const
 {
     return static_cast<std::uint32_t>(std::distance(queue_.begin(), queue_.lower_bound(dispatch)));
 }
--- a/src/agent/internal/admission.h
+++ b/src/agent/internal/admissionqueue.h
@@ -17,38 +17,38 @@
 
 /// How many dispatches are at the upstream, and which goes next: the highest priority, then the earliest deadline.
 /// Pure.
-class Admission {
+class AdmissionQueue {
 public:
-    Admission(std::uint32_t mostRunning, std::uint32_t mostWaiting);
+    AdmissionQueue(std::uint32_t maxRunning, std::uint32_t maxWaiting);
 
     /// False when too many wait already.
     [[nodiscard]] bool enqueue(const WaitingDispatch&);
     /// Drops one that no longer waits, such as a cancelled one.
     void remove(const DispatchKey&);
-    /// Takes those whose turn it is; each counts as running until `ended`.
+    /// Takes those whose turn it is; each counts as running until `recordEnd`.
     std::vector<WaitingDispatch> takeStartable();
     /// Takes those whose deadline has passed.
     std::vector<WaitingDispatch> takeExpired(framework::SteadyTime now);
-    void ended();
+    void recordEnd();
 
     bool isWaiting(const DispatchKey&) const;
     /// Whether a new one would start now.
-    bool hasFreePlace() const { return queue_.empty() && running_ < mostRunning_; }
+    bool hasFreeSlot() const { return queue_.empty() && running_ < maxRunning_; }
     /// How many of those waiting would go before it.
     std::uint32_t ahead(const WaitingDispatch&) const;
-    std::uint32_t mostRunning() const { return mostRunning_; }
+    std::uint32_t maxRunning() const { return maxRunning_; }
     std::uint32_t running() const { return running_; }
     std::uint32_t waiting() const { return static_cast<std::uint32_t>(queue_.size()); }
 
 private:
-    struct TurnOrder {
+    struct QueueOrder {
         bool operator()(const WaitingDispatch&, const WaitingDispatch&) const;
     };
 
-    std::uint32_t mostRunning_;
-    std::uint32_t mostWaiting_;
+    std::uint32_t maxRunning_;
+    std::uint32_t maxWaiting_;
     std::uint32_t running_ = 0;
-    std::set<WaitingDispatch, TurnOrder> queue_;
+    std::set<WaitingDispatch, QueueOrder> queue_;
 };
 
 } // namespace lagoon::agent
--- a/src/agent/internal/agent.cpp
+++ b/src/agent/internal/agent.cpp
@@ -7,7 +7,7 @@
 #include "agent/internal/replicacontroller.h"
 #include "agent/internal/requestgate.h"
 #include "agent/internal/routerlinks.h"
-#include "agent/internal/serviceuse.h"
+#include "agent/internal/servedservices.h"
 #include "bundle/bundlewatch.h"
 #include "framework/controlthread.h"
 #include "framework/iclock.h"
@@ -33,8 +33,8 @@
 constexpr std::size_t platformThreads = 4;
 /// One reads the state while others give orders; orders wait for the engine's answer only.
 constexpr std::size_t engineThreads = 3;
-constexpr Milliseconds housekeepingEach { 5000 };
-constexpr Milliseconds drainCheckEach { 20 };
+constexpr Milliseconds housekeepingInterval { 5000 };
+constexpr Milliseconds drainCheckInterval { 20 };
 constexpr Milliseconds statusTimeout { 1000 };
 /// For routers to confirm the last answers; those that are gone never will.
 constexpr Milliseconds settleTimeout { 2000 };
@@ -52,10 +52,10 @@
     void shutDown();
 
 private:
-    ITargetUse& targets();
+    IServedTargets& servedTargets();
     ReplicaPorts replicaPorts();
     void startControl();
-    void keepHouse();
+    void runHousekeeping();
     void checkDrained(std::promise<bool>&, const framework::ServiceEnd&, std::optional<Deadline> settleBy);
     std::string status();
     StatusView statusView() const;
@@ -72,7 +72,7 @@
     objectstore::ObjectStoreClient platform_;
     std::shared_ptr<wire::ILinkTransport> transport_;
     std::shared_ptr<bundle::IBundleWatch> bundles_;
-    ServiceUse service_;
+    ServedServices service_;
     std::unique_ptr<ReplicaController> replicas_;
     std::unique_ptr<RequestGate> gate_;
     std::unique_ptr<RouterLinks> links_;
@@ -81,7 +81,7 @@
     std::unique_ptr<framework::Timer> drainCheck_;
     std::atomic<bool> isDraining_ { false };
     /// All of it was started.
-    bool isServing_ = false;
+    bool isStarted_ = false;
     bool isStopped_ = false;
 };
 
@@ -98,13 +98,13 @@
             ReplicaSettings { settings_.identity.site, settings_.pool, upstream.checksFencing, upstream.settling });
     }
     gate_ = std::make_unique<RequestGate>(
-        GatePorts { control_, clock_, targets(), makeHttpUpstream(settings_.upstream.url), metrics_ }, incarnation_,
-        settings_.limits);
+        GatePorts { control_, clock_, servedTargets(), makeHttpUpstream(settings_.upstream.url), metrics_ },
+        incarnation_, settings_.limits);
     links_ = std::make_unique<RouterLinks>(RouterLinks::Context {
         control_, clock_, settings_.identity.vm, incarnation_, *gate_, replicas_.get(), *bundles_, metrics_ });
 }
 
-ITargetUse& Agent::Implementation::targets()
+IServedTargets& Agent::Implementation::servedTargets()
 {
     if (isEngine())
         return *replicas_;
@@ -135,7 +135,7 @@
     });
     bundles_->start();
     control_.post([this] { startControl(); });
-    isServing_ = true;
+    isStarted_ = true;
     return AgentEndpoints { link, ops };
 }
 
@@ -143,14 +143,14 @@
 {
     if (replicas_)
         replicas_->start();
-    keepHouse();
+    runHousekeeping();
 }
 
-void Agent::Implementation::keepHouse()
+void Agent::Implementation::runHousekeeping()
 {
-    gate_->forgetGoneRouters();
-    links_->closeSilent();
-    housekeeping_ = control_.runAt(Deadline::after(clock_.now(), housekeepingEach), [this] { keepHouse(); });
+    gate_->forgetDisconnectedRouters();
+    links_->closeIdle();
+    housekeeping_ = control_.runAt(Deadline::after(clock_.now(), housekeepingInterval), [this] { runHousekeeping(); });
 }
 
 void Agent::Implementation::shutDown()
@@ -163,7 +163,7 @@
     // Claims are kept: the VM lives on and its engine still has the models, so a free claim would let another VM load
     // one replica too many. The next agent here adopts both; if the VM goes, the platform's list frees them.
     auto end = framework::ServiceEnd::after(clock_.now(), settings_.shutdownGrace);
-    if (!isServing_)
+    if (!isStarted_)
         end.noticedBy = Deadline();
     std::promise<bool> drained;
     control_.post([this, &drained, end] {
@@ -200,7 +200,7 @@
         drained.set_value(isSettled);
         return;
     }
-    drainCheck_ = control_.runAt(Deadline::after(now, drainCheckEach),
+    drainCheck_ = control_.runAt(Deadline::after(now, drainCheckInterval),
         [this, &drained, end, settleBy] { checkDrained(drained, end, settleBy); });
 }
 
--- a/src/agent/internal/agentsettings.cpp
+++ b/src/agent/internal/agentsettings.cpp
@@ -13,12 +13,12 @@
 using framework::CheckedObject;
 using framework::Milliseconds;
 
-constexpr std::uint64_t longestMilliseconds = 24 * 3600 * 1000;
+constexpr std::uint64_t maxMilliseconds = 24 * 3600 * 1000;
 constexpr std::uint64_t mebiByte = 1024 * 1024;
 
 Milliseconds milliseconds(CheckedObject& object, const std::string& key, Milliseconds fallback)
 {
-    return Milliseconds(object.numberOr(key, static_cast<std::uint64_t>(fallback.count()), 0, longestMilliseconds));
+    return Milliseconds(object.numberOr(key, static_cast<std::uint64_t>(fallback.count()), 0, maxMilliseconds));
 }
 
 UpstreamSettings readUpstream(CheckedObject object)
--- a/src/agent/internal/agentstatus.cpp
+++ b/src/agent/internal/agentstatus.cpp
@@ -52,7 +52,7 @@
     status["ledger_bytes"] = value::number(static_cast<std::uint64_t>(view.gate.ledger().bytes()));
     if (!view.replicas)
         return status.serialize();
-    status["is_open"] = value::boolean(view.replicas->isOpen());
+    status["is_open"] = value::boolean(view.replicas->isInitialized());
     status["memory"] = memoryValue(view.replicas->memory());
     std::vector<value> replicas;
     for (const auto& [id, replica] : view.replicas->replicas())
--- a/src/agent/internal/httpheaders.cpp
+++ b/src/agent/internal/httpheaders.cpp
@@ -15,16 +15,16 @@
 const std::set<std::string> hopHeaders { "expect", "host" };
 
 /// Names that a Connection header declares to belong to its connection.
-std::set<std::string> namedInConnection(const HttpHeaders& headers)
+std::set<std::string> connectionOptions(const HttpHeaders& headers)
 {
     std::set<std::string> names;
     for (const auto& [name, value] : headers) {
         if (boost::algorithm::to_lower_copy(name) != "connection")
             continue;
-        std::vector<std::string> words;
-        boost::algorithm::split(words, value, [](char character) { return character == ','; });
-        for (const std::string& word : words)
-            names.insert(boost::algorithm::to_lower_copy(boost::algorithm::trim_copy(word)));
+        std::vector<std::string> tokens;
+        boost::algorithm::split(tokens, value, [](char character) { return character == ','; });
+        for (const std::string& token : tokens)
+            names.insert(boost::algorithm::to_lower_copy(boost::algorithm::trim_copy(token)));
     }
     return names;
 }
@@ -33,7 +33,7 @@
 
 HttpHeaders endToEndHeaders(const HttpHeaders& headers)
 {
-    const std::set<std::string> named = namedInConnection(headers);
+    const std::set<std::string> named = connectionOptions(headers);
     HttpHeaders kept;
     for (const auto& header : headers) {
         const std::string name = boost::algorithm::to_lower_copy(header.first);
--- a/src/agent/internal/httpmodelengine.cpp
+++ b/src/agent/internal/httpmodelengine.cpp
@@ -19,19 +19,19 @@
 constexpr framework::JsonLimits stateLimits { std::size_t(16) * 1024 * 1024, 16 };
 
 /// An engine may say more than is known here, so unlike settings its answers aren't refused for an unknown key.
-std::string textIn(const web::json::value& object, const std::string& key)
+std::string stringField(const web::json::value& object, const std::string& key)
 {
     return object.has_string_field(key) ? object.at(key).as_string() : std::string();
 }
 
-std::uint64_t numberIn(const web::json::value& object, const std::string& key)
+std::uint64_t numberField(const web::json::value& object, const std::string& key)
 {
     if (!object.has_number_field(key) || !object.at(key).as_number().is_uint64())
         return 0;
     return object.at(key).as_number().to_uint64();
 }
 
-std::vector<web::json::value> objectsIn(const web::json::value& object, const std::string& key)
+std::vector<web::json::value> objectArray(const web::json::value& object, const std::string& key)
 {
     std::vector<web::json::value> objects;
     if (!object.has_array_field(key))
@@ -43,12 +43,12 @@
     return objects;
 }
 
-Checkpoint checkpointIn(const web::json::value& object)
+Checkpoint parseCheckpoint(const web::json::value& object)
 {
     Checkpoint checkpoint;
-    checkpoint.replica.model = framework::ModelName(textIn(object, "model"));
-    checkpoint.replica.adapter = framework::AdapterName(textIn(object, "adapter"));
-    checkpoint.version = framework::WeightsVersion(textIn(object, "version"));
+    checkpoint.replica.model = framework::ModelName(stringField(object, "model"));
+    checkpoint.replica.adapter = framework::AdapterName(stringField(object, "adapter"));
+    checkpoint.version = framework::WeightsVersion(stringField(object, "version"));
     return checkpoint;
 }
 
@@ -102,11 +102,11 @@
     }
 
 private:
-    Result<void> send(const std::string& word, const EngineOrder& order, Deadline deadline)
+    Result<void> send(const std::string& name, const EngineOrder& order, Deadline deadline)
     {
         using web::json::value;
         value body = value::object();
-        body["order"] = value::string(word);
+        body["order"] = value::string(name);
         body["model"] = value::string(order.checkpoint.replica.model.value());
         body["adapter"] = value::string(order.checkpoint.replica.adapter.value());
         body["version"] = value::string(order.checkpoint.version.value());
@@ -116,12 +116,12 @@
         request.set_request_uri("/v1/orders");
         request.set_body(body);
         BOOST_OUTCOME_TRY(answer, call(url_, request, deadline));
-        return judge(word, answer);
+        return parseOrderAnswer(name, answer);
     }
 
-    Result<void> judge(const std::string& word, const Answer& answer) const
+    Result<void> parseOrderAnswer(const std::string& name, const Answer& answer) const
     {
-        const std::string step = "order " + word;
+        const std::string step = "order " + name;
         if (answer.status == web::http::status_codes::Accepted || answer.status == web::http::status_codes::OK)
             return framework::success();
         if (answer.status == web::http::status_codes::Conflict) {
@@ -137,11 +137,11 @@
     std::string url_;
 };
 
-EngineReplicaState replicaState(const std::string& word)
+EngineReplicaState replicaState(const std::string& name)
 {
-    if (word == "loaded")
+    if (name == "loaded")
         return EngineReplicaState::Loaded;
-    return word == "unloading" ? EngineReplicaState::Unloading : EngineReplicaState::Loading;
+    return name == "unloading" ? EngineReplicaState::Unloading : EngineReplicaState::Loading;
 }
 
 } // namespace
@@ -151,23 +151,23 @@
     constexpr auto code = ErrorCode::UpstreamFailed;
     BOOST_OUTCOME_TRY(value, framework::parseJson(text, source, code, stateLimits));
     // Half a state must not pass for an empty engine: claims would be freed while it still holds the models.
-    if (!value.is_object() || numberIn(value, "memory_mib") == 0 || !value.has_array_field("replicas"))
+    if (!value.is_object() || numberField(value, "memory_mib") == 0 || !value.has_array_field("replicas"))
         return Error { code, "read engine state", source, "expected memory_mib above 0 and replicas" };
-    if (objectsIn(value, "replicas").size() != value.at("replicas").size())
+    if (objectArray(value, "replicas").size() != value.at("replicas").size())
         return Error { code, "read engine state", source, "a replica that isn't an object" };
     EngineState state;
-    state.incarnation = numberIn(value, "incarnation");
-    state.memory = framework::MebiBytes(numberIn(value, "memory_mib"));
-    for (const web::json::value& part : objectsIn(value, "replicas")) {
-        if (textIn(part, "model").empty())
+    state.incarnation = numberField(value, "incarnation");
+    state.memory = framework::MebiBytes(numberField(value, "memory_mib"));
+    for (const web::json::value& part : objectArray(value, "replicas")) {
+        if (stringField(part, "model").empty())
             return Error { code, "read engine state", source, "a replica without its model" };
-        const framework::MebiBytes memory(numberIn(part, "memory_mib"));
-        state.replicas.push_back({ checkpointIn(part), memory, replicaState(textIn(part, "state")) });
+        const framework::MebiBytes memory(numberField(part, "memory_mib"));
+        state.replicas.push_back({ parseCheckpoint(part), memory, replicaState(stringField(part, "state")) });
     }
-    for (const web::json::value& part : objectsIn(value, "checkpoints")) {
-        const bool isInMemory = textIn(part, "place") == "memory";
+    for (const web::json::value& part : objectArray(value, "checkpoints")) {
+        const bool isInMemory = stringField(part, "place") == "memory";
         state.checkpoints.push_back(
-            { checkpointIn(part), isInMemory ? policy::CheckpointPlace::Memory : policy::CheckpointPlace::Disk });
+            { parseCheckpoint(part), isInMemory ? policy::CheckpointPlace::Memory : policy::CheckpointPlace::Disk });
     }
     return state;
 }
--- a/src/agent/internal/httpupstream.cpp
+++ b/src/agent/internal/httpupstream.cpp
@@ -19,7 +19,7 @@
 
 /// cpprest's own timeout only bounds idleness; each call's deadline is kept by whoever runs it.
 constexpr std::chrono::hours idleLimit { 24 };
-constexpr std::size_t largestRead = 64 * 1024;
+constexpr std::size_t maxReadBytes = 64 * 1024;
 
 std::shared_ptr<http_client> newClient(const std::string& url)
 {
@@ -49,53 +49,53 @@
     {
         client_->request(request, cancellation_.get_token())
             .then([self = shared_from_this()](const pplx::task<web::http::http_response>& answered) {
-                self->guarded("call upstream", [&] { self->takeHead(answered.get()); });
+                self->runGuarded("call upstream", [&] { self->handleHead(answered.get()); });
             });
     }
 
     void cancel() override { cancellation_.cancel(); }
 
 private:
-    void takeHead(const web::http::http_response& response)
+    void handleHead(const web::http::http_response& response)
     {
         response_ = response;
         HttpHeaders headers;
         for (const auto& [name, value] : response_.headers())
             headers.emplace_back(name, value);
         events_.onHead(response_.status_code(), endToEndHeaders(headers));
-        readOn();
+        readNext();
     }
 
     /// `body().read` would wait for the whole stream; a peek and then what is there gives each chunk as it comes.
-    void readOn()
+    void readNext()
     {
         response_.body().streambuf().getc().then([self = shared_from_this()](const pplx::task<int>& peeked) {
-            self->guarded("read answer", [&] {
+            self->runGuarded("read answer", [&] {
                 if (peeked.get() == concurrency::streams::char_traits<std::uint8_t>::eof())
                     self->events_.onEnd();
                 else
-                    self->takeAvailable();
+                    self->readAvailable();
             });
         });
     }
 
-    void takeAvailable()
+    void readAvailable()
     {
         auto buffer = response_.body().streambuf();
-        const std::size_t size = std::clamp<std::size_t>(buffer.in_avail(), 1, largestRead);
+        const std::size_t size = std::clamp<std::size_t>(buffer.in_avail(), 1, maxReadBytes);
         auto bytes = std::make_shared<std::string>(size, '\0');
         buffer.getn(reinterpret_cast<std::uint8_t*>(bytes->data()), size)
             .then([self = shared_from_this(), bytes](const pplx::task<std::size_t>& read) {
-                self->guarded("read answer", [&] {
+                self->runGuarded("read answer", [&] {
                     bytes->resize(read.get());
                     self->events_.onBytes(std::move(*bytes));
-                    self->readOn();
+                    self->readNext();
                 });
             });
     }
 
     /// cpprest reports failures by exceptions; none may leave this file.
-    template <typename Step> void guarded(const char* step, Step&& run)
+    template <typename Step> void runGuarded(const char* step, Step&& run)
     {
         try {
             run();
--- a/src/agent/internal/targetgaps.cpp
+++ b/src/agent/internal/idlegaphistory.cpp
@@ -1,4 +1,4 @@
-#include "agent/internal/targetgaps.h"
+#include "agent/internal/idlegaphistory.h"
 
 #include <chrono>
 
@@ -7,7 +7,7 @@
 using framework::Milliseconds;
 using framework::SteadyTime;
 
-void TargetGaps::beginUse(const ReplicaId& id, SteadyTime now)
+void IdleGapHistory::beginUse(const ReplicaId& id, SteadyTime now)
 {
     const auto used = uses_.find(id);
     if (used == uses_.end())
@@ -17,15 +17,15 @@
     allGaps_.record(gap);
 }
 
-void TargetGaps::endUse(const ReplicaId& id, SteadyTime now) { uses_[id].lastEnd = now; }
+void IdleGapHistory::endUse(const ReplicaId& id, SteadyTime now) { uses_[id].lastEnd = now; }
 
-policy::IdleGaps TargetGaps::gaps(const ReplicaId& id) const
+policy::IdleGaps IdleGapHistory::gaps(const ReplicaId& id) const
 {
     const auto used = uses_.find(id);
     return (used == uses_.end() ? policy::IdleGaps() : used->second.gaps).withPrior(allGaps_);
 }
 
-void TargetGaps::keepOnly(const std::function<bool(const ReplicaId&)>& isKept)
+void IdleGapHistory::keepOnly(const std::function<bool(const ReplicaId&)>& isKept)
 {
     std::erase_if(uses_, [&isKept](const auto& use) { return !isKept(use.first); });
 }
--- a/src/agent/internal/targetgaps.h
+++ b/src/agent/internal/idlegaphistory.h
@@ -11,7 +11,7 @@
 
 /// How long targets lie idle on this VM, remembered also while they aren't loaded: of the gaps during which one stayed
 /// loaded alone, only the short ones would be known. Control thread only.
-class TargetGaps {
+class IdleGapHistory {
 public:
     /// An idle target is used.
     void beginUse(const ReplicaId&, framework::SteadyTime now);
--- a/src/agent/internal/memoryaccount.cpp
+++ b/src/agent/internal/memoryaccount.cpp
@@ -4,15 +4,15 @@
 
 using framework::MebiBytes;
 
-void MemoryAccount::open(MebiBytes total)
+void MemoryAccount::setTotal(MebiBytes total)
 {
-    isOpen_ = true;
+    hasTotal_ = true;
     total_ = total;
 }
 
 bool MemoryAccount::reserve(const ReplicaId& id, MebiBytes memory)
 {
-    if (!isOpen_)
+    if (!hasTotal_)
         return false;
     const auto found = reserved_.find(id);
     const std::uint64_t own = found == reserved_.end() ? 0 : found->second.value();
@@ -23,7 +23,7 @@
     return true;
 }
 
-void MemoryAccount::enter(const ReplicaId& id, MebiBytes memory) { reserved_[id] = memory; }
+void MemoryAccount::setReservation(const ReplicaId& id, MebiBytes memory) { reserved_[id] = memory; }
 
 void MemoryAccount::free(const ReplicaId& id) { reserved_.erase(id); }
 
--- a/src/agent/internal/memoryaccount.h
+++ b/src/agent/internal/memoryaccount.h
@@ -12,20 +12,20 @@
 class MemoryAccount {
 public:
     /// What the engine says there is; before that nothing can be reserved.
-    void open(framework::MebiBytes total);
+    void setTotal(framework::MebiBytes total);
     /// False if it doesn't fit; a replica that has a reservation keeps it, which must suffice.
     [[nodiscard]] bool reserve(const ReplicaId&, framework::MebiBytes);
     /// Enters what the engine holds whether or not it fits: the account follows the truth.
-    void enter(const ReplicaId&, framework::MebiBytes);
+    void setReservation(const ReplicaId&, framework::MebiBytes);
     void free(const ReplicaId&);
 
-    bool isOpen() const { return isOpen_; }
+    bool hasTotal() const { return hasTotal_; }
     framework::MebiBytes total() const { return total_; }
     framework::MebiBytes used() const;
     framework::MebiBytes available() const;
 
 private:
-    bool isOpen_ = false;
+    bool hasTotal_ = false;
     framework::MebiBytes total_;
     std::map<ReplicaId, framework::MebiBytes> reserved_;
 };
--- a/src/agent/internal/replica.h
+++ b/src/agent/internal/replica.h
@@ -61,12 +61,12 @@
     framework::SteadyTime orderedAt {};
     /// An order's answer was lost.
     bool mayArriveLate = false;
-    framework::Deadline settledAt;
+    framework::Deadline settlingEndsAt;
     /// States in a row that lack it.
     std::uint32_t absences = 0;
     bool reloadsAfterUnload = false;
 
-    framework::SteadyTime since {};
+    framework::SteadyTime stageEnteredAt {};
     std::uint32_t uses = 0;
     /// Since it was loaded.
     bool wasUsed = false;
--- a/src/agent/internal/replicaclaims.cpp
+++ b/src/agent/internal/replicaclaims.cpp
@@ -29,7 +29,7 @@
 using StoredText = std::optional<std::string>;
 
 constexpr Milliseconds retryWhenCapReached { 2000 };
-constexpr Milliseconds waitForRead { 100 };
+constexpr Milliseconds defaultReadRetry { 100 };
 
 Result<ReplicaObject> parse(const StoredText& text, const ObjectKey& key)
 {
@@ -38,7 +38,7 @@
     return bundle::parseReplicaObject(*text, key);
 }
 
-ObjectChange written(const ReplicaObject& object) { return ObjectChange { bundle::replicaObjectText(object) }; }
+ObjectChange toChange(const ReplicaObject& object) { return ObjectChange { bundle::replicaObjectText(object) }; }
 
 auto holderOf(ReplicaObject& object, const VmName& vm)
 {
@@ -47,7 +47,8 @@
 }
 
 /// Whether the object shows this claim in this state.
-bool shows(const std::string& text, const ObjectKey& key, const VmName& vm, const std::string& nonce, HolderState state)
+bool hasClaim(
+    const std::string& text, const ObjectKey& key, const VmName& vm, const std::string& nonce, HolderState state)
 {
     const auto object = bundle::parseReplicaObject(text, key);
     if (object.has_error())
@@ -104,7 +105,7 @@
         if (former != object.holders.end()) {
             // Not freed, but taken over: the former process's load may still reach the engine, so the place is taken.
             *former = own;
-            return written(object);
+            return toChange(object);
         }
         if (kind == ClaimKind::New && object.holders.size() >= allowed) {
             Error full { ErrorCode::ReplicaCapReached, "claim replica", objectKey.value(),
@@ -113,10 +114,10 @@
             return full;
         }
         object.holders.push_back(own);
-        return written(object);
+        return toChange(object);
     };
     update.isOwnWrite
-        = [&](const std::string& text) { return shows(text, objectKey, identity_.vm, nonce, HolderState::Loading); };
+        = [&](const std::string& text) { return hasClaim(text, objectKey, identity_.vm, nonce, HolderState::Loading); };
     BOOST_OUTCOME_TRY(updated, objectstore::updateObject(*store_, objectKey, update, deadline));
     return FencingNumber(updated.version.value());
 }
@@ -133,10 +134,10 @@
         if (own->state == HolderState::Loaded)
             return ObjectChange {};
         own->state = HolderState::Loaded;
-        return written(object);
+        return toChange(object);
     };
     update.isOwnWrite
-        = [&](const std::string& text) { return shows(text, objectKey, identity_.vm, nonce, HolderState::Loaded); };
+        = [&](const std::string& text) { return hasClaim(text, objectKey, identity_.vm, nonce, HolderState::Loaded); };
     BOOST_OUTCOME_TRYV(objectstore::updateObject(*store_, objectKey, update, deadline));
     return framework::success();
 }
@@ -152,7 +153,7 @@
         // only on the version that it expects. Else it would take a place that nobody knows of.
         if (own != object.holders.end() && own->nonce == nonce)
             object.holders.erase(own);
-        return written(object);
+        return toChange(object);
     };
     // After a lost answer the object is read again; without this claim in it there is nothing left to do, whoever
     // wrote it.
@@ -184,7 +185,7 @@
     BOOST_OUTCOME_TRY(listed, store_->list(prefix, deadline));
     std::vector<ReplicaId> own;
     for (const objectstore::ListedObject& entry : listed) {
-        BOOST_OUTCOME_TRY(stored, getPatiently(entry.key, deadline));
+        BOOST_OUTCOME_TRY(stored, getWithRetry(entry.key, deadline));
         if (!stored)
             continue;
         BOOST_OUTCOME_TRY(object, bundle::parseReplicaObject(stored->value, entry.key));
@@ -200,13 +201,13 @@
 
 /// A site has more objects than this process may read in one burst, so each refused read waits for its turn; to begin
 /// the whole list anew instead would never come to its end.
-Result<std::optional<objectstore::StoredObject>> ReplicaClaims::getPatiently(const ObjectKey& key, Deadline deadline)
+Result<std::optional<objectstore::StoredObject>> ReplicaClaims::getWithRetry(const ObjectKey& key, Deadline deadline)
 {
     for (;;) {
         auto stored = store_->get(key, deadline);
         if (stored.has_value() || stored.error().code != ErrorCode::PlatformUnavailable)
             return stored;
-        const Milliseconds wait = stored.error().retryAfter.value_or(waitForRead);
+        const Milliseconds wait = stored.error().retryAfter.value_or(defaultReadRetry);
         if (wait >= deadline.remaining(framework::SystemClock().now()))
             return stored;
         metrics_->count("lagoon_retries_total", { { "reason", "read_claim" } });
--- a/src/agent/internal/replicaclaims.h
+++ b/src/agent/internal/replicaclaims.h
@@ -32,7 +32,7 @@
 
     framework::Result<framework::FencingNumber> tryClaim(const ReplicaId&, const std::string& nonce, ClaimKind,
         const bundle::DecidedCount&, const VmNames& gone, framework::Deadline);
-    framework::Result<std::optional<objectstore::StoredObject>> getPatiently(
+    framework::Result<std::optional<objectstore::StoredObject>> getWithRetry(
         const objectstore::ObjectKey&, framework::Deadline);
     framework::Result<VmNames> goneVms(framework::Deadline);
     objectstore::ObjectKey key(const ReplicaId&) const;
--- a/src/agent/internal/replicacontroller.cpp
+++ b/src/agent/internal/replicacontroller.cpp
@@ -20,7 +20,7 @@
 using framework::Result;
 using framework::SteadyTime;
 
-constexpr std::size_t recentUsesKept = 8;
+constexpr std::size_t maxRecentUses = 8;
 /// Longer than a request takes from its router to here once the load was reported.
 constexpr Milliseconds firstUseGrace { 5000 };
 
@@ -70,18 +70,18 @@
     const bundle::BundlePointer former = bundle_;
     std::map<ReplicaId, std::uint32_t> formerCounts;
     for (const auto& [id, replica] : replicas_)
-        formerCounts[id] = decidedOf(id).decided;
+        formerCounts[id] = decidedCount(id).decided;
     bundle_ = std::move(bundle);
     keepWarm_ = policy::makeKeepWarm(bundle_->policy);
     gaps_.keepOnly([this](const ReplicaId& id) { return weightsOf(id).has_value(); });
     for (auto& [id, replica] : replicas_) {
-        if (!former || decidedOf(id).decided < formerCounts[id])
+        if (!former || decidedCount(id).decided < formerCounts[id])
             replica.needsCountCheck = true;
-        review(replica);
+        drainIfOutdated(replica);
         const auto weights = weightsOf(id);
         // What may still arrive must fit as well; a model that the bundle doesn't know may be of any size.
         if (replica.stage == ReplicaStage::Settling)
-            account_.enter(id, weights ? weights->memory : account_.total());
+            account_.setReservation(id, weights ? weights->memory : account_.total());
     }
     advance();
 }
@@ -91,7 +91,7 @@
     isDraining_ = true;
     for (auto& [id, replica] : replicas_) {
         for (const LoadWaiter& waiter : std::exchange(replica.waiters, {}))
-            waiter.done(lastingRefusal(ErrorCode::Draining, id, "the agent shuts down"));
+            waiter.done(permanentRefusal(ErrorCode::Draining, id, "the agent shuts down"));
     }
 }
 
@@ -150,7 +150,7 @@
         if (used == model && model == replica && !used->recentUses.empty() && used->recentUses.back() == now)
             continue;
         used->recentUses.push_back(now);
-        if (used->recentUses.size() > recentUsesKept)
+        if (used->recentUses.size() > maxRecentUses)
             used->recentUses.erase(used->recentUses.begin());
     }
     return framework::success();
@@ -168,7 +168,7 @@
         if (replica->uses > 0)
             return;
         gaps_.endUse(id, now);
-        replica->loadTime = nextLoadTime(*replica);
+        replica->loadTime = expectedReloadTime(*replica);
     };
     end(target.replica);
     if (target.replica.isAdapter())
@@ -192,7 +192,7 @@
             step(*replica, now);
     }
     if (!isDraining_)
-        makeRoom(now);
+        admitWaitingLoads(now);
     publish(now);
     if (isInTransition() && !isPollingFast_)
         pollEngine();
@@ -200,7 +200,7 @@
 
 void ReplicaController::step(Replica& replica, SteadyTime now)
 {
-    if (replica.isBusy || !replica.retryAt.hasPassed(now) || !isOpen() || !bundle_)
+    if (replica.isBusy || !replica.retryAt.hasPassed(now) || !isInitialized() || !bundle_)
         return;
     if (isDraining_ && replica.stage != ReplicaStage::Releasing)
         return;
@@ -256,7 +256,7 @@
         startCountCheck(replica);
 }
 
-void ReplicaController::makeRoom(SteadyTime now)
+void ReplicaController::admitWaitingLoads(SteadyTime now)
 {
     std::vector<Replica*> waiting;
     for (auto& [id, replica] : replicas_) {
@@ -264,18 +264,18 @@
             waiting.push_back(&replica);
     }
     std::sort(waiting.begin(), waiting.end(),
-        [](const Replica* one, const Replica* other) { return one->since < other->since; });
+        [](const Replica* one, const Replica* other) { return one->stageEnteredAt < other->stageEnteredAt; });
     for (Replica* replica : waiting) {
         // In their order, or small loads would keep a large one waiting for good.
-        if (!tryMakeRoom(*replica, now))
+        if (!tryAdmitLoad(*replica, now))
             return;
     }
 }
 
 /// False if this load has to wait for others' unloads.
-bool ReplicaController::tryMakeRoom(Replica& replica, SteadyTime now)
+bool ReplicaController::tryAdmitLoad(Replica& replica, SteadyTime now)
 {
-    if (!isWanted(replica)) {
+    if (!isRequested(replica)) {
         failLoad(replica, refusal(ErrorCode::DeadlinePassed, replica.id, "nobody waits any more", retryWhenBusy));
         return true;
     }
@@ -288,12 +288,12 @@
         step(replica, now);
         return true;
     }
-    const std::uint64_t coming = memoryComing();
-    const std::uint64_t free = account_.available().value() + coming;
+    const std::uint64_t beingFreed = memoryBeingFreed();
+    const std::uint64_t free = account_.available().value() + beingFreed;
     if (free >= replica.memory.value())
         return false;
     const auto chosen = victims(MebiBytes(replica.memory.value() - free), replica.id);
-    if (chosen.empty() && coming == 0) {
+    if (chosen.empty() && beingFreed == 0) {
         failLoad(replica, refusal(ErrorCode::MemoryShort, replica.id, "all memory is in use", retryWhenFull));
         return true;
     }
@@ -306,13 +306,13 @@
 
 void ReplicaController::unloadIdle(SteadyTime now)
 {
-    const std::vector<policy::LoadedReplica> views = idleViews(now);
+    const std::vector<policy::LoadedReplica> views = loadedViews(now);
     for (const std::size_t index : policy::expiredReplicas(*keepWarm_, views, account_.total(), now))
         drain(*find({ views[index].model, views[index].adapter }), "idle");
 }
 
 /// All loaded ones; those that can't be unloaded yet are given as running.
-std::vector<policy::LoadedReplica> ReplicaController::idleViews(SteadyTime now) const
+std::vector<policy::LoadedReplica> ReplicaController::loadedViews(SteadyTime now) const
 {
     std::vector<policy::LoadedReplica> views;
     for (const auto& [id, replica] : replicas_) {
@@ -329,11 +329,11 @@
 {
     if (!replica.isClaimed || replica.isBusy)
         return false;
-    if (!replica.id.isAdapter() && hasAdaptersOnTheWay(replica.id.model))
+    if (!replica.id.isAdapter() && hasAdaptersInTransition(replica.id.model))
         return false;
     // Guards against loading for nobody, again and again: those for whom it was loaded hear of it only now, and where
     // loads are short the policy would have it gone before their requests arrive.
-    return replica.wasUsed || Deadline::after(replica.since, firstUseGrace).hasPassed(now);
+    return replica.wasUsed || Deadline::after(replica.stageEnteredAt, firstUseGrace).hasPassed(now);
 }
 
 void ReplicaController::expireWaiters(SteadyTime now)
@@ -354,7 +354,7 @@
 }
 
 /// Whether a loaded replica is still what the bundle decided.
-void ReplicaController::review(Replica& replica)
+void ReplicaController::drainIfOutdated(Replica& replica)
 {
     if (!bundle_ || replica.stage != ReplicaStage::Loaded)
         return;
@@ -418,7 +418,7 @@
     setStage(replica, ReplicaStage::Releasing);
 }
 
-void ReplicaController::takeLoaded(Replica& replica, SteadyTime now)
+void ReplicaController::handleLoaded(Replica& replica, SteadyTime now)
 {
     if (replica.isOrdered) {
         const auto took = std::chrono::duration_cast<Milliseconds>(now - replica.orderedAt);
@@ -430,7 +430,7 @@
     framework::logInfo("agent", "loaded " + replicaText(replica.id));
     setStage(replica, ReplicaStage::Loaded);
     replica.lastUsed = now;
-    replica.loadTime = nextLoadTime(replica);
+    replica.loadTime = expectedReloadTime(replica);
     replica.gaps = gaps_.gaps(replica.id);
     replica.wasUsed = false;
     replica.needsConfirm = true;
@@ -439,19 +439,19 @@
     const std::vector<LoadWaiter> waiters = std::exchange(replica.waiters, {});
     for (const LoadWaiter& waiter : waiters)
         waiter.done(std::nullopt);
-    review(replica);
+    drainIfOutdated(replica);
 }
 
-void ReplicaController::takeUnloaded(Replica& replica)
+void ReplicaController::handleUnloaded(Replica& replica)
 {
     if (replica.mayArriveLate) {
         setStage(replica, ReplicaStage::Settling);
         return;
     }
     const auto weights = weightsOf(replica.id);
-    const bool isLoadedAgain
+    const bool willReload
         = weights && replica.isClaimed && !isDraining_ && (replica.reloadsAfterUnload || !replica.waiters.empty());
-    if (!isLoadedAgain) {
+    if (!willReload) {
         startReleasing(replica);
         return;
     }
@@ -468,7 +468,7 @@
 void ReplicaController::setStage(Replica& replica, ReplicaStage stage)
 {
     replica.stage = stage;
-    replica.since = ports_.clock.now();
+    replica.stageEnteredAt = ports_.clock.now();
     replica.isOrdered = false;
     replica.absences = 0;
     replica.failedTries = 0;
@@ -499,7 +499,7 @@
     return found == replicas_.end() ? nullptr : &found->second;
 }
 
-bool ReplicaController::hasAdaptersOnTheWay(const framework::ModelName& model) const
+bool ReplicaController::hasAdaptersInTransition(const framework::ModelName& model) const
 {
     return std::any_of(replicas_.begin(), replicas_.end(), [&](const auto& entry) {
         const ReplicaStage stage = entry.second.stage;
@@ -509,7 +509,7 @@
 }
 
 /// Between that from where its checkpoint is now and that from disk: by then others may have taken its place in memory.
-Milliseconds ReplicaController::nextLoadTime(const Replica& replica) const
+Milliseconds ReplicaController::expectedReloadTime(const Replica& replica) const
 {
     const auto from = [&](policy::CheckpointPlace place) {
         return loadTimes_.estimate(replicaText(replica.id), place, replica.memory, ports_.clock.now()).typical;
--- a/src/agent/internal/replicacontroller.h
+++ b/src/agent/internal/replicacontroller.h
@@ -1,11 +1,11 @@
 #pragma once
 
 #include "agent/imodelengine.h"
+#include "agent/internal/idlegaphistory.h"
 #include "agent/internal/memoryaccount.h"
 #include "agent/internal/replica.h"
-#include "agent/internal/targetgaps.h"
 #include "agent/ireplicaclaims.h"
-#include "agent/itargetuse.h"
+#include "agent/iservedtargets.h"
 #include "bundle/types/bundle.h"
 #include "framework/controlthread.h"
 #include "framework/iclock.h"
@@ -60,7 +60,7 @@
 ///
 /// The order that keeps the promises: claim, then memory, then the load order; and back: the engine's confirmation,
 /// then memory, then the claim. Nothing is ordered before both the engine's state and the platform's claims were read.
-class ReplicaController final : public ITargetUse {
+class ReplicaController final : public IServedTargets {
 public:
     ReplicaController(ReplicaPorts, ReplicaSettings);
 
@@ -78,13 +78,13 @@
     void endUse(const Target&, framework::SteadyTime now) override;
 
     /// Both the engine's state and the platform's claims have been read.
-    bool isOpen() const { return hasEngineState_ && hasReadClaims_; }
+    bool isInitialized() const { return hasEngineState_ && hasReadClaims_; }
     const std::map<ReplicaId, Replica>& replicas() const { return replicas_; }
     const MemoryAccount& memory() const { return account_; }
 
 private:
     /// Calls for the engine's state that failed in a row before it is taken to be away.
-    static constexpr std::uint32_t failuresBelieved = 3;
+    static constexpr std::uint32_t failuresUntilUnreachable = 3;
 
     struct Weights {
         framework::WeightsVersion version;
@@ -95,46 +95,46 @@
     void advance();
     void step(Replica&, framework::SteadyTime now);
     void stepLoaded(Replica&);
-    void makeRoom(framework::SteadyTime now);
-    bool tryMakeRoom(Replica&, framework::SteadyTime now);
+    void admitWaitingLoads(framework::SteadyTime now);
+    bool tryAdmitLoad(Replica&, framework::SteadyTime now);
     void unloadIdle(framework::SteadyTime now);
     void expireWaiters(framework::SteadyTime now);
-    void review(Replica&);
+    void drainIfOutdated(Replica&);
     void drain(Replica&, const std::string& reason);
     void drainAdapters(const framework::ModelName&, const std::string& reason);
     void failLoad(Replica&, const framework::Error&);
     void startReleasing(Replica&);
-    void takeLoaded(Replica&, framework::SteadyTime now);
-    void takeUnloaded(Replica&);
+    void handleLoaded(Replica&, framework::SteadyTime now);
+    void handleUnloaded(Replica&);
     void setStage(Replica&, ReplicaStage);
     Replica& add(const ReplicaId&, const Weights&, ReplicaStage);
     void addPendingModel(const ReplicaId&);
 
     // The engine's state (replicaobservation.cpp).
     void pollEngine();
-    void observe(const EngineState&, framework::SteadyTime askedAt);
-    void takeEngineRestart();
+    void observe(const EngineState&, framework::SteadyTime requestedAt);
+    void handleEngineRestart();
     void observePresent(const EngineReplica&);
     Replica& adopt(Replica* known, const EngineReplica&);
-    void moveOn(Replica&, const EngineReplica&);
-    void observeAbsent(Replica&, framework::SteadyTime askedAt);
+    void handleReportedLoaded(Replica&, const EngineReplica&);
+    void observeAbsent(Replica&, framework::SteadyTime requestedAt);
 
     // Calls to the platform and the engine (replicaoperations.cpp).
     void readClaims();
-    void takeClaims(const std::vector<ReplicaId>&);
+    void handleClaims(const std::vector<ReplicaId>&);
     void startClaim(Replica&, ClaimKind);
     void startConfirm(Replica&);
     void startCountCheck(Replica&);
     void startRelease(Replica&);
     void startLoadOrder(Replica&);
     void startUnloadOrder(Replica&);
-    void takeLoadAnswer(Replica&, const framework::Result<void>&, framework::SteadyTime sentAt);
-    void takeUnloadAnswer(Replica&, const framework::Result<void>&);
+    void handleLoadAnswer(Replica&, const framework::Result<void>&, framework::SteadyTime sentAt);
+    void handleUnloadAnswer(Replica&, const framework::Result<void>&);
     void retryLater(Replica&, const std::string& reason);
     template <typename Value>
-    void onPlatform(Replica&, std::function<framework::Result<Value>()>,
+    void callPlatform(Replica&, std::function<framework::Result<Value>()>,
         std::function<void(Replica&, const framework::Result<Value>&)>);
-    void onEngine(Replica&, std::function<framework::Result<void>()>,
+    void callEngine(Replica&, std::function<framework::Result<void>()>,
         std::function<void(Replica&, const framework::Result<void>&)>);
     void finishCall(const ReplicaId&, const std::function<void(Replica&)>&);
 
@@ -142,23 +142,23 @@
     Replica* find(const ReplicaId&);
     const Replica* find(const ReplicaId&) const;
     std::optional<Weights> weightsOf(const ReplicaId&) const;
-    bundle::DecidedCount decidedOf(const ReplicaId&) const;
+    bundle::DecidedCount decidedCount(const ReplicaId&) const;
     std::optional<framework::Error> refusalOf(const ReplicaId&, framework::Deadline) const;
-    std::optional<framework::Error> roomRefusal(const ReplicaId&) const;
+    std::optional<framework::Error> memoryRefusal(const ReplicaId&) const;
     std::uint64_t memoryNeeded(const ReplicaId&) const;
-    std::uint64_t memoryComing() const;
-    std::vector<ReplicaId> victims(framework::MebiBytes needed, const ReplicaId& spared) const;
+    std::uint64_t memoryBeingFreed() const;
+    std::vector<ReplicaId> victims(framework::MebiBytes needed, const ReplicaId& incoming) const;
     policy::LoadedReplica viewOf(const Replica&) const;
-    std::vector<policy::LoadedReplica> idleViews(framework::SteadyTime now) const;
+    std::vector<policy::LoadedReplica> loadedViews(framework::SteadyTime now) const;
     bool mayExpire(const Replica&, framework::SteadyTime now) const;
     bool hasAdapters(const framework::ModelName&) const;
     bool hasRequiredModel(const ReplicaId&) const;
-    bool hasAdaptersOnTheWay(const framework::ModelName&) const;
-    framework::Milliseconds nextLoadTime(const Replica&) const;
+    bool hasAdaptersInTransition(const framework::ModelName&) const;
+    framework::Milliseconds expectedReloadTime(const Replica&) const;
     policy::CheckpointPlace placeOf(const ReplicaId&) const;
     policy::LoadTimeEstimate expectedLoad(const ReplicaId&) const;
     bool isInTransition() const;
-    bool isWanted(const Replica&) const;
+    bool isRequested(const Replica&) const;
     EngineOrder orderFor(const Replica&) const;
 
     void publish(framework::SteadyTime now);
@@ -170,7 +170,7 @@
     std::map<ReplicaId, Replica> replicas_;
     MemoryAccount account_;
     policy::LoadTimeEstimator loadTimes_;
-    TargetGaps gaps_;
+    IdleGapHistory gaps_;
     EngineState engineState_;
     bool hasEngineState_ = false;
     std::uint32_t engineFailures_ = 0;
--- a/src/agent/internal/replicaobservation.cpp
+++ b/src/agent/internal/replicaobservation.cpp
@@ -16,13 +16,13 @@
 using framework::Milliseconds;
 using framework::SteadyTime;
 
-constexpr Milliseconds pollInTransition { 50 };
-constexpr Milliseconds pollAtRest { 1000 };
-constexpr Milliseconds longestStateCall { 2000 };
+constexpr Milliseconds transitionPollInterval { 50 };
+constexpr Milliseconds steadyPollInterval { 1000 };
+constexpr Milliseconds stateCallTimeout { 2000 };
 /// One state may be older than an order that was accepted while it was made.
-constexpr std::uint32_t absencesBelieved = 2;
+constexpr std::uint32_t absencesUntilGone = 2;
 /// An unload that was accepted and doesn't show is ordered again.
-constexpr Milliseconds unloadRepeatedAfter { 2000 };
+constexpr Milliseconds unloadRetryInterval { 2000 };
 
 } // namespace
 
@@ -32,30 +32,30 @@
     if (isPolling_)
         return;
     isPolling_ = true;
-    const SteadyTime askedAt = ports_.clock.now();
-    ports_.engineWork([this, engine = ports_.engine, askedAt] {
-        auto state = engine->state(Deadline::after(askedAt, longestStateCall));
-        ports_.control.post([this, state = std::move(state), askedAt] {
+    const SteadyTime requestedAt = ports_.clock.now();
+    ports_.engineWork([this, engine = ports_.engine, requestedAt] {
+        auto state = engine->state(Deadline::after(requestedAt, stateCallTimeout));
+        ports_.control.post([this, state = std::move(state), requestedAt] {
             isPolling_ = false;
             engineFailures_ = state.has_value() ? 0 : engineFailures_ + 1;
             if (state.has_value())
-                observe(state.value(), askedAt);
+                observe(state.value(), requestedAt);
             else
                 ports_.metrics->count("lagoon_engine_state_failures_total");
             isPollingFast_ = true;
             advance();
             isPollingFast_ = isInTransition();
-            const Milliseconds wait = isPollingFast_ ? pollInTransition : pollAtRest;
+            const Milliseconds wait = isPollingFast_ ? transitionPollInterval : steadyPollInterval;
             pollTimer_ = ports_.control.runAt(Deadline::after(ports_.clock.now(), wait), [this] { pollEngine(); });
         });
     });
 }
 
-void ReplicaController::observe(const EngineState& state, SteadyTime askedAt)
+void ReplicaController::observe(const EngineState& state, SteadyTime requestedAt)
 {
     if (hasEngineState_ && state.incarnation != engineState_.incarnation)
-        takeEngineRestart();
-    account_.open(state.memory);
+        handleEngineRestart();
+    account_.setTotal(state.memory);
     engineState_ = state;
     hasEngineState_ = true;
     std::set<ReplicaId> present;
@@ -65,17 +65,17 @@
     }
     for (auto& [id, replica] : replicas_) {
         if (present.count(id) == 0)
-            observeAbsent(replica, askedAt);
+            observeAbsent(replica, requestedAt);
     }
 }
 
 /// A new engine is empty, so its first state is believed.
-void ReplicaController::takeEngineRestart()
+void ReplicaController::handleEngineRestart()
 {
     framework::logWarning("agent", "the engine has restarted");
     ports_.metrics->count("lagoon_engine_restarts_total");
     for (auto& [id, replica] : replicas_)
-        replica.absences = absencesBelieved;
+        replica.absences = absencesUntilGone;
 }
 
 void ReplicaController::observePresent(const EngineReplica& seen)
@@ -93,9 +93,9 @@
         replica = &adopt(replica, seen);
     if (!replica)
         return;
-    account_.enter(id, seen.memory);
+    account_.setReservation(id, seen.memory);
     replica->absences = 0;
-    moveOn(*replica, seen);
+    handleReportedLoaded(*replica, seen);
 }
 
 /// Takes over a replica that the engine has without an order of this process: a former one's, or a late one.
@@ -113,7 +113,7 @@
     replica.orderedAt = now;
     if (seen.state == EngineReplicaState::Loaded) {
         replica.isOrdered = false;
-        takeLoaded(replica, now);
+        handleLoaded(replica, now);
     } else if (seen.state == EngineReplicaState::Unloading) {
         setStage(replica, ReplicaStage::Unloading);
     }
@@ -121,42 +121,42 @@
 }
 
 /// What the engine's "loaded" means for a replica that this process has orders out for.
-void ReplicaController::moveOn(Replica& replica, const EngineReplica& seen)
+void ReplicaController::handleReportedLoaded(Replica& replica, const EngineReplica& seen)
 {
     if (seen.state != EngineReplicaState::Loaded)
         return;
     const SteadyTime now = ports_.clock.now();
     if (replica.stage == ReplicaStage::Loading && (replica.isOrdered || replica.isClaimed))
-        takeLoaded(replica, now);
+        handleLoaded(replica, now);
     else if (replica.stage == ReplicaStage::Unloading && replica.isOrdered
-        && now - replica.orderedAt > unloadRepeatedAfter)
+        && now - replica.orderedAt > unloadRetryInterval)
         replica.isOrdered = false;
 }
 
-void ReplicaController::observeAbsent(Replica& replica, SteadyTime askedAt)
+void ReplicaController::observeAbsent(Replica& replica, SteadyTime requestedAt)
 {
     switch (replica.stage) {
     case ReplicaStage::Loading:
     case ReplicaStage::Unloading:
         // Only a state that was asked for after the order was accepted says what became of it.
-        if (!replica.isOrdered || askedAt <= replica.orderedAt || ++replica.absences < absencesBelieved)
+        if (!replica.isOrdered || requestedAt <= replica.orderedAt || ++replica.absences < absencesUntilGone)
             return;
         if (replica.stage == ReplicaStage::Unloading)
-            return takeUnloaded(replica);
+            return handleUnloaded(replica);
         return failLoad(
             replica, Error { ErrorCode::LoadFailed, "load", replicaText(replica.id), "the engine gave it up" });
     case ReplicaStage::Loaded:
     case ReplicaStage::Draining:
-        if (replica.isBusy || ++replica.absences < absencesBelieved)
+        if (replica.isBusy || ++replica.absences < absencesUntilGone)
             return;
         ports_.metrics->count("lagoon_replicas_vanished_total");
         framework::logWarning("agent", replicaText(replica.id) + " is gone from the engine");
         return startReleasing(replica);
     case ReplicaStage::Settling:
-        if (!replica.isOrdered || askedAt <= replica.settledAt.at())
+        if (!replica.isOrdered || requestedAt <= replica.settlingEndsAt.at())
             return;
         replica.mayArriveLate = false;
-        return takeUnloaded(replica);
+        return handleUnloaded(replica);
     case ReplicaStage::WaitingForModel:
     case ReplicaStage::Claiming:
     case ReplicaStage::WaitingForMemory:
--- a/src/agent/internal/replicaoperations.cpp
+++ b/src/agent/internal/replicaoperations.cpp
@@ -20,56 +20,56 @@
 using framework::Result;
 using framework::SteadyTime;
 
-constexpr Milliseconds longestPlatformUpdate { 5000 };
+constexpr Milliseconds platformUpdateTimeout { 5000 };
 /// A site has thousands of objects, and a process may read some tens a second.
-constexpr Milliseconds longestClaimsRead { 300000 };
-constexpr Milliseconds longestOrderCall { 5000 };
-constexpr Milliseconds firstRetry { 100 };
-constexpr Milliseconds longestRetry { 5000 };
-constexpr std::uint32_t mostDoublings = 6;
-constexpr std::uint32_t mostLoadOrders = 20;
+constexpr Milliseconds claimsReadTimeout { 300000 };
+constexpr Milliseconds orderCallTimeout { 5000 };
+constexpr Milliseconds initialRetryDelay { 100 };
+constexpr Milliseconds maxRetryDelay { 5000 };
+constexpr std::uint32_t maxDoublings = 6;
+constexpr std::uint32_t maxLoadOrders = 20;
 
 /// Doubles with each failure, with up to half again of jitter, so that agents don't ask a recovering platform in step.
-Milliseconds retryWait(std::uint32_t failedTries)
+Milliseconds retryDelay(std::uint32_t failedTries)
 {
-    const std::uint32_t doublings = std::min(failedTries, mostDoublings);
-    const Milliseconds wait = std::min(longestRetry, firstRetry * (1U << doublings));
+    const std::uint32_t doublings = std::min(failedTries, maxDoublings);
+    const Milliseconds wait = std::min(maxRetryDelay, initialRetryDelay * (1U << doublings));
     return wait + Milliseconds(static_cast<long>(static_cast<double>(wait.count()) / 2 * framework::randomFraction()));
 }
 
 } // namespace
 
-void ReplicaController::finishCall(const ReplicaId& id, const std::function<void(Replica&)>& take)
+void ReplicaController::finishCall(const ReplicaId& id, const std::function<void(Replica&)>& onResult)
 {
     Replica* replica = find(id);
     if (!replica)
         return;
     replica->isBusy = false;
-    take(*replica);
+    onResult(*replica);
     advance();
 }
 
 template <typename Value>
-void ReplicaController::onPlatform(
-    Replica& replica, std::function<Result<Value>()> call, std::function<void(Replica&, const Result<Value>&)> take)
+void ReplicaController::callPlatform(
+    Replica& replica, std::function<Result<Value>()> call, std::function<void(Replica&, const Result<Value>&)> onResult)
 {
     replica.isBusy = true;
-    ports_.platformWork([this, id = replica.id, call = std::move(call), take = std::move(take)] {
+    ports_.platformWork([this, id = replica.id, call = std::move(call), onResult = std::move(onResult)] {
         Result<Value> result = call();
-        ports_.control.post([this, id, take, result = std::move(result)] {
-            finishCall(id, [&](Replica& found) { take(found, result); });
+        ports_.control.post([this, id, onResult, result = std::move(result)] {
+            finishCall(id, [&](Replica& found) { onResult(found, result); });
         });
     });
 }
 
-void ReplicaController::onEngine(
-    Replica& replica, std::function<Result<void>()> call, std::function<void(Replica&, const Result<void>&)> take)
+void ReplicaController::callEngine(
+    Replica& replica, std::function<Result<void>()> call, std::function<void(Replica&, const Result<void>&)> onResult)
 {
     replica.isBusy = true;
-    ports_.engineWork([this, id = replica.id, call = std::move(call), take = std::move(take)] {
+    ports_.engineWork([this, id = replica.id, call = std::move(call), onResult = std::move(onResult)] {
         Result<void> result = call();
-        ports_.control.post([this, id, take, result = std::move(result)] {
-            finishCall(id, [&](Replica& found) { take(found, result); });
+        ports_.control.post([this, id, onResult, result = std::move(result)] {
+            finishCall(id, [&](Replica& found) { onResult(found, result); });
         });
     });
 }
@@ -77,34 +77,34 @@
 void ReplicaController::retryLater(Replica& replica, const std::string& reason)
 {
     ports_.metrics->count("lagoon_retries_total", { { "reason", reason } });
-    replica.retryAt = Deadline::after(ports_.clock.now(), retryWait(replica.failedTries));
+    replica.retryAt = Deadline::after(ports_.clock.now(), retryDelay(replica.failedTries));
     ++replica.failedTries;
 }
 
 void ReplicaController::readClaims()
 {
     claimsTimer_.reset();
-    const Deadline deadline = Deadline::after(ports_.clock.now(), longestClaimsRead);
+    const Deadline deadline = Deadline::after(ports_.clock.now(), claimsReadTimeout);
     ports_.platformWork([this, claims = ports_.claims, deadline] {
         auto held = claims->held(deadline);
         ports_.control.post([this, held = std::move(held)] {
             if (held.has_value()) {
-                takeClaims(held.value());
+                handleClaims(held.value());
                 return;
             }
             ports_.metrics->count("lagoon_retries_total", { { "reason", "read_claims" } });
-            const Deadline again = Deadline::after(ports_.clock.now(), retryWait(mostDoublings / 2));
+            const Deadline again = Deadline::after(ports_.clock.now(), retryDelay(maxDoublings / 2));
             claimsTimer_ = ports_.control.runAt(again, [this] { readClaims(); });
         });
     });
 }
 
-void ReplicaController::takeClaims(const std::vector<ReplicaId>& held)
+void ReplicaController::handleClaims(const std::vector<ReplicaId>& held)
 {
     if (!hasEngineState_) {
         // What the engine has comes first, else each of its replicas would look as if it were yet to arrive.
-        const Deadline again = Deadline::after(ports_.clock.now(), firstRetry);
-        claimsTimer_ = ports_.control.runAt(again, [this, held] { takeClaims(held); });
+        const Deadline again = Deadline::after(ports_.clock.now(), initialRetryDelay);
+        claimsTimer_ = ports_.control.runAt(again, [this, held] { handleClaims(held); });
         return;
     }
     hasReadClaims_ = true;
@@ -116,7 +116,7 @@
         const Weights reserved
             = weights ? *weights : Weights { framework::WeightsVersion("unknown"), account_.total() };
         add(id, reserved, ReplicaStage::Settling).mayArriveLate = true;
-        account_.enter(id, reserved.memory);
+        account_.setReservation(id, reserved.memory);
     }
     framework::logInfo("agent", "adopted " + std::to_string(held.size()) + " claims of a former process");
     advance();
@@ -124,12 +124,12 @@
 
 void ReplicaController::startClaim(Replica& replica, ClaimKind kind)
 {
-    Deadline deadline = Deadline::after(ports_.clock.now(), longestPlatformUpdate);
+    Deadline deadline = Deadline::after(ports_.clock.now(), platformUpdateTimeout);
     for (const LoadWaiter& waiter : replica.waiters)
         deadline = std::max(deadline, waiter.deadline);
-    onPlatform<FencingNumber>(
+    callPlatform<FencingNumber>(
         replica,
-        [claims = ports_.claims, id = replica.id, nonce = replica.nonce, kind, decided = decidedOf(replica.id),
+        [claims = ports_.claims, id = replica.id, nonce = replica.nonce, kind, decided = decidedCount(replica.id),
             deadline] { return claims->claim(id, nonce, kind, decided, deadline); },
         [this, kind](Replica& claimed, const Result<FencingNumber>& fence) {
             if (fence.has_value()) {
@@ -152,8 +152,8 @@
 
 void ReplicaController::startConfirm(Replica& replica)
 {
-    const Deadline deadline = Deadline::after(ports_.clock.now(), longestPlatformUpdate);
-    onPlatform<void>(
+    const Deadline deadline = Deadline::after(ports_.clock.now(), platformUpdateTimeout);
+    callPlatform<void>(
         replica,
         [claims = ports_.claims, id = replica.id, nonce = replica.nonce, deadline] {
             return claims->confirm(id, nonce, deadline);
@@ -174,10 +174,10 @@
 
 void ReplicaController::startCountCheck(Replica& replica)
 {
-    const Deadline deadline = Deadline::after(ports_.clock.now(), longestPlatformUpdate);
-    onPlatform<bool>(
+    const Deadline deadline = Deadline::after(ports_.clock.now(), platformUpdateTimeout);
+    callPlatform<bool>(
         replica,
-        [claims = ports_.claims, id = replica.id, decided = decidedOf(replica.id), deadline] {
+        [claims = ports_.claims, id = replica.id, decided = decidedCount(replica.id), deadline] {
             return claims->isOverCount(id, decided, deadline);
         },
         [this](Replica& checked, const Result<bool>& isOver) {
@@ -195,8 +195,8 @@
         replicas_.erase(replica.id);
         return;
     }
-    const Deadline deadline = Deadline::after(ports_.clock.now(), longestPlatformUpdate);
-    onPlatform<void>(
+    const Deadline deadline = Deadline::after(ports_.clock.now(), platformUpdateTimeout);
+    callPlatform<void>(
         replica,
         [claims = ports_.claims, id = replica.id, nonce = replica.nonce, deadline] {
             return claims->release(id, nonce, deadline);
@@ -222,15 +222,15 @@
 void ReplicaController::startLoadOrder(Replica& replica)
 {
     const SteadyTime now = ports_.clock.now();
-    onEngine(
+    callEngine(
         replica,
-        [engine = ports_.engine, order = orderFor(replica), deadline = Deadline::after(now, longestOrderCall)] {
+        [engine = ports_.engine, order = orderFor(replica), deadline = Deadline::after(now, orderCallTimeout)] {
             return engine->load(order, deadline);
         },
-        [this, now](Replica& ordered, const Result<void>& result) { takeLoadAnswer(ordered, result, now); });
+        [this, now](Replica& ordered, const Result<void>& result) { handleLoadAnswer(ordered, result, now); });
 }
 
-void ReplicaController::takeLoadAnswer(Replica& replica, const Result<void>& result, SteadyTime sentAt)
+void ReplicaController::handleLoadAnswer(Replica& replica, const Result<void>& result, SteadyTime sentAt)
 {
     if (replica.stage != ReplicaStage::Loading)
         return;
@@ -248,7 +248,7 @@
     const bool isLost = error.execution == Execution::Unknown;
     replica.mayArriveLate = replica.mayArriveLate || isLost;
     const bool isUnanswered = error.code == ErrorCode::UpstreamFailed;
-    if (!isUnanswered || replica.failedTries >= mostLoadOrders)
+    if (!isUnanswered || replica.failedTries >= maxLoadOrders)
         return failLoad(replica, error);
     // The same order again is harmless, whether or not the first was taken.
     retryLater(replica, "load_order");
@@ -257,12 +257,12 @@
 void ReplicaController::startUnloadOrder(Replica& replica)
 {
     const SteadyTime now = ports_.clock.now();
-    onEngine(
+    callEngine(
         replica,
-        [engine = ports_.engine, order = orderFor(replica), deadline = Deadline::after(now, longestOrderCall)] {
+        [engine = ports_.engine, order = orderFor(replica), deadline = Deadline::after(now, orderCallTimeout)] {
             return engine->unload(order, deadline);
         },
-        [this](Replica& ordered, const Result<void>& result) { takeUnloadAnswer(ordered, result); });
+        [this](Replica& ordered, const Result<void>& result) { handleUnloadAnswer(ordered, result); });
 }
 
 /// While settling, an order of a former process, or one whose answer was lost, may be read by the engine only after
@@ -270,7 +270,7 @@
 /// An engine that checks fencing numbers refuses it, since it has now seen the newer number of the claim taken over.
 /// For one that ignores them, this answered unload and a settling time must do. That rests on the engine's machine
 /// not keeping unread bytes of a closed connection for longer than the settling time.
-void ReplicaController::takeUnloadAnswer(Replica& replica, const Result<void>& result)
+void ReplicaController::handleUnloadAnswer(Replica& replica, const Result<void>& result)
 {
     if (result.has_error() && result.error().code == ErrorCode::Fenced)
         replica.isClaimed = false;
@@ -282,7 +282,7 @@
     replica.isOrdered = true;
     replica.orderedAt = answeredAt;
     const Milliseconds settling = settings_.checksFencing ? Milliseconds(0) : settings_.settling;
-    replica.settledAt = Deadline::after(answeredAt, settling);
+    replica.settlingEndsAt = Deadline::after(answeredAt, settling);
 }
 
 } // namespace lagoon::agent
--- a/src/agent/internal/replicaqueries.cpp
+++ b/src/agent/internal/replicaqueries.cpp
@@ -48,19 +48,19 @@
 std::optional<Error> ReplicaController::refusalOf(const ReplicaId& id, Deadline deadline) const
 {
     if (isDraining_)
-        return lastingRefusal(ErrorCode::Draining, id, "the agent shuts down");
-    if (!isOpen() || !bundle_)
+        return permanentRefusal(ErrorCode::Draining, id, "the agent shuts down");
+    if (!isInitialized() || !bundle_)
         return refusal(ErrorCode::NotReady, id, "engine, claims or bundle not read yet", retryWhenBusy);
     const bundle::Model* model = bundle_->model(id.model);
     if (!model)
-        return lastingRefusal(ErrorCode::UnknownModel, id, "not in the bundle");
+        return permanentRefusal(ErrorCode::UnknownModel, id, "not in the bundle");
     if (std::find(model->pools.begin(), model->pools.end(), settings_.pool) == model->pools.end())
-        return lastingRefusal(ErrorCode::NoCapacity, id, "not decided for pool " + settings_.pool.value());
+        return permanentRefusal(ErrorCode::NoCapacity, id, "not decided for pool " + settings_.pool.value());
     if (id.isAdapter() && !bundle_->adapter(id.model, id.adapter))
-        return lastingRefusal(ErrorCode::UnknownAdapter, id, "not in the bundle");
-    if (decidedOf(id).decided == 0 || decidedOf(id.ofModel()).decided == 0)
-        return lastingRefusal(ErrorCode::ReplicaCapReached, id, "no replica decided at this site");
-    if (engineFailures_ >= failuresBelieved)
+        return permanentRefusal(ErrorCode::UnknownAdapter, id, "not in the bundle");
+    if (decidedCount(id).decided == 0 || decidedCount(id.ofModel()).decided == 0)
+        return permanentRefusal(ErrorCode::ReplicaCapReached, id, "no replica decided at this site");
+    if (engineFailures_ >= failuresUntilUnreachable)
         return refusal(ErrorCode::NotReady, id, "the engine doesn't answer", retryWhenBusy);
     const Replica* replica = find(id);
     const auto isBeingUnloaded
@@ -73,13 +73,13 @@
     if (expected.low > deadline.remaining(ports_.clock.now()))
         return refusal(ErrorCode::DeadlineHopeless, id,
             "loads take about " + std::to_string(expected.typical.count()) + " ms", expected.typical);
-    return roomRefusal(id);
+    return memoryRefusal(id);
 }
 
-std::optional<Error> ReplicaController::roomRefusal(const ReplicaId& id) const
+std::optional<Error> ReplicaController::memoryRefusal(const ReplicaId& id) const
 {
     const std::uint64_t needed = memoryNeeded(id);
-    const std::uint64_t free = account_.available().value() + memoryComing();
+    const std::uint64_t free = account_.available().value() + memoryBeingFreed();
     if (needed <= free || !victims(MebiBytes(needed - free), id).empty())
         return std::nullopt;
     return refusal(ErrorCode::MemoryShort, id,
@@ -96,28 +96,28 @@
 
 /// Memory of replicas on their way out, and of those that a former process left and nobody waits for: once they have
 /// settled they are gone or can be unloaded.
-std::uint64_t ReplicaController::memoryComing() const
+std::uint64_t ReplicaController::memoryBeingFreed() const
 {
-    std::uint64_t coming = 0;
+    std::uint64_t beingFreed = 0;
     for (const auto& [id, replica] : replicas_) {
         const bool isLeaving = replica.stage == ReplicaStage::Draining || replica.stage == ReplicaStage::Unloading;
         const bool isUnsettled = replica.stage == ReplicaStage::Settling || replica.stage == ReplicaStage::Loading
             || (replica.stage == ReplicaStage::Loaded && !replica.isClaimed && replica.uses == 0);
-        if (isLeaving || (isUnsettled && !isWanted(replica)))
-            coming += replica.memory.value();
+        if (isLeaving || (isUnsettled && !isRequested(replica)))
+            beingFreed += replica.memory.value();
     }
-    return coming;
+    return beingFreed;
 }
 
-std::vector<ReplicaId> ReplicaController::victims(MebiBytes needed, const ReplicaId& spared) const
+std::vector<ReplicaId> ReplicaController::victims(MebiBytes needed, const ReplicaId& incoming) const
 {
     std::vector<policy::LoadedReplica> views;
     for (const auto& [id, replica] : replicas_) {
         if (replica.stage != ReplicaStage::Loaded)
             continue;
         policy::LoadedReplica view = viewOf(replica);
-        const bool isAwaited = id == spared.ofModel() || !replica.isClaimed;
-        if (isAwaited)
+        const bool isPinned = id == incoming.ofModel() || !replica.isClaimed;
+        if (isPinned)
             view.running = std::max<std::uint32_t>(1, view.running);
         views.push_back(std::move(view));
     }
@@ -181,7 +181,7 @@
     return Weights { model->version, model->memory };
 }
 
-bundle::DecidedCount ReplicaController::decidedOf(const ReplicaId& id) const
+bundle::DecidedCount ReplicaController::decidedCount(const ReplicaId& id) const
 {
     if (!bundle_)
         return {};
@@ -207,7 +207,7 @@
 }
 
 /// Whether anyone still has use for a load that isn't ordered yet.
-bool ReplicaController::isWanted(const Replica& replica) const
+bool ReplicaController::isRequested(const Replica& replica) const
 {
     if (!replica.waiters.empty() || replica.reloadsAfterUnload)
         return true;
@@ -218,7 +218,7 @@
 
 bool ReplicaController::isInTransition() const
 {
-    return !isOpen() || std::any_of(replicas_.begin(), replicas_.end(), [](const auto& entry) {
+    return !isInitialized() || std::any_of(replicas_.begin(), replicas_.end(), [](const auto& entry) {
         return entry.second.stage != ReplicaStage::Loaded && entry.second.stage != ReplicaStage::Releasing;
     });
 }
--- a/src/agent/internal/replicarefusal.cpp
+++ b/src/agent/internal/replicarefusal.cpp
@@ -8,12 +8,12 @@
 
 Error refusal(framework::ErrorCode code, const ReplicaId& id, std::string detail, framework::Milliseconds retryAfter)
 {
-    Error error = lastingRefusal(code, id, std::move(detail));
+    Error error = permanentRefusal(code, id, std::move(detail));
     error.retryAfter = retryAfter;
     return error;
 }
 
-Error lastingRefusal(framework::ErrorCode code, const ReplicaId& id, std::string detail)
+Error permanentRefusal(framework::ErrorCode code, const ReplicaId& id, std::string detail)
 {
     return Error { code, "load", replicaText(id), std::move(detail) };
 }
--- a/src/agent/internal/replicarefusal.h
+++ b/src/agent/internal/replicarefusal.h
@@ -15,6 +15,6 @@
 framework::Error refusal(
     framework::ErrorCode, const ReplicaId&, std::string detail, framework::Milliseconds retryAfter);
 /// Why it can't be at all, as the bundle stands.
-framework::Error lastingRefusal(framework::ErrorCode, const ReplicaId&, std::string detail);
+framework::Error permanentRefusal(framework::ErrorCode, const ReplicaId&, std::string detail);
 
 } // namespace lagoon::agent
--- a/src/agent/internal/requestgate.cpp
+++ b/src/agent/internal/requestgate.cpp
@@ -19,7 +19,7 @@
 using wire::ILink;
 namespace fb = wire::fb;
 
-constexpr std::size_t largestChunk = std::size_t(256) * 1024;
+constexpr std::size_t maxChunkBytes = std::size_t(256) * 1024;
 constexpr std::uint8_t highestPriority = 9;
 constexpr Milliseconds retryWhenFull { 500 };
 /// Another upstream may serve at once what this one, whose agent ends, didn't.
@@ -87,7 +87,7 @@
     return Error { code, "admit", "", std::move(detail), execution };
 }
 
-Error draining(std::string detail, Execution execution)
+Error drainingRefusal(std::string detail, Execution execution)
 {
     Error error = refusal(ErrorCode::Draining, std::move(detail), execution);
     error.retryAfter = retryElsewhere;
@@ -95,7 +95,7 @@
 }
 
 /// In [0, 1), by the dispatch, so that those refused together don't come back together.
-double spread(const DispatchKey& key)
+double jitterFraction(const DispatchKey& key)
 {
     return static_cast<double>(policy::mixed(key.router.value() + key.sequence.value()) >> 11U) * 0x1p-53;
 }
@@ -136,7 +136,7 @@
 std::optional<Error> RequestGate::admissionRefusal(const Call& call) const
 {
     if (serviceEnd_)
-        return draining("the agent shuts down", Execution::NotRun);
+        return drainingRefusal("the agent shuts down", Execution::NotRun);
     if (call.request.deadline.hasPassed(ports_.clock.now()))
         return refusal(ErrorCode::DeadlinePassed, "on receipt", Execution::NotRun);
     return std::nullopt;
@@ -167,9 +167,9 @@
         refuse(link, key, *refused);
         return;
     }
-    armWaiting(key, call);
+    armQueueTimer(key, call);
     calls_.emplace(key, std::move(call));
-    startWaiting();
+    startQueued();
 }
 
 /// Guards against a queue that is longer than the deadlines: past saturation each request would be started just before
@@ -177,48 +177,48 @@
 /// serve in time is refused at once, as long as service times are known; with a free place it is always tried.
 std::optional<Error> RequestGate::queueRefusal(const WaitingDispatch& waiting, const Target& target) const
 {
-    const auto own = serviceTimes_.of(target);
-    if (!own || admission_.hasFreePlace())
+    const auto own = serviceTimes_.estimateFor(target);
+    if (!own || admission_.hasFreeSlot())
         return std::nullopt;
-    const policy::LoadQueue queue { admission_.ahead(waiting), admission_.running(), admission_.mostRunning(), 0,
-        serviceTimes_.ofAll() };
+    const policy::LoadQueue queue { admission_.ahead(waiting), admission_.running(), admission_.maxRunning(), 0,
+        serviceTimes_.estimateForAll() };
     const policy::LoadForecast forecast = policy::forecastWaiting(*own, queue);
     if (!policy::isLikelyTooLate(
-            forecast, Deadline(lastAnswer(waiting.deadline).at() - deliveryMargin), ports_.clock.now()))
+            forecast, Deadline(answerDeadline(waiting.deadline).at() - deliveryMargin), ports_.clock.now()))
         return std::nullopt;
     Error hopeless = refusal(ErrorCode::DeadlineHopeless, "the queue is longer than the deadline", Execution::NotRun);
-    hopeless.retryAfter = policy::timeToComeBack(forecast, spread(waiting.key));
+    hopeless.retryAfter = policy::timeToComeBack(forecast, jitterFraction(waiting.key));
     return hopeless;
 }
 
 /// By when the answer must be whole.
-Deadline RequestGate::lastAnswer(Deadline ofRequest) const
+Deadline RequestGate::answerDeadline(Deadline ofRequest) const
 {
     return serviceEnd_ ? std::min(ofRequest, serviceEnd_->answerBy) : ofRequest;
 }
 
 /// One that waits is refused when it would have to run by now: later ones of higher priority may have gone before it.
 /// The agent's word has to come before the router's own timer, which could say only "unknown".
-void RequestGate::armWaiting(const DispatchKey& key, Call& call)
+void RequestGate::armQueueTimer(const DispatchKey& key, Call& call)
 {
-    const auto own = serviceTimes_.of(call.target);
+    const auto own = serviceTimes_.estimateFor(call.target);
     const Deadline startBy(call.request.deadline.at() - deliveryMargin - (own ? own->high : Milliseconds(0)));
     if (serviceEnd_ && serviceEnd_->startBy < startBy) {
         call.deadlineTimer = ports_.control.runAt(serviceEnd_->startBy,
-            [this, key] { stop(key, draining("the agent ends before its turn", Execution::NotRun)); });
+            [this, key] { stop(key, drainingRefusal("the agent ends before its turn", Execution::NotRun)); });
         return;
     }
     const ErrorCode code = own ? ErrorCode::DeadlineHopeless : ErrorCode::DeadlinePassed;
     call.deadlineTimer = ports_.control.runAt(startBy, [this, key, code] {
         Error late = refusal(code, "its turn didn't come in time", Execution::NotRun);
-        late.retryAfter = policy::timeToComeBack({}, spread(key));
+        late.retryAfter = policy::timeToComeBack({}, jitterFraction(key));
         stop(key, std::move(late));
     });
 }
 
 /// Guards against a burst on a replica that was just loaded: its queue was filled before anyone knew how long a request
 /// takes. With the first measurement those that can't be served in time are refused.
-void RequestGate::reviewWaiting(const Target& target)
+void RequestGate::refuseHopeless(const Target& target)
 {
     std::vector<std::pair<DispatchKey, Error>> hopeless;
     for (auto& [key, call] : calls_) {
@@ -228,7 +228,7 @@
         if (refused)
             hopeless.emplace_back(key, *refused);
         else
-            armWaiting(key, call);
+            armQueueTimer(key, call);
     }
     for (auto& [key, error] : hopeless) {
         // An earlier one's end may have started it.
@@ -237,11 +237,12 @@
     }
 }
 
-void RequestGate::armRunning(const DispatchKey& key, Call& call)
+void RequestGate::armRunTimer(const DispatchKey& key, Call& call)
 {
-    const Deadline last = lastAnswer(call.request.deadline);
-    const Error why = last < call.request.deadline ? draining("the agent ends before its answer", Execution::Unknown)
-                                                   : refusal(ErrorCode::DeadlinePassed, "", Execution::Unknown);
+    const Deadline last = answerDeadline(call.request.deadline);
+    const Error why = last < call.request.deadline
+        ? drainingRefusal("the agent ends before its answer", Execution::Unknown)
+        : refusal(ErrorCode::DeadlinePassed, "", Execution::Unknown);
     call.deadlineTimer = ports_.control.runAt(last, [this, key, why] { stop(key, why); });
 }
 
@@ -250,15 +251,15 @@
 void RequestGate::recordServiceTime(const Call& call, bool isWhole)
 {
     const auto took = std::chrono::duration_cast<Milliseconds>(ports_.clock.now() - call.startedAt);
-    const auto known = serviceTimes_.of(call.target);
+    const auto known = serviceTimes_.estimateFor(call.target);
     if (!isWhole && (!known || took <= known->typical))
         return;
     serviceTimes_.record(call.target, took);
     if (!known)
-        reviewWaiting(call.target);
+        refuseHopeless(call.target);
 }
 
-void RequestGate::startWaiting()
+void RequestGate::startQueued()
 {
     for (const WaitingDispatch& next : admission_.takeStartable())
         run(next.key);
@@ -269,20 +270,20 @@
 {
     Call& call = calls_.at(key);
     call.startedAt = ports_.clock.now();
-    armRunning(key, call);
+    armRunTimer(key, call);
     const auto waited = call.startedAt - call.receivedAt;
     ports_.metrics->observeSeconds("lagoon_agent_wait_seconds", std::chrono::duration<double>(waited).count());
     // Events come on other threads and in order, and so they are posted; a call that has ended is no longer found.
     UpstreamEvents events;
     events.onHead = [this, key](unsigned short status, HttpHeaders headers) {
-        ports_.control.post([this, key, status, headers = std::move(headers)] { takeHead(key, status, headers); });
+        ports_.control.post([this, key, status, headers = std::move(headers)] { handleHead(key, status, headers); });
     };
     events.onBytes = [this, key](std::string bytes) {
-        ports_.control.post([this, key, bytes = std::move(bytes)] { takeBytes(key, bytes); });
+        ports_.control.post([this, key, bytes = std::move(bytes)] { handleBytes(key, bytes); });
     };
-    events.onEnd = [this, key] { ports_.control.post([this, key] { takeEnd(key); }); };
+    events.onEnd = [this, key] { ports_.control.post([this, key] { handleEnd(key); }); };
     events.onFailed
-        = [this, key](const Error& error) { ports_.control.post([this, key, error] { takeFailure(key, error); }); };
+        = [this, key](const Error& error) { ports_.control.post([this, key, error] { handleFailure(key, error); }); };
     call.upstream = ports_.upstream->run(std::move(call.request), std::move(events));
 }
 
@@ -312,7 +313,7 @@
     end(key, std::move(reason));
 }
 
-void RequestGate::takeHead(const DispatchKey& key, unsigned short status, HttpHeaders headers)
+void RequestGate::handleHead(const DispatchKey& key, unsigned short status, HttpHeaders headers)
 {
     Call* call = find(key);
     if (!call || call->stopReason)
@@ -324,7 +325,7 @@
     sendHead(*call->link, key, *ledger_.answer(key));
 }
 
-void RequestGate::takeBytes(const DispatchKey& key, std::string bytes)
+void RequestGate::handleBytes(const DispatchKey& key, std::string bytes)
 {
     Call* call = find(key);
     if (!call || call->stopReason)
@@ -336,31 +337,31 @@
     sendChunk(*call->link, key, offset, bytes.data(), bytes.size());
 }
 
-void RequestGate::takeEnd(const DispatchKey& key)
+void RequestGate::handleEnd(const DispatchKey& key)
 {
     const Call* call = find(key);
     if (call)
         end(key, call->stopReason);
 }
 
-void RequestGate::takeFailure(const DispatchKey& key, const Error& error)
+void RequestGate::handleFailure(const DispatchKey& key, const Error& error)
 {
     const Call* call = find(key);
     if (!call)
         return;
-    Error said = call->stopReason.value_or(error);
+    Error reported = call->stopReason.value_or(error);
     // Nothing can have been run over a connection that was never made, whatever stopped the call.
     if (error.execution == Execution::NotRun)
-        said.execution = Execution::NotRun;
-    end(key, std::move(said));
+        reported.execution = Execution::NotRun;
+    end(key, std::move(reported));
 }
 
 void RequestGate::end(const DispatchKey& key, std::optional<Error> refused)
 {
-    auto ended = calls_.extract(key);
-    Call& call = ended.mapped();
+    auto node = calls_.extract(key);
+    Call& call = node.mapped();
     if (call.upstream) {
-        admission_.ended();
+        admission_.recordEnd();
         recordServiceTime(call, !refused);
     }
     ports_.targets.endUse(call.target, ports_.clock.now());
@@ -371,7 +372,7 @@
         sendEnd(*call.link, key, *ledger_.answer(key));
     }
     ledger_.complete(key, std::move(refused));
-    startWaiting();
+    startQueued();
 }
 
 void RequestGate::resolve(const std::shared_ptr<ILink>& link, const fb::ResolveT& resolve)
@@ -404,8 +405,8 @@
     const StoredAnswer& answer = *ledger_.answer(key);
     if (answer.hasHead)
         sendHead(*link, key, answer);
-    for (std::size_t offset = from; offset < answer.bytes.size(); offset += largestChunk) {
-        const std::size_t size = std::min(largestChunk, answer.bytes.size() - offset);
+    for (std::size_t offset = from; offset < answer.bytes.size(); offset += maxChunkBytes) {
+        const std::size_t size = std::min(maxChunkBytes, answer.bytes.size() - offset);
         sendChunk(*link, key, offset, answer.bytes.data() + offset, size);
     }
     if (ledger_.isRunning(key))
@@ -476,9 +477,9 @@
 
 void RequestGate::linkClosed(Incarnation router) { ledger_.linkClosed(router, ports_.clock.now()); }
 
-void RequestGate::forgetGoneRouters()
+void RequestGate::forgetDisconnectedRouters()
 {
-    ledger_.forgetGoneRouters(ports_.clock.now());
+    ledger_.forgetDisconnectedRouters(ports_.clock.now());
     stopAbandoned();
 }
 
@@ -491,14 +492,14 @@
     std::vector<DispatchKey> hopeless;
     for (auto& [key, call] : calls_) {
         if (call.upstream)
-            armRunning(key, call);
+            armRunTimer(key, call);
         else if (queueRefusal({ key, call.request.priority, call.request.deadline }, call.target))
             hopeless.push_back(key);
         else
-            armWaiting(key, call);
+            armQueueTimer(key, call);
     }
     for (const DispatchKey& key : hopeless)
-        stop(key, draining("the agent ends before its turn", Execution::NotRun));
+        stop(key, drainingRefusal("the agent ends before its turn", Execution::NotRun));
 }
 
 void RequestGate::publish()
--- a/src/agent/internal/requestgate.h
+++ b/src/agent/internal/requestgate.h
@@ -1,10 +1,10 @@
 #pragma once
 
 #include "agent/agentsettings.h"
-#include "agent/internal/admission.h"
+#include "agent/internal/admissionqueue.h"
 #include "agent/internal/requestledger.h"
 #include "agent/internal/servicetimes.h"
-#include "agent/itargetuse.h"
+#include "agent/iservedtargets.h"
 #include "agent/iupstream.h"
 #include "framework/controlthread.h"
 #include "framework/iclock.h"
@@ -23,7 +23,7 @@
 struct GatePorts {
     framework::IControlExecutor& control;
     const framework::IClock& clock;
-    ITargetUse& targets;
+    IServedTargets& targets;
     std::shared_ptr<IUpstream> upstream;
     std::shared_ptr<framework::Metrics> metrics;
 };
@@ -43,7 +43,7 @@
     void linkOpened(framework::Incarnation router);
     void linkClosed(framework::Incarnation router);
     /// Drops what routers that are gone have left.
-    void forgetGoneRouters();
+    void forgetDisconnectedRouters();
     /// From now on everything new is refused as not run, and what was taken has its end in time for the process's.
     void beginDraining(const framework::ServiceEnd&);
 
@@ -69,13 +69,13 @@
     };
 
     void admit(const DispatchKey&, Call);
-    void startWaiting();
+    void startQueued();
     void run(const DispatchKey&);
     void stop(const DispatchKey&, framework::Error);
-    void takeHead(const DispatchKey&, unsigned short status, HttpHeaders);
-    void takeBytes(const DispatchKey&, std::string);
-    void takeEnd(const DispatchKey&);
-    void takeFailure(const DispatchKey&, const framework::Error&);
+    void handleHead(const DispatchKey&, unsigned short status, HttpHeaders);
+    void handleBytes(const DispatchKey&, std::string);
+    void handleEnd(const DispatchKey&);
+    void handleFailure(const DispatchKey&, const framework::Error&);
     void end(const DispatchKey&, std::optional<framework::Error>);
     void stopAbandoned();
     void refuse(const std::shared_ptr<wire::ILink>&, const DispatchKey&, const framework::Error&);
@@ -85,17 +85,17 @@
     void publish();
     std::optional<framework::Error> admissionRefusal(const Call&) const;
     std::optional<framework::Error> queueRefusal(const WaitingDispatch&, const Target&) const;
-    framework::Deadline lastAnswer(framework::Deadline ofRequest) const;
-    void armWaiting(const DispatchKey&, Call&);
-    void reviewWaiting(const Target&);
-    void armRunning(const DispatchKey&, Call&);
+    framework::Deadline answerDeadline(framework::Deadline ofRequest) const;
+    void armQueueTimer(const DispatchKey&, Call&);
+    void refuseHopeless(const Target&);
+    void armRunTimer(const DispatchKey&, Call&);
     void recordServiceTime(const Call&, bool isWhole);
     Call* find(const DispatchKey&);
 
     GatePorts ports_;
     AgentLimits limits_;
     RequestLedger ledger_;
-    Admission admission_;
+    AdmissionQueue admission_;
     ServiceTimes serviceTimes_;
     std::map<DispatchKey, Call> calls_;
     /// Set while draining.
--- a/src/agent/internal/requestledger.cpp
+++ b/src/agent/internal/requestledger.cpp
@@ -62,9 +62,9 @@
 }
 
 framework::Result<RequestLedger::Session*> RequestLedger::sessionFor(
-    const DispatchKey& key, framework::Incarnation meantFor)
+    const DispatchKey& key, framework::Incarnation agentIncarnation)
 {
-    if (meantFor != own_)
+    if (agentIncarnation != own_)
         return refusal(ErrorCode::StaleIncarnation, "meant for another process", Execution::Unknown);
     const auto found = sessions_.find(key.router);
     if (found == sessions_.end() || found->second.number != key.session)
@@ -73,10 +73,10 @@
 }
 
 framework::Result<DispatchVerdict> RequestLedger::dispatch(
-    const DispatchKey& key, framework::Incarnation meantFor, SequenceNumber floor)
+    const DispatchKey& key, framework::Incarnation agentIncarnation, SequenceNumber floor)
 {
     // Whatever is refused here doesn't run by this frame; what an earlier frame of the same id did, only Resolve asks.
-    auto session = sessionFor(key, meantFor);
+    auto session = sessionFor(key, agentIncarnation);
     if (session.has_error()) {
         Error error = session.error();
         error.execution = Execution::NotRun;
@@ -112,9 +112,9 @@
 }
 
 framework::Result<ResolveVerdict> RequestLedger::resolve(
-    const DispatchKey& key, framework::Incarnation meantFor, SequenceNumber floor)
+    const DispatchKey& key, framework::Incarnation agentIncarnation, SequenceNumber floor)
 {
-    BOOST_OUTCOME_TRY(session, sessionFor(key, meantFor));
+    BOOST_OUTCOME_TRY(session, sessionFor(key, agentIncarnation));
     raiseFloor(key.router, *session, floor);
     if (key.sequence < session->floor)
         return refusal(ErrorCode::BelowFloor, "the id is settled and forgotten", Execution::Unknown);
@@ -166,13 +166,13 @@
     --entries_;
 }
 
-void RequestLedger::complete(const DispatchKey& key, std::optional<Error> refusalInstead)
+void RequestLedger::complete(const DispatchKey& key, std::optional<Error> refused)
 {
     Entry* entry = findRunning(key);
     if (!entry)
         return;
     entry->state = EntryState::Done;
-    entry->answer.refusal = std::move(refusalInstead);
+    entry->answer.refusal = std::move(refused);
     abandoned_.erase(key);
     Session& session = sessions_.at(key.router);
     if (key.sequence >= session.floor)
@@ -202,7 +202,7 @@
     bytes_ += bytes.size();
 }
 
-void RequestLedger::forgetGoneRouters(framework::SteadyTime now)
+void RequestLedger::forgetDisconnectedRouters(framework::SteadyTime now)
 {
     for (auto session = sessions_.begin(); session != sessions_.end();) {
         if (session->second.links > 0 || !session->second.forgetAt.hasPassed(now)) {
--- a/src/agent/internal/requestledger.h
+++ b/src/agent/internal/requestledger.h
@@ -69,12 +69,12 @@
 
     /// Enters a new id as running. The error is a refusal and says whether it is known not to have run.
     framework::Result<DispatchVerdict> dispatch(
-        const DispatchKey&, framework::Incarnation meantFor, framework::SequenceNumber floor);
+        const DispatchKey&, framework::Incarnation agentIncarnation, framework::SequenceNumber floor);
     /// Makes an unseen id one that will never run; others are left alone.
     void fence(const DispatchKey&);
     /// What became of the id; an unseen one is fenced.
     framework::Result<ResolveVerdict> resolve(
-        const DispatchKey&, framework::Incarnation meantFor, framework::SequenceNumber floor);
+        const DispatchKey&, framework::Incarnation agentIncarnation, framework::SequenceNumber floor);
     /// Forgets the answers below the floor.
     void settle(framework::Incarnation router, std::uint64_t session, framework::SequenceNumber floor);
     /// The answer is whole, or the refusal stands in its place.
@@ -84,7 +84,7 @@
     void storeBytes(const DispatchKey&, const std::string& bytes);
 
     /// Drops sessions whose router has had no link for long.
-    void forgetGoneRouters(framework::SteadyTime now);
+    void forgetDisconnectedRouters(framework::SteadyTime now);
     /// Running ids for which no router waits any more, each given once: stop them.
     std::vector<DispatchKey> takeAbandoned();
 
@@ -112,7 +112,7 @@
     };
 
     RequestLedger(framework::Incarnation own, const LedgerLimits&);
-    framework::Result<Session*> sessionFor(const DispatchKey&, framework::Incarnation meantFor);
+    framework::Result<Session*> sessionFor(const DispatchKey&, framework::Incarnation agentIncarnation);
     const Entry* find(const DispatchKey&) const;
     Entry* findRunning(const DispatchKey&);
     void raiseFloor(framework::Incarnation router, Session&, framework::SequenceNumber floor);
--- a/src/agent/internal/routerlinks.cpp
+++ b/src/agent/internal/routerlinks.cpp
@@ -16,7 +16,7 @@
 namespace fb = wire::fb;
 
 /// Routers ping while work is in flight, and need no link else.
-constexpr Milliseconds silenceAllowed { 300000 };
+constexpr Milliseconds linkIdleTimeout { 300000 };
 
 ReplicaId replicaOf(const fb::TargetT& target)
 {
@@ -25,8 +25,8 @@
 
 std::uint32_t wireMilliseconds(Milliseconds duration)
 {
-    const auto most = static_cast<std::int64_t>(std::numeric_limits<std::uint32_t>::max());
-    return static_cast<std::uint32_t>(std::clamp<std::int64_t>(duration.count(), 0, most));
+    const auto maxValue = static_cast<std::int64_t>(std::numeric_limits<std::uint32_t>::max());
+    return static_cast<std::uint32_t>(std::clamp<std::int64_t>(duration.count(), 0, maxValue));
 }
 
 fb::LoadResultT loadResult(std::uint64_t correlation, const std::optional<Error>& error)
@@ -47,7 +47,7 @@
 Error notAnEngine() { return Error { ErrorCode::UnknownModel, "load", "", "this upstream is a plain service" }; }
 
 /// The home decides by a bundle that this agent reads in a moment; by its own it would refuse what is decided now.
-Error bundleNotHere()
+Error bundleNotReadYet()
 {
     constexpr Milliseconds retryWhenRead { 500 };
     Error error { ErrorCode::NotReady, "load", "", "a newer bundle isn't read yet" };
@@ -77,11 +77,11 @@
 void RouterLinks::handle(const LinkPointer& link, wire::Message& message)
 {
     if (const fb::HelloT* hello = message.body.AsHello())
-        return greet(link, *hello);
+        return handleHello(link, *hello);
     const auto found = peers_.find(link);
     if (found == peers_.end())
         return refuseFrame(link);
-    found->second.closeAt = Deadline::after(context_.clock.now(), silenceAllowed);
+    found->second.closeAt = Deadline::after(context_.clock.now(), linkIdleTimeout);
     const Peer peer = found->second;
     switch (message.body.type) {
     case fb::Body::Dispatch:
@@ -95,9 +95,9 @@
         return context_.gate.settle(peer.incarnation, message.body.AsSettle()->session,
             framework::SequenceNumber(message.body.AsSettle()->floor));
     case fb::Body::Ping:
-        return answerPing(link, peer, *message.body.AsPing());
+        return handlePing(link, peer, *message.body.AsPing());
     case fb::Body::BidRequest:
-        return answerBid(link, *message.body.AsBidRequest());
+        return handleBidRequest(link, *message.body.AsBidRequest());
     case fb::Body::Load:
         return load(link, *message.body.AsLoad());
     default:
@@ -105,14 +105,14 @@
     }
 }
 
-void RouterLinks::greet(const LinkPointer& link, const fb::HelloT& hello)
+void RouterLinks::handleHello(const LinkPointer& link, const fb::HelloT& hello)
 {
     forget(link);
     const framework::Incarnation router(hello.sender_incarnation);
     Peer& peer = peers_[link];
     peer.incarnation = router;
     peer.session = context_.gate.openSession(router);
-    peer.closeAt = Deadline::after(context_.clock.now(), silenceAllowed);
+    peer.closeAt = Deadline::after(context_.clock.now(), linkIdleTimeout);
     context_.gate.linkOpened(router);
     context_.bundles.hearOf(framework::BundleVersion(hello.bundle_version));
     fb::HelloAckT answer;
@@ -123,7 +123,7 @@
     link->send(wire::message(std::move(answer)));
 }
 
-void RouterLinks::answerPing(const LinkPointer& link, const Peer& peer, const fb::PingT& ping)
+void RouterLinks::handlePing(const LinkPointer& link, const Peer& peer, const fb::PingT& ping)
 {
     context_.bundles.hearOf(framework::BundleVersion(ping.bundle_version));
     context_.gate.settle(peer.incarnation, peer.session, framework::SequenceNumber(ping.floor));
@@ -135,13 +135,13 @@
     link->send(wire::message(pong));
 }
 
-void RouterLinks::answerBid(const LinkPointer& link, const fb::BidRequestT& request)
+void RouterLinks::handleBidRequest(const LinkPointer& link, const fb::BidRequestT& request)
 {
     LoadOffer offer;
     offer.refusal = notAnEngine();
     context_.bundles.hearOf(framework::BundleVersion(request.bundle_version));
     if (request.bundle_version > bundleVersion())
-        offer.refusal = bundleNotHere();
+        offer.refusal = bundleNotReadYet();
     else if (context_.replicas)
         offer = context_.replicas->offer(replicaOf(*request.target));
     fb::BidT bid;
@@ -172,7 +172,7 @@
     if (!context_.replicas)
         return answer(notAnEngine());
     if (order.bundle_version > bundleVersion())
-        return answer(bundleNotHere());
+        return answer(bundleNotReadYet());
     const Deadline deadline = Deadline::after(context_.clock.now(), Milliseconds(order.remaining_ms));
     context_.replicas->load(replicaOf(*order.target), deadline, answer);
 }
@@ -193,7 +193,7 @@
     peers_.erase(peer);
 }
 
-void RouterLinks::closeSilent()
+void RouterLinks::closeIdle()
 {
     std::vector<LinkPointer> silent;
     for (const auto& [link, peer] : peers_) {
--- a/src/agent/internal/routerlinks.h
+++ b/src/agent/internal/routerlinks.h
@@ -30,7 +30,7 @@
     /// For the transport's `listen`.
     wire::LinkHandlers handlers();
     /// Closes links over which nothing has come for long: their peers are gone, or open another when they need one.
-    void closeSilent();
+    void closeIdle();
 
 private:
     using LinkPointer = std::shared_ptr<wire::ILink>;
@@ -42,9 +42,9 @@
     };
 
     void handle(const LinkPointer&, wire::Message&);
-    void greet(const LinkPointer&, const wire::fb::HelloT&);
-    void answerPing(const LinkPointer&, const Peer&, const wire::fb::PingT&);
-    void answerBid(const LinkPointer&, const wire::fb::BidRequestT&);
+    void handleHello(const LinkPointer&, const wire::fb::HelloT&);
+    void handlePing(const LinkPointer&, const Peer&, const wire::fb::PingT&);
+    void handleBidRequest(const LinkPointer&, const wire::fb::BidRequestT&);
     void load(const LinkPointer&, const wire::fb::LoadT&);
     void refuseFrame(const LinkPointer&);
     void forget(const LinkPointer&);
--- a/src/agent/internal/serviceuse.cpp
+++ b/src/agent/internal/servedservices.cpp
@@ -1,4 +1,4 @@
-#include "agent/internal/serviceuse.h"
+#include "agent/internal/servedservices.h"
 
 #include <algorithm>
 
@@ -7,14 +7,14 @@
 using framework::Error;
 using framework::ErrorCode;
 
-ServiceUse::ServiceUse(framework::PoolName pool)
+ServedServices::ServedServices(framework::PoolName pool)
     : pool_(std::move(pool))
 {
 }
 
-void ServiceUse::setBundle(bundle::BundlePointer bundle) { bundle_ = std::move(bundle); }
+void ServedServices::setBundle(bundle::BundlePointer bundle) { bundle_ = std::move(bundle); }
 
-framework::Result<void> ServiceUse::beginUse(const Target& target, framework::SteadyTime)
+framework::Result<void> ServedServices::beginUse(const Target& target, framework::SteadyTime)
 {
     // An agent that starts while the platform is down has no bundle; the router's word must do then.
     if (target.isService() && !bundle_)
@@ -25,6 +25,6 @@
     return Error { ErrorCode::UnknownService, "admit", target.service.value(), "not served by pool " + pool_.value() };
 }
 
-void ServiceUse::endUse(const Target&, framework::SteadyTime) { }
+void ServedServices::endUse(const Target&, framework::SteadyTime) { }
 
 } // namespace lagoon::agent
--- a/src/agent/internal/serviceuse.h
+++ b/src/agent/internal/servedservices.h
@@ -1,14 +1,14 @@
 #pragma once
 
-#include "agent/itargetuse.h"
+#include "agent/iservedtargets.h"
 #include "bundle/types/bundle.h"
 
 namespace lagoon::agent {
 
 /// For an upstream that is a plain service: it serves what the bundle names for its pool.
-class ServiceUse final : public ITargetUse {
+class ServedServices final : public IServedTargets {
 public:
-    explicit ServiceUse(framework::PoolName);
+    explicit ServedServices(framework::PoolName);
     void setBundle(bundle::BundlePointer);
 
     framework::Result<void> beginUse(const Target&, framework::SteadyTime now) override;
--- a/src/agent/internal/servicetimes.cpp
+++ b/src/agent/internal/servicetimes.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr double newShare = 0.1;
+constexpr double smoothingFactor = 0.1;
 /// Mean absolute deviations to the tenth and ninetieth percentile (of a normal distribution).
 constexpr double deviationsToTail = 1.6;
 /// The least deviation that is believed, as a share of the mean, as for load times.
-constexpr double leastDeviation = 0.1;
+constexpr double minRelativeDeviation = 0.1;
 
 std::string keyOf(const Target& target)
 {
@@ -31,7 +31,7 @@
     take(byTarget_[keyOf(target)], number);
 }
 
-std::optional<policy::LoadTimeEstimate> ServiceTimes::of(const Target& target) const
+std::optional<policy::LoadTimeEstimate> ServiceTimes::estimateFor(const Target& target) const
 {
     const auto found = byTarget_.find(keyOf(target));
     if (found == byTarget_.end())
@@ -45,13 +45,13 @@
         average = { milliseconds, 0, true };
         return;
     }
-    average.deviation += newShare * (std::abs(milliseconds - average.mean) - average.deviation);
-    average.mean += newShare * (milliseconds - average.mean);
+    average.deviation += smoothingFactor * (std::abs(milliseconds - average.mean) - average.deviation);
+    average.mean += smoothingFactor * (milliseconds - average.mean);
 }
 
 policy::LoadTimeEstimate ServiceTimes::estimate(const Average& average)
 {
-    const double tail = deviationsToTail * std::max(average.deviation, leastDeviation * average.mean);
+    const double tail = deviationsToTail * std::max(average.deviation, minRelativeDeviation * average.mean);
     return { milliseconds(average.mean - tail), milliseconds(average.mean), milliseconds(average.mean + tail) };
 }
 
--- a/src/agent/internal/servicetimes.h
+++ b/src/agent/internal/servicetimes.h
@@ -14,9 +14,9 @@
 public:
     void record(const Target&, framework::Milliseconds took);
     /// Nothing before the first measurement of the target.
-    std::optional<policy::LoadTimeEstimate> of(const Target&) const;
+    std::optional<policy::LoadTimeEstimate> estimateFor(const Target&) const;
     /// Of whatever the upstream runs.
-    policy::LoadTimeEstimate ofAll() const { return estimate(all_); }
+    policy::LoadTimeEstimate estimateForAll() const { return estimate(all_); }
 
 private:
     struct Average {
--- a/src/agent/itargetuse.h
+++ b/src/agent/iservedtargets.h
@@ -7,9 +7,9 @@
 namespace lagoon::agent {
 
 /// Who knows whether a target is served here now, and for which requests it must stay. Control thread only.
-class ITargetUse {
+class IServedTargets {
 public:
-    virtual ~ITargetUse() = default;
+    virtual ~IServedTargets() = default;
     /// Keeps the target served until `endUse`, or says why it isn't served; nothing was run then.
     virtual framework::Result<void> beginUse(const Target&, framework::SteadyTime now) = 0;
     virtual void endUse(const Target&, framework::SteadyTime now) = 0;
--- a/src/agent/tests/accounts_test.cpp
+++ b/src/agent/tests/accounts_test.cpp
@@ -1,4 +1,4 @@
-#include "agent/internal/admission.h"
+#include "agent/internal/admissionqueue.h"
 #include "agent/internal/httpheaders.h"
 #include "agent/internal/memoryaccount.h"
 
@@ -34,14 +34,14 @@
 {
     MemoryAccount account;
     BOOST_TEST(!account.reserve(model("a"), MebiBytes(1)));
-    account.open(MebiBytes(100));
+    account.setTotal(MebiBytes(100));
     BOOST_TEST(account.reserve(model("a"), MebiBytes(100)));
 }
 
 BOOST_AUTO_TEST_CASE(reservationsNeverPassTheTotal)
 {
     MemoryAccount account;
-    account.open(MebiBytes(100));
+    account.setTotal(MebiBytes(100));
     BOOST_TEST(account.reserve(model("a"), MebiBytes(60)));
     BOOST_TEST(!account.reserve(model("b"), MebiBytes(41)));
     BOOST_TEST(account.reserve(model("b"), MebiBytes(40)));
@@ -55,8 +55,8 @@
 BOOST_AUTO_TEST_CASE(theEnginesTruthGoesBeforeThePlan)
 {
     MemoryAccount account;
-    account.open(MebiBytes(100));
-    account.enter(model("a"), MebiBytes(130));
+    account.setTotal(MebiBytes(100));
+    account.setReservation(model("a"), MebiBytes(130));
     BOOST_TEST(account.used().value() == 130u);
     BOOST_TEST(account.available().value() == 0u);
     BOOST_TEST(!account.reserve(model("b"), MebiBytes(1)));
@@ -68,7 +68,7 @@
 
 BOOST_AUTO_TEST_CASE(priorityThenDeadlineDecidesWhoIsNext)
 {
-    Admission admission(1, 3);
+    AdmissionQueue admission(1, 3);
     BOOST_TEST(admission.enqueue(waiting(1, 4, 500)));
     BOOST_TEST(admission.takeStartable().size() == 1u);
     BOOST_TEST(admission.enqueue(waiting(2, 4, 900)));
@@ -78,7 +78,7 @@
     BOOST_TEST(admission.takeStartable().empty());
     std::vector<std::uint64_t> order;
     for (int turn = 0; turn < 3; ++turn) {
-        admission.ended();
+        admission.recordEnd();
         order.push_back(admission.takeStartable().front().key.sequence.value());
     }
     BOOST_TEST(order == (std::vector<std::uint64_t> { 4, 3, 2 }), boost::test_tools::per_element());
@@ -86,7 +86,7 @@
 
 BOOST_AUTO_TEST_CASE(withoutAQueueOneStillRuns)
 {
-    Admission admission(1, 0);
+    AdmissionQueue admission(1, 0);
     BOOST_TEST(admission.enqueue(waiting(1, 4, 500)));
     BOOST_TEST(admission.takeStartable().size() == 1u);
     BOOST_TEST(!admission.enqueue(waiting(2, 4, 500)));
@@ -94,7 +94,7 @@
 
 BOOST_AUTO_TEST_CASE(aCancelledOneGivesUpItsPlace)
 {
-    Admission admission(1, 1);
+    AdmissionQueue admission(1, 1);
     BOOST_TEST(admission.enqueue(waiting(1, 4, 500)));
     BOOST_TEST(admission.takeStartable().size() == 1u);
     BOOST_TEST(admission.enqueue(waiting(2, 4, 500)));
--- a/src/agent/tests/fakeengine.h
+++ b/src/agent/tests/fakeengine.h
@@ -14,7 +14,7 @@
 public:
     enum class OrderFault : std::uint8_t {
         LoseAnswer, ///< taken, and the agent doesn't learn it
-        Hold, ///< it stays in the receive buffer until `landHeld`, and the agent learns nothing
+        Hold, ///< it stays in the receive buffer until `deliverHeld`, and the agent learns nothing
     };
 
     explicit FakeEngine(std::uint64_t memory) { state_.memory = framework::MebiBytes(memory); }
@@ -51,7 +51,7 @@
             state_.replicas, [](const EngineReplica& one) { return one.state == EngineReplicaState::Loading; });
     }
 
-    void landHeld()
+    void deliverHeld()
     {
         for (const EngineOrder& order : held_)
             static_cast<void>(applyLoad(order));
@@ -65,7 +65,7 @@
         ++state_.incarnation;
     }
 
-    void put(const ReplicaId& id, const std::string& version, std::uint64_t memory, EngineReplicaState state)
+    void addReplica(const ReplicaId& id, const std::string& version, std::uint64_t memory, EngineReplicaState state)
     {
         state_.replicas.push_back({ { id, framework::WeightsVersion(version) }, framework::MebiBytes(memory), state });
     }
@@ -91,7 +91,7 @@
     bool isAvailable = true;
     bool checksFencing = false;
     bool isOvercommitted = false;
-    unsigned loadsTaken = 0;
+    unsigned loadsAccepted = 0;
     unsigned unloadOrders = 0;
     /// In their order.
     std::vector<ReplicaId> unloaded;
@@ -133,7 +133,7 @@
             return framework::Error { framework::ErrorCode::Fenced, "load", "engine" };
         if (stateOf(order.checkpoint.replica))
             return framework::success();
-        ++loadsTaken;
+        ++loadsAccepted;
         state_.replicas.push_back({ order.checkpoint, order.memory, EngineReplicaState::Loading });
         std::uint64_t sum = 0;
         for (const EngineReplica& replica : state_.replicas)
--- a/src/agent/tests/httpupstream_test.cpp
+++ b/src/agent/tests/httpupstream_test.cpp
@@ -94,7 +94,7 @@
 const std::string chunkedHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Type: text/plain\r\n\r\n";
 
 /// What a call's events said, for the test's thread to wait for.
-class CallWatch {
+class CallRecorder {
 public:
     UpstreamEvents events()
     {
@@ -171,7 +171,7 @@
 BOOST_AUTO_TEST_CASE(theRequestGoesOnWithItsNameAndPriority)
 {
     std::string seen;
-    CallWatch watch;
+    CallRecorder watch;
     RawUpstream server([&](tcp::socket& socket, const std::string& head) {
         seen = head;
         write(socket, "HTTP/1.1 201 Created\r\nContent-Length: 2\r\nX-Kept: 1\r\nConnection: close\r\n\r\nok");
@@ -196,7 +196,7 @@
     std::mutex mutex;
     std::condition_variable changed;
     bool isFirstThrough = false;
-    CallWatch watch;
+    CallRecorder watch;
     RawUpstream server([&](tcp::socket& socket, const std::string&) {
         write(socket, chunkedHead + chunk("one "));
         std::unique_lock lock(mutex);
@@ -229,10 +229,10 @@
         return true;
     });
     const auto upstream = makeHttpUpstream(server.url());
-    CallWatch first;
+    CallRecorder first;
     upstream->run(request(), first.events());
     first.waitForEnd();
-    CallWatch second;
+    CallRecorder second;
     upstream->run(request(), second.events());
     const Error error = second.waitForError();
     BOOST_CHECK(error.execution == Execution::Unknown);
@@ -247,7 +247,7 @@
         url = gone.url();
     }
     for (const bool isRepeatable : { false, true }) {
-        CallWatch watch;
+        CallRecorder watch;
         makeHttpUpstream(url)->run(request(isRepeatable), watch.events());
         const Error error = watch.waitForError();
         BOOST_CHECK(error.code == ErrorCode::UpstreamFailed);
@@ -264,7 +264,7 @@
             write(socket, sent);
             return false;
         });
-        CallWatch watch;
+        CallRecorder watch;
         makeHttpUpstream(server.url())->run(request(), watch.events());
         const Error error = watch.waitForError();
         BOOST_CHECK(error.code == ErrorCode::UpstreamBroken);
@@ -275,7 +275,7 @@
 BOOST_AUTO_TEST_CASE(cancellingClosesTheConnection)
 {
     std::atomic<bool> isClosed { false };
-    CallWatch watch;
+    CallRecorder watch;
     RawUpstream server([&](tcp::socket& socket, const std::string&) {
         write(socket, chunkedHead + chunk("one "));
         std::string ignored;
--- a/src/agent/tests/replicaclaims_test.cpp
+++ b/src/agent/tests/replicaclaims_test.cpp
@@ -29,7 +29,7 @@
 const ReplicaId drafts { ModelName("drafts"), AdapterName() };
 const ReplicaId fine { ModelName("drafts"), AdapterName("fine") };
 
-struct Site {
+struct ClaimsFixture {
     std::shared_ptr<MemoryObjectStore> store = std::make_shared<MemoryObjectStore>();
     std::shared_ptr<FakeVmList> vmList = std::make_shared<FakeVmList>();
     std::shared_ptr<framework::Metrics> metrics = std::make_shared<framework::Metrics>();
@@ -40,7 +40,7 @@
             store, vmList, { VmName(vm), site, FailureDomainName("ikeja") }, Incarnation(incarnation), metrics);
     }
 
-    static Deadline soon() { return Deadline::after(std::chrono::steady_clock::now(), Milliseconds(10000)); }
+    static Deadline deadline() { return Deadline::after(std::chrono::steady_clock::now(), Milliseconds(10000)); }
     static DecidedCount decided(std::uint32_t count, std::uint64_t version = 1)
     {
         return { count, BundleVersion(version) };
@@ -49,7 +49,7 @@
     auto claim(ReplicaClaims claims, const std::string& nonce, const DecidedCount& count,
         ClaimKind kind = ClaimKind::New) const
     {
-        return claims.claim(drafts, nonce, kind, count, soon());
+        return claims.claim(drafts, nonce, kind, count, deadline());
     }
 
     bundle::ReplicaObject object() const
@@ -61,7 +61,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(ReplicaClaimsOfAVm, Site)
+BOOST_FIXTURE_TEST_SUITE(ReplicaClaimsOfAVm, ClaimsFixture)
 
 BOOST_AUTO_TEST_CASE(claimsStopAtTheDecidedCount)
 {
@@ -111,9 +111,9 @@
     ReplicaClaims former = agentOn("one", 1);
     BOOST_REQUIRE(claim(former, "n1", decided(1)).has_value());
     BOOST_REQUIRE(claim(agentOn("one", 2), "n2", decided(1)).has_value());
-    BOOST_TEST(former.release(drafts, "n1", soon()).has_value());
+    BOOST_TEST(former.release(drafts, "n1", deadline()).has_value());
     BOOST_TEST(object().holders.size() == 1u);
-    const auto confirmed = former.confirm(drafts, "n1", soon());
+    const auto confirmed = former.confirm(drafts, "n1", deadline());
     BOOST_REQUIRE(confirmed.has_error());
     BOOST_CHECK(confirmed.error().code == ErrorCode::PlatformConflict);
 }
@@ -122,9 +122,9 @@
 {
     ReplicaClaims one = agentOn("one");
     BOOST_REQUIRE(claim(one, "n1", decided(1)).has_value());
-    BOOST_TEST(one.confirm(drafts, "n1", soon()).has_value());
+    BOOST_TEST(one.confirm(drafts, "n1", deadline()).has_value());
     BOOST_CHECK(object().holders.front().state == HolderState::Loaded);
-    BOOST_TEST(one.release(drafts, "n1", soon()).has_value());
+    BOOST_TEST(one.release(drafts, "n1", deadline()).has_value());
     BOOST_TEST(claim(agentOn("two"), "n2", decided(1)).has_value());
 }
 
@@ -157,8 +157,8 @@
     ReplicaClaims two = agentOn("two");
     BOOST_REQUIRE(claim(one, "n1", decided(2)).has_value());
     BOOST_REQUIRE(claim(two, "n2", decided(2)).has_value());
-    BOOST_TEST(!one.isOverCount(drafts, decided(1, 2), soon()).value());
-    BOOST_TEST(two.isOverCount(drafts, decided(1, 2), soon()).value());
+    BOOST_TEST(!one.isOverCount(drafts, decided(1, 2), deadline()).value());
+    BOOST_TEST(two.isOverCount(drafts, decided(1, 2), deadline()).value());
 }
 
 BOOST_AUTO_TEST_CASE(whatTheEngineHasIsEnteredWhateverTheCount)
@@ -174,13 +174,13 @@
     ReplicaClaims one = agentOn("one");
     BOOST_REQUIRE(claim(one, "n1", decided(2)).has_value());
     BOOST_REQUIRE(claim(agentOn("two"), "n2", decided(2)).has_value());
-    BOOST_REQUIRE(one.claim(fine, "n3", ClaimKind::New, decided(1), soon()).has_value());
-    const auto held = agentOn("one", 2).held(soon());
+    BOOST_REQUIRE(one.claim(fine, "n3", ClaimKind::New, decided(1), deadline()).has_value());
+    const auto held = agentOn("one", 2).held(deadline());
     BOOST_REQUIRE(held.has_value());
     BOOST_REQUIRE(held.value().size() == 2u);
     BOOST_CHECK(held.value()[0] == drafts);
     BOOST_CHECK(held.value()[1] == fine);
-    BOOST_TEST(agentOn("three").held(soon()).value().empty());
+    BOOST_TEST(agentOn("three").held(deadline()).value().empty());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/agent/tests/replicacontroller_test.cpp
+++ b/src/agent/tests/replicacontroller_test.cpp
@@ -32,7 +32,7 @@
 const SiteName site { "lagos" };
 const PoolName pool { "policy" };
 const VmName ownVm { "engine-1" };
-const Milliseconds shortWhile { 500 };
+const Milliseconds shortWait { 500 };
 const Milliseconds settling { 10000 };
 
 ReplicaId model(const char* name) { return { ModelName(name), AdapterName() }; }
@@ -72,7 +72,7 @@
 };
 
 /// One agent's replicas over fakes; `startAgent` again is a new process on the same VM.
-struct Agents {
+struct ControllerFixture {
     /// Long past for the real clock: what waits by that (`objectstore::updateObject`) tries once and gives up.
     framework::ManualControl control { framework::SteadyTime(std::chrono::milliseconds(1)) };
     FakeEngine engineFake { 100 };
@@ -84,7 +84,7 @@
     std::uint64_t incarnation = 0;
     bool checksFencing = false;
 
-    void startAgent(const bundle::Bundle& inForce = bundleOf(1, 1))
+    void startAgent(const bundle::Bundle& initialBundle = bundleOf(1, 1))
     {
         const framework::ProcessIdentity identity { ownVm, site, FailureDomainName("ikeja") };
         const auto inlineWork = [](const std::function<void()>& work) { work(); };
@@ -93,7 +93,7 @@
             ReplicaPorts { control, control, inlineWork, inlineWork, claims, engine, metrics },
             ReplicaSettings { site, pool, checksFencing, settling });
         replicas->start();
-        replicas->setBundle(std::make_shared<bundle::Bundle>(inForce));
+        replicas->setBundle(std::make_shared<bundle::Bundle>(initialBundle));
         control.advance(Milliseconds(50));
     }
 
@@ -115,7 +115,7 @@
         return watch;
     }
 
-    void loadWhole(const ReplicaId& id)
+    void loadAndWait(const ReplicaId& id)
     {
         const auto watch = load(id);
         for (int turn = 0; turn < 40 && !watch->isDone; ++turn) {
@@ -138,11 +138,11 @@
         const auto watch = load(id);
         control.advance(Milliseconds(20000));
         engineFake.finishLoads();
-        control.advance(shortWhile);
+        control.advance(shortWait);
         BOOST_REQUIRE(watch->isLoaded());
     }
 
-    void useAgainAndAgain(const ReplicaId& id, Milliseconds gap, int times)
+    void useRepeatedly(const ReplicaId& id, Milliseconds gap, int times)
     {
         for (int time = 0; time < times; ++time) {
             if (!engineFake.stateOf(id))
@@ -178,7 +178,7 @@
         store->set(bundle::replicaKey(site, id.model, id.adapter), bundle::replicaObjectText(object));
     }
 
-    Replica stageOf(const ReplicaId& id) const
+    Replica replicaOf(const ReplicaId& id) const
     {
         const auto found = replicas->replicas().find(id);
         return found == replicas->replicas().end() ? Replica {} : found->second;
@@ -188,7 +188,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(ReplicaControllers, Agents)
+BOOST_FIXTURE_TEST_SUITE(ReplicaControllers, ControllerFixture)
 
 BOOST_AUTO_TEST_CASE(aLoadClaimsThenOrdersThenServes)
 {
@@ -198,7 +198,7 @@
     BOOST_CHECK(engineFake.stateOf(model("a")) == EngineReplicaState::Loading);
     BOOST_TEST(replicas->beginUse({ model("a"), {} }, control.now()).has_error());
     engineFake.finishLoads();
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(watch->isLoaded());
     BOOST_TEST(replicas->beginUse({ model("a"), {} }, control.now()).has_value());
 }
@@ -209,10 +209,10 @@
     const auto first = load(model("a"));
     const auto second = load(model("a"));
     engineFake.finishLoads();
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(first->isLoaded());
     BOOST_TEST(second->isLoaded());
-    BOOST_TEST(engineFake.loadsTaken == 1u);
+    BOOST_TEST(engineFake.loadsAccepted == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(theCapOfTheBundleHolds)
@@ -220,7 +220,7 @@
     setHolders(model("a"), { "engine-2" });
     startAgent();
     BOOST_TEST(load(model("a"))->isRefused(ErrorCode::ReplicaCapReached));
-    BOOST_TEST(engineFake.loadsTaken == 0u);
+    BOOST_TEST(engineFake.loadsAccepted == 0u);
     BOOST_TEST(holders(model("a")) == 1u);
 }
 
@@ -231,16 +231,16 @@
     setHolders(model("a"), { "engine-2" });
     vmList->add("engine-2", objectstore::VmState::Gone);
     startAgent();
-    loadWhole(model("a"));
+    loadAndWait(model("a"));
     BOOST_TEST(holders(model("a")) == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(anIdleModelGoesWhenMemoryIsShort)
 {
     startAgent();
-    loadWhole(model("a"));
-    loadWhole(model("b"));
-    control.advance(shortWhile);
+    loadAndWait(model("a"));
+    loadAndWait(model("b"));
+    control.advance(shortWait);
     BOOST_TEST(!engineFake.isOvercommitted);
     BOOST_TEST(!isKnown(model("a")));
     BOOST_TEST(holders(model("a")) == 0u);
@@ -251,7 +251,7 @@
 BOOST_AUTO_TEST_CASE(aModelStaysLoadedBetweenBackToBackRequests)
 {
     startAgent();
-    loadWhole(model("a"));
+    loadAndWait(model("a"));
     use(model("a"));
     control.advance(Milliseconds(1000));
     BOOST_TEST(replicas->beginUse({ model("a"), {} }, control.now()).has_value());
@@ -261,11 +261,11 @@
 BOOST_AUTO_TEST_CASE(aModelInUseIsNoVictim)
 {
     startAgent();
-    loadWhole(model("a"));
+    loadAndWait(model("a"));
     BOOST_REQUIRE(replicas->beginUse({ model("a"), {} }, control.now()).has_value());
     BOOST_TEST(load(model("b"))->isRefused(ErrorCode::MemoryShort));
     replicas->endUse({ model("a"), {} }, control.now());
-    loadWhole(model("b"));
+    loadAndWait(model("b"));
 }
 
 BOOST_AUTO_TEST_CASE(aHopelessLoadIsRefusedAtOnce)
@@ -278,14 +278,14 @@
 BOOST_AUTO_TEST_CASE(anAdapterBringsItsModel)
 {
     startAgent();
-    loadWhole(adapter("a", "fine"));
+    loadAndWait(adapter("a", "fine"));
     BOOST_CHECK(engineFake.stateOf(model("a")) == EngineReplicaState::Loaded);
     BOOST_TEST(holders(adapter("a", "fine")) == 1u);
     // The model can't go from under a request to the adapter.
     BOOST_REQUIRE(replicas->beginUse({ adapter("a", "fine"), {} }, control.now()).has_value());
     BOOST_TEST(load(model("b"))->isRefused(ErrorCode::MemoryShort));
     replicas->endUse({ adapter("a", "fine"), {} }, control.now());
-    loadWhole(model("b"));
+    loadAndWait(model("b"));
     BOOST_TEST(!engineFake.isOvercommitted);
     BOOST_TEST(!engineFake.stateOf(adapter("a", "fine")).has_value());
 }
@@ -294,9 +294,9 @@
 BOOST_AUTO_TEST_CASE(anAdapterRequestedWhileItsModelIsUnloadedDoesNotBlockOtherLoads)
 {
     startAgent();
-    loadWhole(adapter("a", "fine"));
+    loadAndWait(adapter("a", "fine"));
     const auto otherLoad = load(model("b"));
-    BOOST_CHECK(stageOf(adapter("a", "fine")).stage == ReplicaStage::Unloading);
+    BOOST_CHECK(replicaOf(adapter("a", "fine")).stage == ReplicaStage::Unloading);
     const auto adapterLoad = load(adapter("a", "fine"));
     for (int turn = 0; turn < 100; ++turn) {
         engineFake.finishLoads();
@@ -311,13 +311,13 @@
 BOOST_AUTO_TEST_CASE(aNewModelVersionIsLoadedEvenIfAnAdapterWasStillLoading)
 {
     startAgent();
-    loadWhole(model("a"));
+    loadAndWait(model("a"));
     load(adapter("a", "fine"));
     control.advance(Milliseconds(20000));
-    BOOST_CHECK(stageOf(adapter("a", "fine")).stage == ReplicaStage::Loading);
+    BOOST_CHECK(replicaOf(adapter("a", "fine")).stage == ReplicaStage::Loading);
     replicas->setBundle(std::make_shared<bundle::Bundle>(bundleOf(2, 1, "v2")));
     const auto isReloaded = [this] {
-        const Replica replica = stageOf(model("a"));
+        const Replica replica = replicaOf(model("a"));
         return replica.stage == ReplicaStage::Loaded && replica.version.value() == "v2";
     };
     for (int turn = 0; turn < 50 && !isReloaded(); ++turn) {
@@ -331,13 +331,13 @@
 BOOST_AUTO_TEST_CASE(aWaitingModelIsReleasedAfterItsAdaptersLastCallerTimesOut)
 {
     startAgent();
-    loadWhole(model("b"));
+    loadAndWait(model("b"));
     BOOST_REQUIRE(replicas->beginUse({ model("b"), {} }, control.now()).has_value());
     // Makes model b drain, but it keeps its memory while in use.
     replicas->setBundle(std::make_shared<bundle::Bundle>(bundleOf(2, 1, "v2")));
     const auto watch = load(adapter("a", "fine"), Milliseconds(5000));
-    control.advance(shortWhile);
-    BOOST_CHECK(stageOf(model("a")).stage == ReplicaStage::WaitingForMemory);
+    control.advance(shortWait);
+    BOOST_CHECK(replicaOf(model("a")).stage == ReplicaStage::WaitingForMemory);
     control.advance(Milliseconds(7000));
     BOOST_TEST(watch->isRefused(ErrorCode::DeadlinePassed));
     BOOST_TEST(!isKnown(adapter("a", "fine")));
@@ -350,7 +350,7 @@
     startAgent();
     const auto watch = load(model("a"));
     engineFake.failLoads();
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(watch->isRefused(ErrorCode::LoadFailed));
     BOOST_TEST(holders(model("a")) == 0u);
     BOOST_TEST(replicas->memory().used().value() == 0u);
@@ -375,7 +375,7 @@
 BOOST_AUTO_TEST_CASE(withThePlatformDownWarmModelsGoOn)
 {
     startAgent();
-    loadWhole(model("a"));
+    loadAndWait(model("a"));
     store->setAvailable(false);
     const auto watch = load(model("small"), Milliseconds(1500));
     BOOST_TEST(watch->isRefused(ErrorCode::PlatformUnavailable));
@@ -389,10 +389,10 @@
     startAgent();
     store->failNextWrites({ WriteFault::LoseAnswer });
     BOOST_TEST(load(model("a"))->isRefused(ErrorCode::PlatformUnavailable));
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(holders(model("a")) == 0u);
-    BOOST_TEST(engineFake.loadsTaken == 0u);
-    loadWhole(model("a"));
+    BOOST_TEST(engineFake.loadsAccepted == 0u);
+    loadAndWait(model("a"));
 }
 
 // The same, but the write is merely late, and lands when the agent has given the claim up.
@@ -401,7 +401,7 @@
     startAgent();
     store->failNextWrites({ WriteFault::Hold });
     BOOST_TEST(load(model("a"))->isRefused(ErrorCode::PlatformUnavailable));
-    control.advance(shortWhile);
+    control.advance(shortWait);
     store->landHeldWrites();
     BOOST_TEST(holders(model("a")) == 0u);
 }
@@ -411,8 +411,8 @@
 {
     startAgent();
     engineFake.faults = { FakeEngine::OrderFault::LoseAnswer };
-    loadWhole(model("a"));
-    BOOST_TEST(engineFake.loadsTaken == 1u);
+    loadAndWait(model("a"));
+    BOOST_TEST(engineFake.loadsAccepted == 1u);
 }
 
 // An agent dies in the middle of a load; the next one on the VM finds the load in the engine and carries it on under
@@ -426,10 +426,10 @@
     BOOST_TEST(holders(model("a")) == 1u);
     const auto watch = load(model("a"));
     engineFake.finishLoads();
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(watch->isLoaded());
-    BOOST_TEST(engineFake.loadsTaken == 1u);
-    BOOST_TEST(stageOf(model("a")).isClaimed);
+    BOOST_TEST(engineFake.loadsAccepted == 1u);
+    BOOST_TEST(replicaOf(model("a")).isClaimed);
 }
 
 // An agent dies right after it sent a load order, which the engine reads only much later. The restarted agent sees a
@@ -443,19 +443,19 @@
     killAgent();
     startAgent();
     control.advance(Milliseconds(1000));
-    BOOST_CHECK(stageOf(model("a")).stage == ReplicaStage::Settling);
+    BOOST_CHECK(replicaOf(model("a")).stage == ReplicaStage::Settling);
     const auto other = load(model("b"));
     control.advance(Milliseconds(1000));
-    BOOST_TEST(engineFake.loadsTaken == 0u);
-    engineFake.landHeld();
-    control.advance(shortWhile);
-    BOOST_CHECK(stageOf(model("a")).stage == ReplicaStage::Loading);
+    BOOST_TEST(engineFake.loadsAccepted == 0u);
+    engineFake.deliverHeld();
+    control.advance(shortWait);
+    BOOST_CHECK(replicaOf(model("a")).stage == ReplicaStage::Loading);
     BOOST_TEST(holders(model("a")) == 1u);
     BOOST_TEST(!other->isDone);
     engineFake.finishLoads();
-    control.advance(shortWhile);
+    control.advance(shortWait);
     engineFake.finishLoads();
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(other->isLoaded());
     BOOST_TEST(!engineFake.isOvercommitted);
 }
@@ -484,9 +484,9 @@
     startAgent();
     control.advance(Milliseconds(1000));
     BOOST_TEST(holders(model("a")) == 0u);
-    loadWhole(model("b"));
-    engineFake.landHeld();
-    BOOST_TEST(engineFake.loadsTaken == 1u);
+    loadAndWait(model("b"));
+    engineFake.deliverHeld();
+    BOOST_TEST(engineFake.loadsAccepted == 1u);
     BOOST_TEST(!engineFake.isOvercommitted);
 }
 
@@ -497,14 +497,14 @@
     BOOST_TEST(load(model("a"))->isRefused(ErrorCode::NotReady));
     store->setAvailable(true);
     control.advance(Milliseconds(5000));
-    loadWhole(model("a"));
+    loadAndWait(model("a"));
 }
 
 // The platform is down when an agent starts beside an engine that has models: they are served all the same.
 BOOST_AUTO_TEST_CASE(whatTheEngineHasIsServedBeforeClaimsAreRead)
 {
     store->setAvailable(false);
-    engineFake.put(model("a"), "v1", 60, EngineReplicaState::Loaded);
+    engineFake.addReplica(model("a"), "v1", 60, EngineReplicaState::Loaded);
     startAgent();
     BOOST_TEST(replicas->beginUse({ model("a"), {} }, control.now()).has_value());
 }
@@ -512,18 +512,18 @@
 BOOST_AUTO_TEST_CASE(aNewVersionReplacesTheOldInItsPlace)
 {
     startAgent();
-    loadWhole(model("a"));
+    loadAndWait(model("a"));
     BOOST_REQUIRE(replicas->beginUse({ model("a"), {} }, control.now()).has_value());
     replicas->setBundle(std::make_shared<bundle::Bundle>(bundleOf(2, 1, "v2")));
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(engineFake.versionOf(model("a")) == "v1");
     replicas->endUse({ model("a"), {} }, control.now());
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(engineFake.versionOf(model("a")) == "v2");
     BOOST_TEST(holders(model("a")) == 1u);
     engineFake.finishLoads();
-    control.advance(shortWhile);
-    BOOST_CHECK(stageOf(model("a")).stage == ReplicaStage::Loaded);
+    control.advance(shortWait);
+    BOOST_CHECK(replicaOf(model("a")).stage == ReplicaStage::Loaded);
     BOOST_TEST(!engineFake.isOvercommitted);
 }
 
@@ -533,14 +533,14 @@
 {
     setHolders(model("a"), { "engine-2" }, 2);
     startAgent(bundleOf(1, 2));
-    loadWhole(model("a"));
+    loadAndWait(model("a"));
     BOOST_REQUIRE(replicas->beginUse({ model("a"), {} }, control.now()).has_value());
     replicas->setBundle(std::make_shared<bundle::Bundle>(bundleOf(2, 1)));
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(replicas->beginUse({ model("a"), {} }, control.now()).has_error());
     BOOST_CHECK(engineFake.stateOf(model("a")) == EngineReplicaState::Loaded);
     replicas->endUse({ model("a"), {} }, control.now());
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(!engineFake.stateOf(model("a")).has_value());
     BOOST_TEST(holders(model("a")) == 1u);
 }
@@ -548,7 +548,7 @@
 BOOST_AUTO_TEST_CASE(anIdleReplicaIsUnloadedInTheEnd)
 {
     startAgent();
-    loadWhole(model("a"));
+    loadAndWait(model("a"));
     control.advance(std::chrono::hours(25));
     BOOST_TEST(!engineFake.stateOf(model("a")).has_value());
     BOOST_TEST(holders(model("a")) == 0u);
@@ -557,13 +557,13 @@
 BOOST_AUTO_TEST_CASE(whatIsUsedAtShortGapsStaysAndAtLongGapsGoes)
 {
     startAgent();
-    useAgainAndAgain(model("a"), Milliseconds(25000), 20);
-    BOOST_TEST(engineFake.loadsTaken == 1u);
+    useRepeatedly(model("a"), Milliseconds(25000), 20);
+    BOOST_TEST(engineFake.loadsAccepted == 1u);
     BOOST_CHECK(engineFake.stateOf(model("a")) == EngineReplicaState::Loaded);
-    Agents rare;
+    ControllerFixture rare;
     rare.startAgent();
-    rare.useAgainAndAgain(model("a"), std::chrono::hours(1), 10);
-    BOOST_TEST(rare.engineFake.loadsTaken == 10u);
+    rare.useRepeatedly(model("a"), std::chrono::hours(1), 10);
+    BOOST_TEST(rare.engineFake.loadsAccepted == 10u);
     rare.loadSlowly(model("a"));
     rare.use(model("a"));
     BOOST_TEST(rare.timeToUnload(model("a")).count() < 25000);
@@ -573,23 +573,23 @@
 // have to be learnt anew each time that it is worth keeping, at its callers' cost.
 BOOST_AUTO_TEST_CASE(gapsSurviveAnUnload)
 {
-    constexpr std::size_t from16To32Seconds = 4;
-    constexpr float allThatThePriorGives = 5;
+    constexpr std::size_t bucket16To32Seconds = 4;
+    constexpr float priorWeight = 5;
     startAgent();
-    useAgainAndAgain(model("a"), Milliseconds(25000), 20);
-    loadWhole(model("b"));
+    useRepeatedly(model("a"), Milliseconds(25000), 20);
+    loadAndWait(model("b"));
     BOOST_REQUIRE(!isKnown(model("a")));
-    loadWhole(model("a"));
-    BOOST_TEST(stageOf(model("a")).gaps.weight(from16To32Seconds) > 2 * allThatThePriorGives);
+    loadAndWait(model("a"));
+    BOOST_TEST(replicaOf(model("a")).gaps.weight(bucket16To32Seconds) > 2 * priorWeight);
     // Those of a model that was never used are the prior only.
-    loadWhole(model("small"));
-    BOOST_TEST(stageOf(model("small")).gaps.weight(from16To32Seconds) <= allThatThePriorGives);
+    loadAndWait(model("small"));
+    BOOST_TEST(replicaOf(model("small")).gaps.weight(bucket16To32Seconds) <= priorWeight);
 }
 
 // An adapter takes so little memory that by itself it stays for hours, and its model with it, which nobody uses.
 BOOST_AUTO_TEST_CASE(adaptersGoBeforeTheirModelAndDoNotHoldIt)
 {
-    Agents alone;
+    ControllerFixture alone;
     alone.startAgent();
     alone.loadSlowly(model("a"));
     alone.use(model("a"));
@@ -606,13 +606,13 @@
 BOOST_AUTO_TEST_CASE(aRestartedEngineFreesItsClaims)
 {
     startAgent();
-    loadWhole(model("a"));
-    control.advance(shortWhile);
+    loadAndWait(model("a"));
+    control.advance(shortWait);
     engineFake.restart();
     control.advance(Milliseconds(5000));
     BOOST_TEST(holders(model("a")) == 0u);
     BOOST_TEST(replicas->beginUse({ model("a"), {} }, control.now()).has_error());
-    loadWhole(model("a"));
+    loadAndWait(model("a"));
 }
 
 // The answer to a load order is lost, the order is given again and that load fails. The first order may still lie
@@ -622,21 +622,21 @@
     startAgent();
     engineFake.faults = { FakeEngine::OrderFault::Hold };
     const auto watch = load(model("a"));
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_CHECK(engineFake.stateOf(model("a")) == EngineReplicaState::Loading);
     engineFake.failLoads();
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(watch->isRefused(ErrorCode::LoadFailed));
-    BOOST_CHECK(stageOf(model("a")).stage == ReplicaStage::Settling);
+    BOOST_CHECK(replicaOf(model("a")).stage == ReplicaStage::Settling);
     const auto other = load(model("b"));
-    control.advance(shortWhile);
-    engineFake.landHeld();
-    control.advance(shortWhile);
+    control.advance(shortWait);
+    engineFake.deliverHeld();
+    control.advance(shortWait);
     BOOST_TEST(!engineFake.isOvercommitted);
     engineFake.finishLoads();
-    control.advance(shortWhile);
+    control.advance(shortWait);
     engineFake.finishLoads();
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(other->isLoaded());
 }
 
@@ -651,7 +651,7 @@
     BOOST_TEST(load(model("a"))->isRefused(ErrorCode::NotReady));
     engineFake.isAvailable = true;
     control.advance(Milliseconds(5000));
-    loadWhole(model("a"));
+    loadAndWait(model("a"));
 }
 
 // An operator releases a claim by force while its agent lives. The next agent to claim relies on the place being free,
@@ -659,10 +659,10 @@
 BOOST_AUTO_TEST_CASE(aReplicaWhoseClaimWasReleasedByForceGoes)
 {
     startAgent(bundleOf(1, 2));
-    loadWhole(model("a"));
+    loadAndWait(model("a"));
     setHolders(model("a"), { "engine-2" });
     replicas->setBundle(std::make_shared<bundle::Bundle>(bundleOf(2, 1)));
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(!engineFake.stateOf(model("a")).has_value());
     BOOST_TEST(holders(model("a")) == 1u);
 }
@@ -673,17 +673,17 @@
     const auto watch = load(model("a"));
     replicas->beginDraining();
     BOOST_TEST(watch->isRefused(ErrorCode::Draining));
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(holders(model("a")) == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(aDrainingAgentLoadsNothingAndKeepsItsClaims)
 {
     startAgent();
-    loadWhole(model("a"));
+    loadAndWait(model("a"));
     replicas->beginDraining();
     BOOST_TEST(load(model("small"))->isRefused(ErrorCode::Draining));
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(holders(model("a")) == 1u);
 }
 
--- a/src/agent/tests/requestgate_test.cpp
+++ b/src/agent/tests/requestgate_test.cpp
@@ -50,7 +50,7 @@
 };
 
 /// Serves everything, unless the test says otherwise.
-class FakeUse final : public ITargetUse {
+class FakeServedTargets final : public IServedTargets {
 public:
     framework::Result<void> beginUse(const Target&, framework::SteadyTime) override
     {
@@ -65,10 +65,10 @@
     int uses = 0;
 };
 
-struct OpenGate {
+struct GateFixture {
     /// Long past for the real clock: what waits by that (`objectstore::updateObject`) tries once and gives up.
     framework::ManualControl control { framework::SteadyTime(std::chrono::milliseconds(1)) };
-    FakeUse use;
+    FakeServedTargets use;
     std::shared_ptr<FakeUpstream> upstream = std::make_shared<FakeUpstream>();
     std::shared_ptr<framework::Metrics> metrics = std::make_shared<framework::Metrics>();
     std::shared_ptr<FakeLink> link = std::make_shared<FakeLink>();
@@ -167,7 +167,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(RequestGates, OpenGate)
+BOOST_FIXTURE_TEST_SUITE(RequestGates, GateFixture)
 
 BOOST_AUTO_TEST_CASE(anAnswerComesWholeWithItsChecksum)
 {
@@ -447,13 +447,13 @@
     gate->linkOpened(router);
     dispatch(1, 60000);
     gate->linkClosed(router);
-    gate->forgetGoneRouters();
+    gate->forgetDisconnectedRouters();
     BOOST_TEST(!upstream->calls[0]->isCancelled);
     control.advance(limits.forgetRouterAfter);
-    gate->forgetGoneRouters();
+    gate->forgetDisconnectedRouters();
     control.runPosted();
     BOOST_TEST(upstream->calls[0]->isCancelled);
-    gate->forgetGoneRouters();
+    gate->forgetDisconnectedRouters();
     BOOST_TEST(gate->ledger().sessions() == 0u);
 }
 
--- a/src/agent/tests/requestledger_test.cpp
+++ b/src/agent/tests/requestledger_test.cpp
@@ -17,7 +17,7 @@
 const SequenceNumber noFloor { 1 };
 const SteadyTime start { std::chrono::hours(1) };
 
-struct OpenLedger {
+struct LedgerFixture {
     RequestLedger ledger = RequestLedger::restart(own, { 4, 100, Milliseconds(1000) });
     std::uint64_t session = ledger.openSession(router, start);
 
@@ -45,7 +45,7 @@
 
 // The router's link falls silent before its frame arrives. It asks over a new link, is told "not run" and sends the
 // draft elsewhere. Minutes later the old frame arrives: without the fence the draft would be made twice.
-BOOST_FIXTURE_TEST_CASE(aLateFrameAfterAResolveDoesNotRun, OpenLedger)
+BOOST_FIXTURE_TEST_CASE(aLateFrameAfterAResolveDoesNotRun, LedgerFixture)
 {
     BOOST_CHECK(resolve(1).value() == ResolveVerdict::Fenced);
     checkRefused(dispatch(1), ErrorCode::Fenced, Execution::NotRun);
@@ -53,13 +53,13 @@
     BOOST_TEST(!ledger.isRunning(key(1)));
 }
 
-BOOST_FIXTURE_TEST_CASE(aCancelBeforeItsDispatchFencesIt, OpenLedger)
+BOOST_FIXTURE_TEST_CASE(aCancelBeforeItsDispatchFencesIt, LedgerFixture)
 {
     ledger.fence(key(1));
     checkRefused(dispatch(1), ErrorCode::Fenced, Execution::NotRun);
 }
 
-BOOST_FIXTURE_TEST_CASE(theSameFrameTwiceRunsOnce, OpenLedger)
+BOOST_FIXTURE_TEST_CASE(theSameFrameTwiceRunsOnce, LedgerFixture)
 {
     BOOST_CHECK(dispatch(1).value() == DispatchVerdict::Started);
     BOOST_CHECK(dispatch(1).value() == DispatchVerdict::AlreadyKnown);
@@ -70,19 +70,19 @@
 
 // The agent dies and starts anew with an empty ledger while a frame to the former process is still under way. Were it
 // taken, a slot could be held twice; were it said to be "not run", that could be a lie about the former process.
-BOOST_FIXTURE_TEST_CASE(aFrameForTheFormerProcessIsRefused, OpenLedger)
+BOOST_FIXTURE_TEST_CASE(aFrameForTheFormerProcessIsRefused, LedgerFixture)
 {
     checkRefused(ledger.dispatch(key(1), Incarnation(99), noFloor), ErrorCode::StaleIncarnation, Execution::NotRun);
     checkRefused(ledger.resolve(key(1), Incarnation(99), noFloor), ErrorCode::StaleIncarnation, Execution::Unknown);
 }
 
-BOOST_FIXTURE_TEST_CASE(sessionsDifferAcrossRestarts, OpenLedger)
+BOOST_FIXTURE_TEST_CASE(sessionsDifferAcrossRestarts, LedgerFixture)
 {
     auto restarted = RequestLedger::restart(Incarnation(5000), {});
     BOOST_TEST(restarted.openSession(router, start) != session);
 }
 
-BOOST_FIXTURE_TEST_CASE(anotherSessionIsRefused, OpenLedger)
+BOOST_FIXTURE_TEST_CASE(anotherSessionIsRefused, LedgerFixture)
 {
     const DispatchKey other { router, session + 1, SequenceNumber(1) };
     checkRefused(ledger.dispatch(other, own, noFloor), ErrorCode::StaleSession, Execution::NotRun);
@@ -92,7 +92,7 @@
 
 // A frame is held up in the network until its request has long been settled and forgotten. Nothing in the ledger tells
 // that it ran before, so the floor must.
-BOOST_FIXTURE_TEST_CASE(belowTheFloorNothingRuns, OpenLedger)
+BOOST_FIXTURE_TEST_CASE(belowTheFloorNothingRuns, LedgerFixture)
 {
     BOOST_REQUIRE(dispatch(1).has_value());
     ledger.complete(key(1), std::nullopt);
@@ -104,7 +104,7 @@
     checkRefused(dispatch(1, 1), ErrorCode::BelowFloor, Execution::NotRun);
 }
 
-BOOST_FIXTURE_TEST_CASE(aRunningEntryBelowTheFloorIsAbandonedOnce, OpenLedger)
+BOOST_FIXTURE_TEST_CASE(aRunningEntryBelowTheFloorIsAbandonedOnce, LedgerFixture)
 {
     BOOST_REQUIRE(dispatch(1).has_value());
     BOOST_REQUIRE(dispatch(2, 2).has_value());
@@ -116,7 +116,7 @@
     BOOST_TEST(ledger.entries() == 1u);
 }
 
-BOOST_FIXTURE_TEST_CASE(answersAreKeptUntilSettled, OpenLedger)
+BOOST_FIXTURE_TEST_CASE(answersAreKeptUntilSettled, LedgerFixture)
 {
     BOOST_REQUIRE(dispatch(1).has_value());
     ledger.storeHead(key(1), 200, { { "Content-Type", "text/plain" } });
@@ -131,7 +131,7 @@
     BOOST_TEST(ledger.bytes() == 0u);
 }
 
-BOOST_FIXTURE_TEST_CASE(entriesAndBytesAreBounded, OpenLedger)
+BOOST_FIXTURE_TEST_CASE(entriesAndBytesAreBounded, LedgerFixture)
 {
     for (std::uint64_t sequence = 1; sequence <= 4; ++sequence)
         BOOST_REQUIRE(dispatch(sequence).has_value());
@@ -145,19 +145,19 @@
     checkRefused(dispatch(5), ErrorCode::TooManyWaiting, Execution::NotRun);
 }
 
-BOOST_FIXTURE_TEST_CASE(onlyRoutersWithoutALinkAreForgotten, OpenLedger)
+BOOST_FIXTURE_TEST_CASE(onlyRoutersWithoutALinkAreForgotten, LedgerFixture)
 {
     ledger.linkOpened(router);
     BOOST_REQUIRE(dispatch(1).has_value());
-    ledger.forgetGoneRouters(start + std::chrono::hours(1));
+    ledger.forgetDisconnectedRouters(start + std::chrono::hours(1));
     BOOST_TEST(ledger.isRunning(key(1)));
     ledger.linkClosed(router, start);
-    ledger.forgetGoneRouters(start + Milliseconds(999));
+    ledger.forgetDisconnectedRouters(start + Milliseconds(999));
     BOOST_TEST(ledger.takeAbandoned().empty());
-    ledger.forgetGoneRouters(start + Milliseconds(1000));
+    ledger.forgetDisconnectedRouters(start + Milliseconds(1000));
     BOOST_TEST(ledger.takeAbandoned().size() == 1u);
     ledger.complete(key(1), std::nullopt);
-    ledger.forgetGoneRouters(start + Milliseconds(1000));
+    ledger.forgetDisconnectedRouters(start + Milliseconds(1000));
     BOOST_TEST(ledger.sessions() == 0u);
     checkRefused(resolve(1), ErrorCode::StaleSession, Execution::Unknown);
 }
--- a/src/agent/tests/servicetimes_test.cpp
+++ b/src/agent/tests/servicetimes_test.cpp
@@ -17,10 +17,10 @@
 BOOST_AUTO_TEST_CASE(nothingIsKnownBeforeTheFirst)
 {
     ServiceTimes times;
-    BOOST_TEST(!times.of(model("a")).has_value());
+    BOOST_TEST(!times.estimateFor(model("a")).has_value());
     times.record(model("a"), Milliseconds(100));
-    BOOST_TEST(times.of(model("a"))->typical.count() == 100);
-    BOOST_TEST(!times.of(model("b")).has_value());
+    BOOST_TEST(times.estimateFor(model("a"))->typical.count() == 100);
+    BOOST_TEST(!times.estimateFor(model("b")).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(targetsAreApartAndAlsoTakenTogether)
@@ -30,11 +30,11 @@
         times.record(model("short"), Milliseconds(10));
         times.record(model("long"), Milliseconds(1010));
     }
-    BOOST_TEST(times.of(model("short"))->high.count() == 11);
-    BOOST_TEST(times.of(model("long"))->low.count() == 848);
-    BOOST_TEST(times.ofAll().typical.count() > 400);
-    BOOST_TEST(times.ofAll().typical.count() < 600);
-    BOOST_TEST(times.ofAll().high > times.ofAll().typical);
+    BOOST_TEST(times.estimateFor(model("short"))->high.count() == 11);
+    BOOST_TEST(times.estimateFor(model("long"))->low.count() == 848);
+    BOOST_TEST(times.estimateForAll().typical.count() > 400);
+    BOOST_TEST(times.estimateForAll().typical.count() < 600);
+    BOOST_TEST(times.estimateForAll().high > times.estimateForAll().typical);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
