--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -6,17 +6,17 @@
 
 #include <memory>
 
-/// The process beside each upstream, its only gate: admits work, keeps the request ledger, and decides what is loaded
-/// within the claims it holds and the memory there is.
+/// The agent runs beside each upstream and is the only process that sends it requests. It admits requests, keeps the
+/// request ledger, and decides which models are loaded, within its claims and the available memory.
 namespace lagoon::agent {
 
-/// Where a running agent can be reached.
+/// Addresses on which a running agent listens.
 struct AgentEndpoints {
     framework::Endpoint link;
     framework::Endpoint ops;
 };
 
-/// Wires the agent's parts together.
+/// Creates and connects the agent's components.
 class Agent {
 public:
     explicit Agent(const AgentSettings&);
@@ -24,10 +24,12 @@
     Agent(const Agent&) = delete;
     Agent& operator=(const Agent&) = delete;
 
-    /// Listens, and begins to read the engine's state, the claims and the bundle; loads nothing before it has them.
+    /// Starts listening and starts reading the engine's state, the claims and the bundle. No model is loaded before all
+    /// three have been read.
     framework::Result<AgentEndpoints> start();
-    /// Refuses what is new as not run and lets what is running and waiting end, as far as the grace period of the
-    /// settings allows: what waits longer is refused as not run, what runs longer is stopped. Then closes all.
+    /// Refuses new requests as not run and lets running and waiting ones finish within the grace period of the
+    /// settings: requests that wait longer are refused as not run, requests that run longer are stopped. Then closes
+    /// all links and stops all threads.
     void shutDown();
 
 private:
--- a/src/agent/agentsettings.h
+++ b/src/agent/agentsettings.h
@@ -16,11 +16,11 @@
 
 struct UpstreamSettings {
     UpstreamKind kind = UpstreamKind::Engine;
-    /// Such as `http://127.0.0.1:9000`.
+    /// For example `http://127.0.0.1:9000`.
     std::string url;
-    /// Whether the engine refuses an order with a fencing number older than one that it has seen.
+    /// Whether the engine rejects an order whose fencing token is older than one that it has already seen.
     bool checksFencing = false;
-    /// For engines that don't: how long an order of a former process may still wait unread in the engine.
+    /// For engines that don't check: how long an order of a previous agent process may stay unread in the engine.
     framework::Milliseconds settling { 10000 };
 };
 
@@ -28,11 +28,11 @@
     std::uint32_t running = 64;
     std::uint32_t waiting = 256;
     std::size_t ledgerEntries = 20000;
-    /// Of all answers kept for routers that haven't settled them.
+    /// Total size of the answers kept for routers that haven't settled them.
     std::size_t ledgerBytes = std::size_t(256) * 1024 * 1024;
-    /// Of one answer; a longer one is broken off.
+    /// Maximum size of one answer; a longer answer is aborted.
     std::size_t answerBytes = std::size_t(32) * 1024 * 1024;
-    /// After this long without a link, a router's entries are dropped.
+    /// A router's ledger entries are dropped after this long without a link.
     framework::Milliseconds forgetRouterAfter { 300000 };
 };
 
@@ -44,11 +44,11 @@
     objectstore::ObjectStoreSettings platform;
     UpstreamSettings upstream;
     AgentLimits limits;
-    /// From the request to end until the process is ended by force.
+    /// Time from the shutdown request until the process is killed.
     framework::Milliseconds shutdownGrace = framework::usualGrace;
 };
 
-/// Reads and checks the settings of an agent. `source` is the file, for the error.
+/// Parses and validates the settings of an agent. `source` is the file name shown in errors.
 framework::Result<AgentSettings> parseAgentSettings(const std::string& text, const std::string& source);
 
 } // namespace lagoon::agent
--- a/src/agent/imodelengine.h
+++ b/src/agent/imodelengine.h
@@ -6,18 +6,19 @@
 
 namespace lagoon::agent {
 
-/// An order's replica, its memory and the fencing number that engines may check.
+/// The checkpoint to load or unload, its memory and the fencing token that engines may check.
 struct EngineOrder {
     Checkpoint checkpoint;
     framework::MebiBytes memory;
     framework::FencingNumber fence;
 };
 
-/// Orders to a model engine. Calls block; never make them on the control thread. Thread-safe.
+/// Reads a model engine's state and sends it orders. Calls block, so they must not be made on the control thread.
+/// Thread-safe.
 ///
-/// An order's success means "accepted"; its end shows in the state. Errors: `UpstreamFailed` with `Execution::Unknown`
-/// if the order may have been, or may still be, taken; `NotLoaded`, `MemoryShort` and `Fenced` (an old fencing number)
-/// are the engine's refusals.
+/// Success of an order means that the engine accepted it; its completion shows in the engine's state. Errors:
+/// `UpstreamFailed` with `Execution::Unknown` if the engine may have accepted the order or may still receive it;
+/// `NotLoaded`, `MemoryShort` and `Fenced` (outdated fencing token) are refusals by the engine.
 class IModelEngine {
 public:
     virtual ~IModelEngine() = default;
--- a/src/agent/internal/admissionqueue.h
+++ b/src/agent/internal/admissionqueue.h
@@ -8,33 +8,33 @@
 
 namespace lagoon::agent {
 
-/// A dispatch that waits for its turn.
+/// A dispatch in the queue.
 struct WaitingDispatch {
     DispatchKey key;
     std::uint8_t priority = 0;
     framework::Deadline deadline;
 };
 
-/// How many dispatches are at the upstream, and which goes next: the highest priority, then the earliest deadline.
-/// Pure.
+/// Limits how many dispatches run at the upstream and how many wait, and selects the next to start: the highest
+/// priority first, then the earliest deadline. Does no I/O and reads no clock.
 class AdmissionQueue {
 public:
     AdmissionQueue(std::uint32_t maxRunning, std::uint32_t maxWaiting);
 
-    /// False when too many wait already.
+    /// Returns false if the queue is full.
     [[nodiscard]] bool enqueue(const WaitingDispatch&);
-    /// Drops one that no longer waits, such as a cancelled one.
+    /// Removes a dispatch that no longer waits, for example a cancelled one.
     void remove(const DispatchKey&);
-    /// Takes those whose turn it is; each counts as running until `recordEnd`.
+    /// Removes and returns the dispatches that can start now; each counts as running until `recordEnd`.
     std::vector<WaitingDispatch> takeStartable();
-    /// Takes those whose deadline has passed.
+    /// Removes and returns the dispatches whose deadline has passed.
     std::vector<WaitingDispatch> takeExpired(framework::SteadyTime now);
     void recordEnd();
 
     bool isWaiting(const DispatchKey&) const;
-    /// Whether a new one would start now.
+    /// Whether a new dispatch would start immediately.
     bool hasFreeSlot() const { return queue_.empty() && running_ < maxRunning_; }
-    /// How many of those waiting would go before it.
+    /// Number of waiting dispatches that would start before this one.
     std::uint32_t ahead(const WaitingDispatch&) const;
     std::uint32_t maxRunning() const { return maxRunning_; }
     std::uint32_t running() const { return running_; }
--- a/src/agent/internal/agent.cpp
+++ b/src/agent/internal/agent.cpp
@@ -31,12 +31,12 @@
 using framework::Milliseconds;
 
 constexpr std::size_t platformThreads = 4;
-/// One reads the state while others give orders; orders wait for the engine's answer only.
+/// One thread reads the state while others send orders. An order only waits for the engine's answer, not for the load.
 constexpr std::size_t engineThreads = 3;
 constexpr Milliseconds housekeepingInterval { 5000 };
 constexpr Milliseconds drainCheckInterval { 20 };
 constexpr Milliseconds statusTimeout { 1000 };
-/// For routers to confirm the last answers; those that are gone never will.
+/// Time for routers to confirm the last answers; routers that have disconnected never confirm.
 constexpr Milliseconds settleTimeout { 2000 };
 
 } // namespace
@@ -66,7 +66,7 @@
     framework::SystemClock clock_;
     std::shared_ptr<framework::Metrics> metrics_ = std::make_shared<framework::Metrics>();
     framework::ControlThread control_;
-    // Pools of their own, so that a platform that hangs doesn't keep the engine's state from being read.
+    // Separate pools, so that a hanging platform doesn't prevent the engine's state from being read.
     framework::WorkerPool platformCalls_ { platformThreads };
     framework::WorkerPool engineCalls_ { engineThreads };
     objectstore::ObjectStoreClient platform_;
@@ -80,7 +80,7 @@
     std::unique_ptr<framework::Timer> housekeeping_;
     std::unique_ptr<framework::Timer> drainCheck_;
     std::atomic<bool> isDraining_ { false };
-    /// All of it was started.
+    /// Whether `start` has succeeded.
     bool isStarted_ = false;
     bool isStopped_ = false;
 };
@@ -160,8 +160,9 @@
     isStopped_ = true;
     isDraining_ = true;
     framework::logInfo("agent", "draining");
-    // Claims are kept: the VM lives on and its engine still has the models, so a free claim would let another VM load
-    // one replica too many. The next agent here adopts both; if the VM goes, the platform's list frees them.
+    // Claims are kept: the VM stays up and its engine still has the models, so a released claim would let another VM
+    // load one replica too many. The next agent on this VM adopts models and claims. If the VM itself is removed, the
+    // platform's VM list lets other agents drop its claims.
     auto end = framework::ServiceEnd::after(clock_.now(), settings_.shutdownGrace);
     if (!isStarted_)
         end.noticedBy = Deadline();
@@ -186,9 +187,10 @@
     control_.stop();
 }
 
-/// Closing the links when the last answer was sent could cut it on its way: a sent answer may still be in a queue.
-/// Routers say when they have one, so the links stay open until then. They stay open also until routers that send on
-/// have heard from a refusal that the agent ends: what they send while the links close may have run for all they know.
+/// Completes shutdown once it is safe to close the links. Closing them right after the last answer was sent could
+/// truncate it, since it may still be in a send queue; the links stay open until routers have confirmed all answers.
+/// They also stay open until routers that still send requests have learned from a refusal that the agent shuts down:
+/// for a request sent while the links close, a router can't tell whether it has run.
 void Agent::Implementation::checkDrained(
     std::promise<bool>& drained, const framework::ServiceEnd& end, std::optional<Deadline> settleBy)
 {
@@ -214,7 +216,7 @@
 
 std::string Agent::Implementation::status()
 {
-    // The state belongs to the control thread; when that is stopped meanwhile, there is nothing left to show.
+    // The state belongs to the control thread. If that thread has been stopped, there is no state left to show.
     auto text = std::make_shared<std::promise<std::string>>();
     auto future = text->get_future();
     control_.post([this, text] { text->set_value(statusText(statusView())); });
--- a/src/agent/internal/agentstatus.h
+++ b/src/agent/internal/agentstatus.h
@@ -8,7 +8,7 @@
 
 namespace lagoon::agent {
 
-/// What `/status` is made from.
+/// Data shown by the `/status` endpoint.
 struct StatusView {
     const framework::ProcessIdentity& identity;
     const framework::PoolName& pool;
@@ -16,12 +16,12 @@
     std::uint64_t bundleVersion = 0;
     bool isDraining = false;
     const RequestGate& gate;
-    /// Null for a plain service.
+    /// Null if the upstream is a plain service.
     const ReplicaController* replicas = nullptr;
     framework::SteadyTime now {};
 };
 
-/// The state as JSON.
+/// Formats the status as JSON.
 std::string statusText(const StatusView&);
 
 } // namespace lagoon::agent
--- a/src/agent/internal/httpheaders.cpp
+++ b/src/agent/internal/httpheaders.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-/// Set anew for the upstream, or answered by each hop for itself.
+/// Headers that each hop answers (`Expect`) or sets (`Host`) itself.
 const std::set<std::string> hopHeaders { "expect", "host" };
 
-/// Names that a Connection header declares to belong to its connection.
+/// Names of headers that a Connection header declares to belong to its connection only.
 std::set<std::string> connectionOptions(const HttpHeaders& headers)
 {
     std::set<std::string> names;
--- a/src/agent/internal/httpheaders.h
+++ b/src/agent/internal/httpheaders.h
@@ -4,8 +4,8 @@
 
 namespace lagoon::agent {
 
-/// The headers that go on to the other side: without those that belong to one connection (RFC 9110, 7.6.1), `Host`
-/// and `Content-Length`, which each connection has anew.
+/// Returns the headers to forward: without hop-by-hop headers (RFC 9110, 7.6.1), and without `Host` and
+/// `Content-Length`, which are set for each connection separately.
 HttpHeaders endToEndHeaders(const HttpHeaders&);
 
 } // namespace lagoon::agent
--- a/src/agent/internal/httpmodelengine.cpp
+++ b/src/agent/internal/httpmodelengine.cpp
@@ -18,7 +18,8 @@
 
 constexpr framework::JsonLimits stateLimits { std::size_t(16) * 1024 * 1024, 16 };
 
-/// An engine may say more than is known here, so unlike settings its answers aren't refused for an unknown key.
+/// Reads an optional field. Unlike settings, an engine's answer may have unknown keys, since engines may report more
+/// than is used here.
 std::string stringField(const web::json::value& object, const std::string& key)
 {
     return object.has_string_field(key) ? object.at(key).as_string() : std::string();
@@ -57,7 +58,8 @@
     std::string body;
 };
 
-/// One HTTP call, waited for. Errors say `Unknown` unless the connection was refused.
+/// Makes one HTTP call and waits for its answer. Errors have `Execution::Unknown` unless nothing was sent: no time was
+/// left or the connection was refused.
 Result<Answer> call(const std::string& url, const web::http::http_request& request, Deadline deadline)
 {
     const auto remaining = deadline.remaining(std::chrono::steady_clock::now());
@@ -150,7 +152,8 @@
 {
     constexpr auto code = ErrorCode::UpstreamFailed;
     BOOST_OUTCOME_TRY(value, framework::parseJson(text, source, code, stateLimits));
-    // Half a state must not pass for an empty engine: claims would be freed while it still holds the models.
+    // An incomplete state must not be taken for an empty engine: claims would be released while the engine still holds
+    // the models.
     if (!value.is_object() || numberField(value, "memory_mib") == 0 || !value.has_array_field("replicas"))
         return Error { code, "read engine state", source, "expected memory_mib above 0 and replicas" };
     if (objectArray(value, "replicas").size() != value.at("replicas").size())
--- a/src/agent/internal/httpmodelengine.h
+++ b/src/agent/internal/httpmodelengine.h
@@ -7,10 +7,10 @@
 
 namespace lagoon::agent {
 
-/// A model engine that speaks HTTP and JSON as described in OUTSIDE.md, by cpprest's client.
+/// Creates a cpprest client of a model engine that speaks HTTP and JSON as described in OUTSIDE.md.
 std::shared_ptr<IModelEngine> makeHttpModelEngine(const std::string& url);
 
-/// Reads the answer to `GET /v1/state`. Keys that aren't known are let pass: engines may say more.
+/// Parses the answer to `GET /v1/state`. Unknown keys are ignored, since engines may report more.
 framework::Result<EngineState> parseEngineState(const std::string& text, const std::string& source);
 
 } // namespace lagoon::agent
--- a/src/agent/internal/httpupstream.cpp
+++ b/src/agent/internal/httpupstream.cpp
@@ -17,7 +17,7 @@
 using web::http::client::http_client;
 using web::http::client::http_client_config;
 
-/// cpprest's own timeout only bounds idleness; each call's deadline is kept by whoever runs it.
+/// cpprest's timeout only limits how long a connection is idle; the caller of `run` enforces the call's deadline.
 constexpr std::chrono::hours idleLimit { 24 };
 constexpr std::size_t maxReadBytes = 64 * 1024;
 
@@ -28,8 +28,8 @@
     return std::make_shared<http_client>(web::uri(url), config);
 }
 
-/// cpprest gives this code for a connection that was refused, and for a header that couldn't be written; the text
-/// tells them apart. Only the first is certain: nothing was sent.
+/// cpprest reports the same error code for a refused connection and for a header that couldn't be written; only the
+/// text differs. Only after a refused connection is it certain that nothing was sent.
 bool isConnectFailure(const web::http::http_exception& exception)
 {
     return exception.error_code().value() == static_cast<int>(std::errc::host_unreachable)
@@ -66,7 +66,8 @@
         readNext();
     }
 
-    /// `body().read` would wait for the whole stream; a peek and then what is there gives each chunk as it comes.
+    /// Reads each chunk as it arrives: waits by a peek for the next byte, then reads what is available. `body().read`
+    /// would wait for the whole stream.
     void readNext()
     {
         response_.body().streambuf().getc().then([self = shared_from_this()](const pplx::task<int>& peeked) {
@@ -94,7 +95,7 @@
             });
     }
 
-    /// cpprest reports failures by exceptions; none may leave this file.
+    /// Converts cpprest's exceptions to failure events; no exception may leave this file.
     template <typename Step> void runGuarded(const char* step, Step&& run)
     {
         try {
@@ -148,14 +149,15 @@
 
     std::shared_ptr<IUpstreamCall> run(UpstreamRequest request, UpstreamEvents events) override
     {
-        // cpprest sends a request again by itself when a pooled connection turns out to be closed, though the upstream
-        // may have run it; the caller sees one answer, the upstream two calls. A new client has no pooled connection.
+        // cpprest resends a request by itself when a pooled connection turns out to be closed, although the upstream
+        // may have run it: the caller gets one answer while the upstream gets two calls. A new client has no pooled
+        // connection.
         auto client = request.isRepeatable ? pooled_ : newClient(url_);
         auto call = std::make_shared<HttpUpstreamCall>(std::move(client), url_, events);
         try {
             call->start(httpRequest(request));
         } catch (const std::exception& exception) {
-            // Only what is wrong with the request itself throws here, before anything is sent.
+            // Only an invalid request throws here, before anything is sent.
             events.onFailed(Error { ErrorCode::BadRequest, "call upstream", url_, exception.what() });
         }
         return call;
--- a/src/agent/internal/httpupstream.h
+++ b/src/agent/internal/httpupstream.h
@@ -7,7 +7,7 @@
 
 namespace lagoon::agent {
 
-/// An upstream that speaks HTTP, by cpprest's client.
+/// Creates a cpprest client of an upstream that speaks HTTP.
 std::shared_ptr<IUpstream> makeHttpUpstream(const std::string& url);
 
 } // namespace lagoon::agent
--- a/src/agent/internal/idlegaphistory.h
+++ b/src/agent/internal/idlegaphistory.h
@@ -9,17 +9,17 @@
 
 namespace lagoon::agent {
 
-/// How long targets lie idle on this VM, remembered also while they aren't loaded: of the gaps during which one stayed
-/// loaded alone, only the short ones would be known. Control thread only.
+/// Records how long targets are idle between uses on this VM, also while they aren't loaded: measuring only the gaps
+/// during which a target stayed loaded would miss the long ones. Control thread only.
 class IdleGapHistory {
 public:
-    /// An idle target is used.
+    /// Records that an idle target is used again.
     void beginUse(const ReplicaId&, framework::SteadyTime now);
-    /// A target's last use has ended.
+    /// Records that a target's last use has ended.
     void endUse(const ReplicaId&, framework::SteadyTime now);
-    /// The target's own gaps, with those of all targets here as their prior.
+    /// The target's own gaps, with the gaps of all targets on this VM as their prior.
     policy::IdleGaps gaps(const ReplicaId&) const;
-    /// Forgets those for which `isKept` is false, or the targets of all bundles ever would add up.
+    /// Removes the targets for which `isKept` is false. Otherwise the targets of old bundles would accumulate.
     void keepOnly(const std::function<bool(const ReplicaId&)>& isKept);
 
 private:
--- a/src/agent/internal/memoryaccount.h
+++ b/src/agent/internal/memoryaccount.h
@@ -7,15 +7,18 @@
 
 namespace lagoon::agent {
 
-/// The accelerator memory of one upstream. Memory is reserved before a load is ordered and freed only after the engine
-/// confirmed that the replica is gone, so the sum of what it may have to hold never passes what there is. Pure.
+/// Accounts for the accelerator memory of one upstream. Memory is reserved before a load is ordered and freed only
+/// after the engine has confirmed that the replica is gone, so the replicas that the engine may have to hold never need
+/// more than the total. Does no I/O.
 class MemoryAccount {
 public:
-    /// What the engine says there is; before that nothing can be reserved.
+    /// Sets the total reported by the engine. Nothing can be reserved before.
     void setTotal(framework::MebiBytes total);
-    /// False if it doesn't fit; a replica that has a reservation keeps it, which must suffice.
+    /// Returns false if the memory doesn't fit. An existing reservation of the replica counts towards the new one and
+    /// is never reduced.
     [[nodiscard]] bool reserve(const ReplicaId&, framework::MebiBytes);
-    /// Enters what the engine holds whether or not it fits: the account follows the truth.
+    /// Sets the memory that the engine holds for a replica, or may still have to hold, whether or not it fits: the
+    /// engine's state takes precedence over the plan.
     void setReservation(const ReplicaId&, framework::MebiBytes);
     void free(const ReplicaId&);
 
--- a/src/agent/internal/replica.h
+++ b/src/agent/internal/replica.h
@@ -13,24 +13,24 @@
 
 namespace lagoon::agent {
 
-/// The life of a replica on this VM, in the usual order.
+/// Stages of a replica on this VM, in their usual order.
 enum class ReplicaStage : std::uint8_t {
-    WaitingForModel, ///< an adapter whose model is loaded first
-    Claiming, ///< the platform is asked for a place under the replica cap
-    WaitingForMemory, ///< others are unloaded to make room
+    WaitingForModel, ///< an adapter that waits until its model is loaded
+    Claiming, ///< a claim within the replica cap is requested from the platform
+    WaitingForMemory, ///< other replicas are unloaded to free memory
     Loading,
     Loaded,
-    Draining, ///< takes no new requests; unloaded when the last has ended
+    Draining, ///< accepts no new requests; unloaded when the last one has ended
     Unloading,
-    /// The engine doesn't have it, but an order whose answer was lost, or a former process's, may still be on its way
-    /// there. Claim and memory stay taken until that is excluded.
+    /// The engine doesn't have the replica, but an order whose answer was lost, or an order of a previous process, may
+    /// still reach the engine. Claim and memory stay reserved until that is ruled out.
     Settling,
-    Releasing, ///< gone from the engine; the claim is given up, again and again until the platform has it
+    Releasing, ///< gone from the engine; the claim's release is retried until the platform has accepted it
 };
 
 std::string stageText(ReplicaStage);
 
-/// Called once: nothing if it is loaded, or why not.
+/// Called once: with std::nullopt if the replica is loaded, else with the reason why it isn't.
 using LoadDone = std::function<void(const std::optional<framework::Error>&)>;
 
 struct LoadWaiter {
@@ -38,14 +38,14 @@
     LoadDone done;
 };
 
-/// A replica as its controller knows it.
+/// State of a replica, as tracked by its controller.
 struct Replica {
     ReplicaId id;
     framework::WeightsVersion version;
     framework::MebiBytes memory;
     ReplicaStage stage = ReplicaStage::Claiming;
 
-    /// A call to the platform or the engine is under way for it; there is never a second.
+    /// A call to the platform or the engine is in progress for this replica; there is never more than one.
     bool isBusy = false;
     framework::Deadline retryAt;
     std::uint32_t failedTries = 0;
@@ -56,25 +56,25 @@
     bool needsConfirm = false;
     bool needsCountCheck = false;
 
-    /// The engine has accepted this stage's order.
+    /// The engine has accepted the order of the current stage.
     bool isOrdered = false;
     framework::SteadyTime orderedAt {};
-    /// An order's answer was lost.
+    /// The engine may still receive a load order: its answer was lost, or a previous process may have sent one.
     bool mayArriveLate = false;
     framework::Deadline settlingEndsAt;
-    /// States in a row that lack it.
+    /// Number of consecutive engine states that don't list the replica.
     std::uint32_t absences = 0;
     bool reloadsAfterUnload = false;
 
     framework::SteadyTime stageEnteredAt {};
     std::uint32_t uses = 0;
-    /// Since it was loaded.
+    /// Whether the replica was used since it was loaded.
     bool wasUsed = false;
     framework::SteadyTime lastUsed {};
     std::vector<framework::SteadyTime> recentUses;
-    /// What its next load is expected to take; see `policy::LoadedReplica`.
+    /// Expected duration of its next load; see `policy::LoadedReplica`.
     framework::Milliseconds loadTime { 0 };
-    /// As of its last use, with the prior.
+    /// Idle gaps as of its last use, including the prior.
     policy::IdleGaps gaps;
     std::vector<LoadWaiter> waiters;
 
--- a/src/agent/internal/replicaclaims.cpp
+++ b/src/agent/internal/replicaclaims.cpp
@@ -46,7 +46,7 @@
         object.holders.begin(), object.holders.end(), [&](const ReplicaHolder& holder) { return holder.vm == vm; });
 }
 
-/// Whether the object shows this claim in this state.
+/// Whether the object has this claim in this state.
 bool hasClaim(
     const std::string& text, const ObjectKey& key, const VmName& vm, const std::string& nonce, HolderState state)
 {
@@ -81,8 +81,8 @@
     auto claimed = tryClaim(id, nonce, kind, decided, {}, deadline);
     if (claimed.has_value() || claimed.error().code != ErrorCode::ReplicaCapReached)
         return claimed;
-    // A VM that was reclaimed can't free its claims, and the model would stay short of a replica for good. The list's
-    // "gone" says that neither its process nor its accelerators' content exist, so nothing can come back.
+    // A reclaimed VM can't release its claims, so the model would permanently have one replica too few. A VM listed as
+    // "gone" has neither its process nor the content of its accelerators any more, so its replicas can't come back.
     BOOST_OUTCOME_TRY(gone, goneVms(deadline));
     if (gone.empty())
         return claimed;
@@ -103,7 +103,8 @@
         const ReplicaHolder own { identity_.vm, incarnation_, nonce, HolderState::Loading };
         const auto former = holderOf(object, identity_.vm);
         if (former != object.holders.end()) {
-            // Not freed, but taken over: the former process's load may still reach the engine, so the place is taken.
+            // The claim is taken over without being released in between: the previous process's load order may still
+            // reach the engine, so the slot stays occupied.
             *former = own;
             return toChange(object);
         }
@@ -149,14 +150,15 @@
     update.change = [&](const StoredText& text) -> Result<ObjectChange> {
         BOOST_OUTCOME_TRY(object, parse(text, objectKey));
         const auto own = holderOf(object, identity_.vm);
-        // Without it there is a write all the same: a claim whose answer was lost may still be on its way, and lands
-        // only on the version that it expects. Else it would take a place that nobody knows of.
+        // The object is written even if it doesn't have the claim, which changes its version. A claim write whose
+        // answer was lost may still be in transit and fails on another version than it expects; otherwise it would take
+        // a slot that no agent knows of.
         if (own != object.holders.end() && own->nonce == nonce)
             object.holders.erase(own);
         return toChange(object);
     };
-    // After a lost answer the object is read again; without this claim in it there is nothing left to do, whoever
-    // wrote it.
+    // After a lost answer the object is read again. If it doesn't have this claim, there is nothing left to do,
+    // whichever process wrote it.
     update.isOwnWrite = [&](const std::string& text) {
         const auto object = bundle::parseReplicaObject(text, objectKey);
         const ReplicaHolder* own = object.has_value() ? object.value().holder(identity_.vm) : nullptr;
@@ -174,7 +176,7 @@
         return true;
     BOOST_OUTCOME_TRY(object, bundle::parseReplicaObject(stored->value, objectKey));
     const std::uint32_t allowed = bundle::applyDecision(object, decided);
-    // Without it, an operator's forced release has given the place away.
+    // If this VM isn't among the holders, an operator has released its claim by force and another VM may use the slot.
     const auto own = holderOf(object, identity_.vm);
     return own - object.holders.begin() >= static_cast<std::ptrdiff_t>(allowed) || own == object.holders.end();
 }
@@ -199,8 +201,8 @@
     return own;
 }
 
-/// A site has more objects than this process may read in one burst, so each refused read waits for its turn; to begin
-/// the whole list anew instead would never come to its end.
+/// Retries the read of one object until the deadline while the platform is unavailable. A site has more objects than
+/// this process may read in one burst; restarting the whole list after a refused read would never finish.
 Result<std::optional<objectstore::StoredObject>> ReplicaClaims::getWithRetry(const ObjectKey& key, Deadline deadline)
 {
     for (;;) {
--- a/src/agent/internal/replicaclaims.h
+++ b/src/agent/internal/replicaclaims.h
@@ -12,9 +12,9 @@
 
 namespace lagoon::agent {
 
-/// Claims by conditional updates of `replicas/<site>/<model>[/<adapter>]`: the count and all holders are in the one
-/// object, so two agents can't both take the last place. A claim never lapses by time: an agent that is paused can't
-/// renew it, while its engine goes on holding the model.
+/// Writes claims by conditional updates of `replicas/<site>/<model>[/<adapter>]`. The count and all holders are in one
+/// object, so two agents can't both take the last slot. A claim never expires: a paused agent couldn't renew it while
+/// its engine still holds the model.
 class ReplicaClaims final : public IReplicaClaims {
 public:
     ReplicaClaims(std::shared_ptr<objectstore::IObjectStore>, std::shared_ptr<objectstore::IVmList>,
--- a/src/agent/internal/replicacontroller.cpp
+++ b/src/agent/internal/replicacontroller.cpp
@@ -21,7 +21,7 @@
 using framework::SteadyTime;
 
 constexpr std::size_t maxRecentUses = 8;
-/// Longer than a request takes from its router to here once the load was reported.
+/// Longer than a request takes to arrive from its router after the load was reported.
 constexpr Milliseconds firstUseGrace { 5000 };
 
 } // namespace
@@ -79,7 +79,7 @@
             replica.needsCountCheck = true;
         drainIfOutdated(replica);
         const auto weights = weightsOf(id);
-        // What may still arrive must fit as well; a model that the bundle doesn't know may be of any size.
+        // A load order that may still arrive must fit as well. A model that isn't in the bundle may have any size.
         if (replica.stage == ReplicaStage::Settling)
             account_.setReservation(id, weights ? weights->memory : account_.total());
     }
@@ -118,7 +118,7 @@
     advance();
 }
 
-/// An adapter is loaded beside its model, so the model comes first.
+/// Makes the adapter wait for its model, which must be loaded first, and adds the model if it isn't known yet.
 void ReplicaController::addPendingModel(const ReplicaId& id)
 {
     setStage(*find(id), ReplicaStage::WaitingForModel);
@@ -160,7 +160,7 @@
 {
     const auto end = [&](const ReplicaId& id) {
         Replica* replica = find(id);
-        // A replica may have vanished from its engine under its requests.
+        // The engine may have lost the replica while requests were using it.
         if (!replica || replica->uses == 0)
             return gaps_.endUse(id, now);
         --replica->uses;
@@ -266,13 +266,14 @@
     std::sort(waiting.begin(), waiting.end(),
         [](const Replica* one, const Replica* other) { return one->stageEnteredAt < other->stageEnteredAt; });
     for (Replica* replica : waiting) {
-        // In their order, or small loads would keep a large one waiting for good.
+        // Loads are admitted in the order in which they began to wait; otherwise small loads could keep a large one
+        // waiting forever.
         if (!tryAdmitLoad(*replica, now))
             return;
     }
 }
 
-/// False if this load has to wait for others' unloads.
+/// Returns false if the load has to wait until other replicas are unloaded.
 bool ReplicaController::tryAdmitLoad(Replica& replica, SteadyTime now)
 {
     if (!isRequested(replica)) {
@@ -311,7 +312,7 @@
         drain(*find({ views[index].model, views[index].adapter }), "idle");
 }
 
-/// All loaded ones; those that can't be unloaded yet are given as running.
+/// Policy views of all loaded replicas; those that can't be unloaded yet are shown as running.
 std::vector<policy::LoadedReplica> ReplicaController::loadedViews(SteadyTime now) const
 {
     std::vector<policy::LoadedReplica> views;
@@ -331,8 +332,8 @@
         return false;
     if (!replica.id.isAdapter() && hasAdaptersInTransition(replica.id.model))
         return false;
-    // Guards against loading for nobody, again and again: those for whom it was loaded hear of it only now, and where
-    // loads are short the policy would have it gone before their requests arrive.
+    // Prevents repeated loads that serve no request: the callers that a replica was loaded for learn of the load only
+    // now, and where loads are short the policy would unload the replica before their requests arrive.
     return replica.wasUsed || Deadline::after(replica.stageEnteredAt, firstUseGrace).hasPassed(now);
 }
 
@@ -347,13 +348,14 @@
         waiters.erase(firstExpired, waiters.end());
         for (const LoadWaiter& waiter : expired)
             waiter.done(refusal(ErrorCode::DeadlinePassed, id, stageText(replica.stage), retryWhenBusy));
-        // Otherwise its model would still count as wanted, keep its claim and block other loads that wait for memory.
+        // Otherwise the adapter's model would still count as requested, keep its claim and block other loads that wait
+        // for memory.
         if (replica.stage == ReplicaStage::WaitingForModel && waiters.empty())
             failLoad(replica, refusal(ErrorCode::DeadlinePassed, id, "nobody waits any more", retryWhenBusy));
     }
 }
 
-/// Whether a loaded replica is still what the bundle decided.
+/// Drains a loaded replica that the bundle no longer assigns to this pool, or whose version it has changed.
 void ReplicaController::drainIfOutdated(Replica& replica)
 {
     if (!bundle_ || replica.stage != ReplicaStage::Loaded)
@@ -366,7 +368,7 @@
         return drain(replica, "not_decided");
     if (weights->version == replica.version)
         return;
-    // The place under the cap is kept: the new version is loaded into it once the old one is gone.
+    // The claim is kept: the new version is loaded under it once the old one is unloaded.
     replica.reloadsAfterUnload = true;
     drain(replica, "new_version");
 }
@@ -508,7 +510,8 @@
     });
 }
 
-/// Between that from where its checkpoint is now and that from disk: by then others may have taken its place in memory.
+/// The mean of the load times from where the checkpoint is now and from disk or slower: by the time of the reload,
+/// other checkpoints may have displaced it from memory.
 Milliseconds ReplicaController::expectedReloadTime(const Replica& replica) const
 {
     const auto from = [&](policy::CheckpointPlace place) {
--- a/src/agent/internal/replicacontroller.h
+++ b/src/agent/internal/replicacontroller.h
@@ -21,7 +21,7 @@
 
 namespace lagoon::agent {
 
-/// Runs blocking work elsewhere.
+/// Runs blocking work on another thread.
 using WorkRunner = std::function<void(std::function<void()>)>;
 
 struct ReplicaSettings {
@@ -31,7 +31,7 @@
     framework::Milliseconds settling { 10000 };
 };
 
-/// What the controller works with.
+/// Dependencies of a ReplicaController.
 struct ReplicaPorts {
     framework::IControlExecutor& control;
     const framework::IClock& clock;
@@ -42,11 +42,11 @@
     std::shared_ptr<framework::Metrics> metrics;
 };
 
-/// What a load here would cost.
+/// Whether a replica can be loaded on this VM, and what the load would cost.
 struct LoadOffer {
     bool isLoaded = false;
     bool isLoading = false;
-    /// Why it can't be loaded; nothing if it can.
+    /// Why the replica can't be loaded; std::nullopt if it can.
     std::optional<framework::Error> refusal;
     framework::MebiBytes available;
     framework::MebiBytes evicted;
@@ -55,19 +55,20 @@
     framework::Milliseconds expectedLoad { 0 };
 };
 
-/// Decides on all replicas of one engine: which are loaded and unloaded, and when their claims and memory are taken
-/// and freed. Control thread only; each event leads to one pass over the replicas (`advance`).
+/// Controls all replicas of one engine: which are loaded and unloaded, and when their claims and memory are taken and
+/// freed. Control thread only; each event triggers one pass over the replicas (`advance`).
 ///
-/// The order that keeps the promises: claim, then memory, then the load order; and back: the engine's confirmation,
-/// then memory, then the claim. Nothing is ordered before both the engine's state and the platform's claims were read.
+/// The replica cap and the memory limit hold because of a fixed sequence. Loading: claim, then memory, then the load
+/// order. Unloading: the engine's confirmation, then memory, then the claim. Nothing is ordered before both the
+/// engine's state and the platform's claims have been read.
 class ReplicaController final : public IServedTargets {
 public:
     ReplicaController(ReplicaPorts, ReplicaSettings);
 
-    /// Begins to read what the engine has and what is claimed.
+    /// Starts reading the engine's state and this VM's claims.
     void start();
     void setBundle(bundle::BundlePointer);
-    /// From now on nothing more is loaded or unloaded, and those who wait for a load are told so. Claims stay: the
+    /// From now on nothing is loaded or unloaded, and callers that wait for a load are refused. Claims are kept: the
     /// engine still has the models, and the next agent on this VM adopts them.
     void beginDraining();
 
@@ -77,13 +78,13 @@
     framework::Result<void> beginUse(const Target&, framework::SteadyTime now) override;
     void endUse(const Target&, framework::SteadyTime now) override;
 
-    /// Both the engine's state and the platform's claims have been read.
+    /// Whether both the engine's state and the platform's claims have been read.
     bool isInitialized() const { return hasEngineState_ && hasReadClaims_; }
     const std::map<ReplicaId, Replica>& replicas() const { return replicas_; }
     const MemoryAccount& memory() const { return account_; }
 
 private:
-    /// Calls for the engine's state that failed in a row before it is taken to be away.
+    /// Number of consecutive failed state calls after which the engine counts as unreachable.
     static constexpr std::uint32_t failuresUntilUnreachable = 3;
 
     struct Weights {
@@ -138,7 +139,7 @@
         std::function<void(Replica&, const framework::Result<void>&)>);
     void finishCall(const ReplicaId&, const std::function<void(Replica&)>&);
 
-    // Queries.
+    // Queries (replicaqueries.cpp).
     Replica* find(const ReplicaId&);
     const Replica* find(const ReplicaId&) const;
     std::optional<Weights> weightsOf(const ReplicaId&) const;
--- a/src/agent/internal/replicaobservation.cpp
+++ b/src/agent/internal/replicaobservation.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <set>
 
-/// How the engine's state, read again and again, moves the replicas on.
+/// Polls the engine's state and updates the stages of the replicas from it.
 namespace lagoon::agent {
 
 namespace {
@@ -19,9 +19,9 @@
 constexpr Milliseconds transitionPollInterval { 50 };
 constexpr Milliseconds steadyPollInterval { 1000 };
 constexpr Milliseconds stateCallTimeout { 2000 };
-/// One state may be older than an order that was accepted while it was made.
+/// A single state may be older than an order that was accepted while the state was being produced.
 constexpr std::uint32_t absencesUntilGone = 2;
-/// An unload that was accepted and doesn't show is ordered again.
+/// An accepted unload that doesn't show in the engine's state after this time is ordered again.
 constexpr Milliseconds unloadRetryInterval { 2000 };
 
 } // namespace
@@ -69,7 +69,7 @@
     }
 }
 
-/// A new engine is empty, so its first state is believed.
+/// A restarted engine is empty, so a replica missing from its first state counts as gone.
 void ReplicaController::handleEngineRestart()
 {
     framework::logWarning("agent", "the engine has restarted");
@@ -83,7 +83,7 @@
     const ReplicaId& id = seen.checkpoint.replica;
     Replica* replica = find(id);
     if (replica && replica->stage == ReplicaStage::Releasing) {
-        // A load that came later than the settling time allowed for: the truth goes before the plan.
+        // The load order arrived later than the settling time allows for. The engine's state takes precedence.
         ports_.metrics->count("lagoon_late_loads_total");
         replica->isClaimed = false;
     }
@@ -98,7 +98,8 @@
     handleReportedLoaded(*replica, seen);
 }
 
-/// Takes over a replica that the engine has without an order of this process: a former one's, or a late one.
+/// Takes over a replica that the engine has without a pending order of this process: it was ordered by a previous
+/// process, or by an order that arrived late.
 Replica& ReplicaController::adopt(Replica* known, const EngineReplica& seen)
 {
     const SteadyTime now = ports_.clock.now();
@@ -108,7 +109,7 @@
     setStage(replica, ReplicaStage::Loading);
     replica.version = seen.checkpoint.version;
     replica.memory = seen.memory;
-    // It needs no order of ours; how long it has been loading isn't known either.
+    // The replica needs no order from this process. How long it has been loading isn't known.
     replica.isOrdered = true;
     replica.orderedAt = now;
     if (seen.state == EngineReplicaState::Loaded) {
@@ -120,7 +121,7 @@
     return replica;
 }
 
-/// What the engine's "loaded" means for a replica that this process has orders out for.
+/// Updates a replica that the engine reports as loaded: completes its load, or has an overdue unload ordered again.
 void ReplicaController::handleReportedLoaded(Replica& replica, const EngineReplica& seen)
 {
     if (seen.state != EngineReplicaState::Loaded)
@@ -138,7 +139,7 @@
     switch (replica.stage) {
     case ReplicaStage::Loading:
     case ReplicaStage::Unloading:
-        // Only a state that was asked for after the order was accepted says what became of it.
+        // Only a state that was requested after the order was accepted shows the order's outcome.
         if (!replica.isOrdered || requestedAt <= replica.orderedAt || ++replica.absences < absencesUntilGone)
             return;
         if (replica.stage == ReplicaStage::Unloading)
--- a/src/agent/internal/replicaoperations.cpp
+++ b/src/agent/internal/replicaoperations.cpp
@@ -5,8 +5,8 @@
 
 #include <algorithm>
 
-/// The controller's calls to the platform and the engine. They block, so they run elsewhere; a replica has at most one
-/// under way, and its result is taken on the control thread.
+/// The controller's calls to the platform and the engine. They block, so they run on other threads. A replica has at
+/// most one call in progress, whose result is handled on the control thread.
 namespace lagoon::agent {
 
 namespace {
@@ -21,7 +21,7 @@
 using framework::SteadyTime;
 
 constexpr Milliseconds platformUpdateTimeout { 5000 };
-/// A site has thousands of objects, and a process may read some tens a second.
+/// A site has thousands of objects, and a process may read some tens of them per second.
 constexpr Milliseconds claimsReadTimeout { 300000 };
 constexpr Milliseconds orderCallTimeout { 5000 };
 constexpr Milliseconds initialRetryDelay { 100 };
@@ -29,7 +29,7 @@
 constexpr std::uint32_t maxDoublings = 6;
 constexpr std::uint32_t maxLoadOrders = 20;
 
-/// Doubles with each failure, with up to half again of jitter, so that agents don't ask a recovering platform in step.
+/// Exponential backoff. The jitter of up to half the delay prevents agents from calling a recovering platform in step.
 Milliseconds retryDelay(std::uint32_t failedTries)
 {
     const std::uint32_t doublings = std::min(failedTries, maxDoublings);
@@ -102,7 +102,8 @@
 void ReplicaController::handleClaims(const std::vector<ReplicaId>& held)
 {
     if (!hasEngineState_) {
-        // What the engine has comes first, else each of its replicas would look as if it were yet to arrive.
+        // The engine's state must be read first. Otherwise each of its replicas would look as if its load order were
+        // yet to arrive.
         const Deadline again = Deadline::after(ports_.clock.now(), initialRetryDelay);
         claimsTimer_ = ports_.control.runAt(again, [this, held] { handleClaims(held); });
         return;
@@ -112,7 +113,7 @@
         if (find(id))
             continue;
         const auto weights = weightsOf(id);
-        // Of an unknown size it may be as large as all there is; nothing else is loaded until it is settled.
+        // A replica of unknown size may need the whole memory, so nothing else is loaded until it has settled.
         const Weights reserved
             = weights ? *weights : Weights { framework::WeightsVersion("unknown"), account_.total() };
         add(id, reserved, ReplicaStage::Settling).mayArriveLate = true;
@@ -144,7 +145,7 @@
             }
             if (kind == ClaimKind::Adopted)
                 return retryLater(claimed, "adopt_claim");
-            // An update without an answer may have taken effect, so there may be something to give up.
+            // An update whose answer was lost may have taken effect, so there may be a claim to release.
             claimed.isClaimed = fence.error().execution == Execution::Unknown;
             failLoad(claimed, fence.error());
         });
@@ -165,7 +166,7 @@
             }
             if (result.error().code != ErrorCode::PlatformConflict)
                 return retryLater(confirmed, "confirm_claim");
-            // An operator's forced release took the claim away: whoever gets the place relies on it being free.
+            // An operator released the claim by force. The agent that takes the slot relies on it being free.
             ports_.metrics->count("lagoon_claims_lost_total");
             confirmed.needsConfirm = false;
             drain(confirmed, "claim_lost");
@@ -202,7 +203,8 @@
             return claims->release(id, nonce, deadline);
         },
         [this](Replica& released, const Result<void>& result) {
-            // The platform may be down for long; the claim is ours to free and stays on the list until it is freed.
+            // The platform may be down for a long time. This agent has to release its claim, so the replica stays
+            // listed until the release succeeds.
             if (result.has_error())
                 return retryLater(released, "release_claim");
             released.isClaimed = false;
@@ -241,7 +243,7 @@
     }
     const Error& error = result.error();
     if (error.code == ErrorCode::Fenced) {
-        // Another claim of this replica was written since ours; a new one has a newer number.
+        // Another claim of this replica has been written since; claiming again gives a newer fencing token.
         setStage(replica, ReplicaStage::Claiming);
         return retryLater(replica, "stale_fence");
     }
@@ -250,7 +252,7 @@
     const bool isUnanswered = error.code == ErrorCode::UpstreamFailed;
     if (!isUnanswered || replica.failedTries >= maxLoadOrders)
         return failLoad(replica, error);
-    // The same order again is harmless, whether or not the first was taken.
+    // Repeating the order is harmless, whether or not the engine accepted the first one.
     retryLater(replica, "load_order");
 }
 
@@ -265,16 +267,18 @@
         [this](Replica& ordered, const Result<void>& result) { handleUnloadAnswer(ordered, result); });
 }
 
-/// While settling, an order of a former process, or one whose answer was lost, may be read by the engine only after
-/// this one: were memory or claim freed at once, the late load would overcommit the accelerator or pass the cap.
-/// An engine that checks fencing numbers refuses it, since it has now seen the newer number of the claim taken over.
-/// For one that ignores them, this answered unload and a settling time must do. That rests on the engine's machine
-/// not keeping unread bytes of a closed connection for longer than the settling time.
+/// While a replica settles, the engine may still read a load order after this unload order: an order of a previous
+/// process, or one whose answer was lost. If memory or claim were freed immediately, the late load would overcommit the
+/// accelerator or exceed the replica cap. An engine that checks fencing tokens refuses the late order, since this
+/// unload carries the newer token of the claim that was taken over. For an engine that ignores tokens, the answer to
+/// this unload and a settling time have to suffice. This relies on the engine's machine not keeping unread bytes of a
+/// closed connection for longer than the settling time.
 void ReplicaController::handleUnloadAnswer(Replica& replica, const Result<void>& result)
 {
     if (result.has_error() && result.error().code == ErrorCode::Fenced)
         replica.isClaimed = false;
-    // "Not loaded" is also said of a replica in use; the state tells, and the order is repeated then.
+    // An engine also answers "not loaded" for a replica in use. Its state then still lists the replica, and the order
+    // is repeated.
     const bool isAnswered = result.has_value() || result.error().code == ErrorCode::NotLoaded;
     if (!isAnswered)
         return retryLater(replica, "unload_order");
--- a/src/agent/internal/replicaqueries.cpp
+++ b/src/agent/internal/replicaqueries.cpp
@@ -1,4 +1,4 @@
-// What a ReplicaController knows and would decide; nothing here changes it.
+// Queries of ReplicaController: its state, and what it would decide. None of them changes it.
 #include "agent/internal/replicacontroller.h"
 #include "agent/internal/replicarefusal.h"
 
@@ -94,8 +94,8 @@
     return needed;
 }
 
-/// Memory of replicas on their way out, and of those that a former process left and nobody waits for: once they have
-/// settled they are gone or can be unloaded.
+/// Memory of replicas that are being unloaded, and of replicas left by a previous process that no caller waits for:
+/// once these have settled, they are gone or can be unloaded.
 std::uint64_t ReplicaController::memoryBeingFreed() const
 {
     std::uint64_t beingFreed = 0;
@@ -138,7 +138,7 @@
     view.running = replica.uses;
     view.recentUses = replica.recentUses;
     view.gaps = replica.gaps;
-    // A model whose adapter is on its way in is in use.
+    // A model counts as in use while one of its adapters is being loaded.
     for (const auto& [id, other] : replicas_) {
         if (id.isAdapter() && id.model == replica.id.model && !replica.id.isAdapter() && other.isBeingLoaded())
             ++view.running;
@@ -206,7 +206,7 @@
     return !id.isAdapter() || (model && model->stage == ReplicaStage::Loaded);
 }
 
-/// Whether anyone still has use for a load that isn't ordered yet.
+/// Whether a load that isn't ordered yet is still needed: by a caller, for a reload, or by an adapter of the model.
 bool ReplicaController::isRequested(const Replica& replica) const
 {
     if (!replica.waiters.empty() || replica.reloadsAfterUnload)
--- a/src/agent/internal/replicarefusal.h
+++ b/src/agent/internal/replicarefusal.h
@@ -7,14 +7,14 @@
 
 namespace lagoon::agent {
 
-/// When to come back to an agent that is in a transition, or whose memory is all in use.
+/// Retry delays for an agent that is in a transition, and for one whose memory is all in use.
 inline constexpr framework::Milliseconds retryWhenBusy { 1000 };
 inline constexpr framework::Milliseconds retryWhenFull { 2000 };
 
-/// Why a replica can't be loaded or used now; never run.
+/// Error for a replica that can't be loaded or used now. The request was not run.
 framework::Error refusal(
     framework::ErrorCode, const ReplicaId&, std::string detail, framework::Milliseconds retryAfter);
-/// Why it can't be at all, as the bundle stands.
+/// Error for a replica that can't be loaded at all with the current bundle or by this process; it has no retry delay.
 framework::Error permanentRefusal(framework::ErrorCode, const ReplicaId&, std::string detail);
 
 } // namespace lagoon::agent
--- a/src/agent/internal/requestgate.cpp
+++ b/src/agent/internal/requestgate.cpp
@@ -22,11 +22,11 @@
 constexpr std::size_t maxChunkBytes = std::size_t(256) * 1024;
 constexpr std::uint8_t highestPriority = 9;
 constexpr Milliseconds retryWhenFull { 500 };
-/// Another upstream may serve at once what this one, whose agent ends, didn't.
+/// Retry delay of requests that are refused because the agent shuts down; another upstream may serve them immediately.
 constexpr Milliseconds retryElsewhere { 1000 };
 constexpr unsigned short notFound = 404;
-/// An answer or refusal is to reach the router before the deadline: it refuses some time before that itself, and could
-/// then say only "unknown".
+/// How long before the deadline an answer or refusal has to be sent to reach the router in time. Shortly before the
+/// deadline the router refuses the request itself, and can then only report it as "unknown".
 constexpr Milliseconds deliveryMargin { 50 };
 
 DispatchKey keyOf(const fb::DispatchIdT& id)
@@ -94,7 +94,7 @@
     return error;
 }
 
-/// In [0, 1), by the dispatch, so that those refused together don't come back together.
+/// A fraction in [0, 1) derived from the dispatch, so that requests refused together aren't retried together.
 double jitterFraction(const DispatchKey& key)
 {
     return static_cast<double>(policy::mixed(key.router.value() + key.sequence.value()) >> 11U) * 0x1p-53;
@@ -172,9 +172,10 @@
     startQueued();
 }
 
-/// Guards against a queue that is longer than the deadlines: past saturation each request would be started just before
-/// its caller gives up, so that the upstream is busy and hardly anyone is served. What a place in the queue can't
-/// serve in time is refused at once, as long as service times are known; with a free place it is always tried.
+/// Prevents a queue that is longer than the deadlines: past saturation each request would be started just before its
+/// caller gives up, so that the upstream is busy but hardly any request is served in time. Once service times are
+/// known, a request that can't be served in time from its position in the queue is refused immediately. If a slot is
+/// free, the request is always tried.
 std::optional<Error> RequestGate::queueRefusal(const WaitingDispatch& waiting, const Target& target) const
 {
     const auto own = serviceTimes_.estimateFor(target);
@@ -191,14 +192,15 @@
     return hopeless;
 }
 
-/// By when the answer must be whole.
+/// Time by which the answer must be complete.
 Deadline RequestGate::answerDeadline(Deadline ofRequest) const
 {
     return serviceEnd_ ? std::min(ofRequest, serviceEnd_->answerBy) : ofRequest;
 }
 
-/// One that waits is refused when it would have to run by now: later ones of higher priority may have gone before it.
-/// The agent's word has to come before the router's own timer, which could say only "unknown".
+/// Refuses a waiting request at the latest time at which it would have to be started: later requests of higher priority
+/// may have overtaken it. The refusal has to reach the router before the router's own timer expires, which could only
+/// report "unknown".
 void RequestGate::armQueueTimer(const DispatchKey& key, Call& call)
 {
     const auto own = serviceTimes_.estimateFor(call.target);
@@ -216,8 +218,8 @@
     });
 }
 
-/// Guards against a burst on a replica that was just loaded: its queue was filled before anyone knew how long a request
-/// takes. With the first measurement those that can't be served in time are refused.
+/// Refuses waiting requests that can't be served in time, after the first measured service time of the target. A burst
+/// on a newly loaded replica fills the queue before it is known how long a request takes.
 void RequestGate::refuseHopeless(const Target& target)
 {
     std::vector<std::pair<DispatchKey, Error>> hopeless;
@@ -231,7 +233,7 @@
             armQueueTimer(key, call);
     }
     for (auto& [key, error] : hopeless) {
-        // An earlier one's end may have started it.
+        // Stopping an earlier request may have started this one.
         if (admission_.isWaiting(key))
             stop(key, std::move(error));
     }
@@ -246,8 +248,8 @@
     call.deadlineTimer = ports_.control.runAt(last, [this, key, why] { stop(key, why); });
 }
 
-/// One that was stopped after longer than usual is a measurement too, or an upstream that has become too slow for every
-/// deadline would never be noticed.
+/// Also records calls that were stopped after more than the typical time; otherwise an upstream that has become too
+/// slow for every deadline would never be noticed.
 void RequestGate::recordServiceTime(const Call& call, bool isWhole)
 {
     const auto took = std::chrono::duration_cast<Milliseconds>(ports_.clock.now() - call.startedAt);
@@ -273,7 +275,8 @@
     armRunTimer(key, call);
     const auto waited = call.startedAt - call.receivedAt;
     ports_.metrics->observeSeconds("lagoon_agent_wait_seconds", std::chrono::duration<double>(waited).count());
-    // Events come on other threads and in order, and so they are posted; a call that has ended is no longer found.
+    // Events arrive on other threads and in order, so they are posted to the control thread. Events of a call that has
+    // ended are ignored, because the call is no longer found.
     UpstreamEvents events;
     events.onHead = [this, key](unsigned short status, HttpHeaders headers) {
         ports_.control.post([this, key, status, headers = std::move(headers)] { handleHead(key, status, headers); });
@@ -296,8 +299,8 @@
         ledger_.fence(key);
 }
 
-/// Ends a call before its time. One that hasn't gone to the upstream ends at once as not run; else the upstream's
-/// connection is closed, and its failure ends the call.
+/// Stops a call early. A call that hasn't been sent to the upstream ends immediately as not run. Otherwise the
+/// connection to the upstream is closed, and the resulting failure ends the call.
 void RequestGate::stop(const DispatchKey& key, Error reason)
 {
     Call* call = find(key);
@@ -318,7 +321,7 @@
     Call* call = find(key);
     if (!call || call->stopReason)
         return;
-    // An engine says 404 before it runs anything: it has lost the replica since its state was last read.
+    // An engine answers 404 before it runs anything: it has lost the replica since its state was last read.
     if (status == notFound && !call->target.isService())
         return stop(key, refusal(ErrorCode::NotLoaded, "the engine doesn't have it", Execution::NotRun));
     ledger_.storeHead(key, status, std::move(headers));
@@ -350,7 +353,7 @@
     if (!call)
         return;
     Error reported = call->stopReason.value_or(error);
-    // Nothing can have been run over a connection that was never made, whatever stopped the call.
+    // Nothing can have been run if the connection was never established, whatever stopped the call.
     if (error.execution == Execution::NotRun)
         reported.execution = Execution::NotRun;
     end(key, std::move(reported));
@@ -464,7 +467,8 @@
     stopAbandoned();
 }
 
-/// Nobody waits for these: their caller was told something else meanwhile, or their router is gone.
+/// Stops calls that nobody waits for any more: their callers have received another result, or their router has
+/// disconnected.
 void RequestGate::stopAbandoned()
 {
     for (const DispatchKey& key : ledger_.takeAbandoned())
@@ -483,9 +487,9 @@
     stopAbandoned();
 }
 
-/// Guards against an agent that is ended by force over its queue: nobody could say any more that what waited there was
-/// never given to the upstream, and its callers would hear only at their deadlines that it may have run. What can't end
-/// in time by the forecast goes to another upstream at once.
+/// Prevents the process from being killed while requests still wait: no process could then report that they never
+/// reached the upstream, and their callers would learn only at their deadlines that the requests may have run. Requests
+/// that can't end in time by the forecast are refused immediately, so that another upstream can serve them.
 void RequestGate::beginDraining(const framework::ServiceEnd& end)
 {
     serviceEnd_ = end;
--- a/src/agent/internal/requestgate.h
+++ b/src/agent/internal/requestgate.h
@@ -19,7 +19,7 @@
 
 namespace lagoon::agent {
 
-/// What the gate works with.
+/// Dependencies of a RequestGate.
 struct GatePorts {
     framework::IControlExecutor& control;
     const framework::IClock& clock;
@@ -28,9 +28,9 @@
     std::shared_ptr<framework::Metrics> metrics;
 };
 
-/// Takes each dispatch from a router through ledger, admission and upstream to its one answer or refusal. The work
-/// doesn't depend on the link it came by: when that falls silent, it goes on and its answer is kept for `resolve`.
-/// Control thread only.
+/// Handles dispatches from routers: passes each through the ledger, the admission queue and the upstream, and sends
+/// exactly one answer or refusal. The work doesn't depend on the link that the dispatch came over: when the link goes
+/// silent, the work continues and its answer is kept for `resolve`. Control thread only.
 class RequestGate {
 public:
     RequestGate(GatePorts, framework::Incarnation own, const AgentLimits&);
@@ -42,27 +42,27 @@
     std::uint64_t openSession(framework::Incarnation router);
     void linkOpened(framework::Incarnation router);
     void linkClosed(framework::Incarnation router);
-    /// Drops what routers that are gone have left.
+    /// Drops the ledger entries of routers that have been disconnected for too long.
     void forgetDisconnectedRouters();
-    /// From now on everything new is refused as not run, and what was taken has its end in time for the process's.
+    /// From now on new dispatches are refused as not run, and accepted ones end in time for the process to exit.
     void beginDraining(const framework::ServiceEnd&);
 
     std::uint32_t running() const { return admission_.running(); }
     std::uint32_t waiting() const { return admission_.waiting(); }
     bool isIdle() const { return calls_.empty(); }
-    /// Routers have confirmed all answers.
+    /// Whether routers have confirmed all answers.
     bool isSettled() const { return isIdle() && ledger_.entries() == 0; }
     const RequestLedger& ledger() const { return ledger_; }
 
 private:
-    /// A dispatch that hasn't ended.
+    /// A dispatch that waits or runs.
     struct Call {
         Target target;
         UpstreamRequest request;
         std::shared_ptr<wire::ILink> link;
         std::unique_ptr<framework::Timer> deadlineTimer;
         std::shared_ptr<IUpstreamCall> upstream;
-        /// Why it was stopped; in place of what the upstream says then.
+        /// Why the call was stopped; replaces the error that the upstream then reports.
         std::optional<framework::Error> stopReason;
         framework::SteadyTime receivedAt {};
         framework::SteadyTime startedAt {};
--- a/src/agent/internal/requestledger.cpp
+++ b/src/agent/internal/requestledger.cpp
@@ -25,8 +25,8 @@
     return RequestLedger(own, limits);
 }
 
-// Session numbers begin at the incarnation, which is random: a Cancel names only the session, and one that was meant
-// for a former process must not hit an id of this one.
+// Session numbers start at the incarnation, which is random. A Cancel frame names only the session, and one addressed
+// to a previous process must not match an id of this process.
 RequestLedger::RequestLedger(framework::Incarnation own, const LedgerLimits& limits)
     : own_(own)
     , limits_(limits)
@@ -75,7 +75,7 @@
 framework::Result<DispatchVerdict> RequestLedger::dispatch(
     const DispatchKey& key, framework::Incarnation agentIncarnation, SequenceNumber floor)
 {
-    // Whatever is refused here doesn't run by this frame; what an earlier frame of the same id did, only Resolve asks.
+    // A frame that is refused here isn't run. Whether an earlier frame of the same id was run is for `resolve` to tell.
     auto session = sessionFor(key, agentIncarnation);
     if (session.has_error()) {
         Error error = session.error();
@@ -83,7 +83,7 @@
         return error;
     }
     raiseFloor(key.router, *session.value(), floor);
-    // A frame that was delayed for longer than its request lived would run it a second time.
+    // Prevents a second run by a frame that arrives after its request was settled.
     if (key.sequence < session.value()->floor)
         return refusal(ErrorCode::BelowFloor, "the id is settled", Execution::NotRun);
     auto& entries = session.value()->entries;
@@ -119,7 +119,7 @@
     if (key.sequence < session->floor)
         return refusal(ErrorCode::BelowFloor, "the id is settled and forgotten", Execution::Unknown);
     if (session->entries.count(key.sequence) == 0) {
-        // Without room for the fence a late frame could run, so nothing may be promised.
+        // Without space for the fence a late frame could still run, so the outcome is unknown.
         if (entries_ >= limits_.entries)
             return refusal(ErrorCode::TooManyWaiting, "the ledger has no room for a fence", Execution::Unknown);
         fence(key);
@@ -149,7 +149,7 @@
     session.floor = floor;
     auto entry = session.entries.begin();
     while (entry != session.entries.end() && entry->first < floor) {
-        // A running one stays until its work has ended, or the accounts of the upstream's load would be wrong.
+        // A running entry stays until its work has ended; otherwise the accounted load of the upstream would be wrong.
         if (entry->second.state == EntryState::Running) {
             abandoned_.insert(DispatchKey { router, session.number, entry->first });
             ++entry;
@@ -211,7 +211,7 @@
         }
         const SequenceNumber past(~std::uint64_t { 0 });
         raiseFloor(session->first, session->second, past);
-        // Entries that still run hold the session until their upstream calls have ended.
+        // Running entries keep the session until their upstream calls have ended.
         session = session->second.entries.empty() ? sessions_.erase(session) : std::next(session);
     }
 }
@@ -234,7 +234,7 @@
 
 RequestLedger::Entry* RequestLedger::findRunning(const DispatchKey& key)
 {
-    // The entry belongs to this object, which isn't const here.
+    // The cast is safe: the entry belongs to this object, which isn't const here.
     auto* entry = const_cast<Entry*>(find(key));
     return entry && entry->state == EntryState::Running ? entry : nullptr;
 }
--- a/src/agent/internal/requestledger.h
+++ b/src/agent/internal/requestledger.h
@@ -15,7 +15,7 @@
 
 namespace lagoon::agent {
 
-/// Names a dispatch: an entry of one router incarnation's session.
+/// Identifies a dispatch: a sequence number in the session of one router incarnation.
 struct DispatchKey {
     framework::Incarnation router;
     std::uint64_t session = 0;
@@ -24,7 +24,7 @@
     friend auto operator<=>(const DispatchKey&, const DispatchKey&) = default;
 };
 
-/// As much of an answer as the upstream has given, or the refusal in its place.
+/// The part of an answer received from the upstream so far, or the refusal in its place.
 struct StoredAnswer {
     bool hasHead = false;
     unsigned short status = 0;
@@ -42,54 +42,54 @@
 };
 
 enum class DispatchVerdict : std::uint8_t {
-    Started, ///< new: run it
-    AlreadyKnown, ///< the same frame again: ignore it
+    Started, ///< a new id, which the caller must run
+    AlreadyKnown, ///< a repeated frame, which the caller must ignore
 };
 
 enum class ResolveVerdict : std::uint8_t {
-    Fenced, ///< it was never seen, and a late frame will be refused: not run
+    Fenced, ///< the id was never seen and a late frame will be refused, so it is not run
     Running,
     Done,
 };
 
-/// What this agent process knows of each dispatch, so that none runs twice and "not run" is true. See "The request
-/// ledger" in DESIGN.md; the actions `dispatch`, `fence`, `resolve`, `settle`, `complete` and `restart` bear the names
-/// that the model under models/ uses. Pure: no I/O, no clock.
+/// Records each dispatch that this agent process has received, so that none runs twice and a dispatch reported as "not
+/// run" never runs. See "The request ledger" in DESIGN.md; the actions `dispatch`, `fence`, `resolve`, `settle`,
+/// `complete` and `restart` have the same names as in the model under models/. Does no I/O and reads no clock.
 class RequestLedger {
 public:
-    /// What a restarted process begins with: nothing known, under a new incarnation. Frames meant for the former one
-    /// are refused, so that a late one can't run in the empty ledger.
+    /// Creates the empty ledger of a restarted process, which has a new incarnation. Frames addressed to the previous
+    /// incarnation are refused, so that a late one can't run because the ledger is empty.
     static RequestLedger restart(framework::Incarnation own, const LedgerLimits&);
 
-    /// The session of this router process: the same for all its links while the ledger remembers it.
+    /// Returns the session of a router process: the same for all its links, as long as the ledger keeps it.
     std::uint64_t openSession(framework::Incarnation router, framework::SteadyTime now);
-    /// A router's link opened or closed; only sessions without a link are ever forgotten.
+    /// Track how many links a router has open; only sessions without a link are ever dropped.
     void linkOpened(framework::Incarnation router);
     void linkClosed(framework::Incarnation router, framework::SteadyTime now);
 
-    /// Enters a new id as running. The error is a refusal and says whether it is known not to have run.
+    /// Records a new id as running. An error is a refusal and says whether the id is known not to have run.
     framework::Result<DispatchVerdict> dispatch(
         const DispatchKey&, framework::Incarnation agentIncarnation, framework::SequenceNumber floor);
-    /// Makes an unseen id one that will never run; others are left alone.
+    /// Marks an unseen id so that it will never run; known ids are left unchanged.
     void fence(const DispatchKey&);
-    /// What became of the id; an unseen one is fenced.
+    /// Returns the state of the id; an unseen id is fenced.
     framework::Result<ResolveVerdict> resolve(
         const DispatchKey&, framework::Incarnation agentIncarnation, framework::SequenceNumber floor);
-    /// Forgets the answers below the floor.
+    /// Drops the entries below the floor: the router no longer needs their answers.
     void settle(framework::Incarnation router, std::uint64_t session, framework::SequenceNumber floor);
-    /// The answer is whole, or the refusal stands in its place.
+    /// Marks the answer as complete, or stores the refusal in its place.
     void complete(const DispatchKey&, std::optional<framework::Error> refusal);
 
     void storeHead(const DispatchKey&, unsigned short status, HttpHeaders);
     void storeBytes(const DispatchKey&, const std::string& bytes);
 
-    /// Drops sessions whose router has had no link for long.
+    /// Drops sessions whose router has had no link for `forgetRouterAfter`.
     void forgetDisconnectedRouters(framework::SteadyTime now);
-    /// Running ids for which no router waits any more, each given once: stop them.
+    /// Returns running ids that no router waits for any more and that must be stopped; each id is returned once.
     std::vector<DispatchKey> takeAbandoned();
 
     bool isRunning(const DispatchKey&) const;
-    /// Null if the id isn't running or done.
+    /// Null if the id is neither running nor done.
     const StoredAnswer* answer(const DispatchKey&) const;
     std::size_t entries() const { return entries_; }
     std::size_t bytes() const { return bytes_; }
--- a/src/agent/internal/routerlinks.cpp
+++ b/src/agent/internal/routerlinks.cpp
@@ -15,7 +15,7 @@
 using framework::Milliseconds;
 namespace fb = wire::fb;
 
-/// Routers ping while work is in flight, and need no link else.
+/// Routers ping while requests are in progress, and otherwise need no link.
 constexpr Milliseconds linkIdleTimeout { 300000 };
 
 ReplicaId replicaOf(const fb::TargetT& target)
@@ -46,7 +46,8 @@
 
 Error notAnEngine() { return Error { ErrorCode::UnknownModel, "load", "", "this upstream is a plain service" }; }
 
-/// The home decides by a bundle that this agent reads in a moment; by its own it would refuse what is decided now.
+/// Refusal of a load that its home decided on by a newer bundle, which this agent has yet to read. By its older bundle
+/// the agent would refuse what the newer one allows.
 Error bundleNotReadYet()
 {
     constexpr Milliseconds retryWhenRead { 500 };
--- a/src/agent/internal/routerlinks.h
+++ b/src/agent/internal/routerlinks.h
@@ -10,7 +10,7 @@
 
 namespace lagoon::agent {
 
-/// Takes the frames of routers' links to the parts they are for. Control thread only, but for `handlers`.
+/// Passes frames from the routers' links to the components that handle them. Control thread only, except `handlers`.
 class RouterLinks {
 public:
     struct Context {
@@ -19,7 +19,7 @@
         framework::VmName ownVm;
         framework::Incarnation ownIncarnation;
         RequestGate& gate;
-        /// Null for a plain service, which has no replicas.
+        /// Null if the upstream is a plain service, which has no replicas.
         ReplicaController* replicas;
         bundle::IBundleWatch& bundles;
         std::shared_ptr<framework::Metrics> metrics;
@@ -27,9 +27,10 @@
 
     explicit RouterLinks(const Context&);
 
-    /// For the transport's `listen`.
+    /// Callbacks to pass to the transport's `listen`.
     wire::LinkHandlers handlers();
-    /// Closes links over which nothing has come for long: their peers are gone, or open another when they need one.
+    /// Closes links over which no frame has arrived for a long time: their routers are gone, or open another link when
+    /// they need one.
     void closeIdle();
 
 private:
--- a/src/agent/internal/servedservices.cpp
+++ b/src/agent/internal/servedservices.cpp
@@ -16,7 +16,7 @@
 
 framework::Result<void> ServedServices::beginUse(const Target& target, framework::SteadyTime)
 {
-    // An agent that starts while the platform is down has no bundle; the router's word must do then.
+    // An agent that starts while the platform is down has no bundle and relies on the router's choice.
     if (target.isService() && !bundle_)
         return framework::success();
     const bundle::Service* service = target.isService() ? bundle_->service(target.service) : nullptr;
--- a/src/agent/internal/servedservices.h
+++ b/src/agent/internal/servedservices.h
@@ -5,7 +5,7 @@
 
 namespace lagoon::agent {
 
-/// For an upstream that is a plain service: it serves what the bundle names for its pool.
+/// Served targets of an upstream that is a plain service: the services that the bundle assigns to its pool.
 class ServedServices final : public IServedTargets {
 public:
     explicit ServedServices(framework::PoolName);
--- a/src/agent/internal/servicetimes.cpp
+++ b/src/agent/internal/servicetimes.cpp
@@ -10,9 +10,10 @@
 namespace {
 
 constexpr double smoothingFactor = 0.1;
-/// Mean absolute deviations to the tenth and ninetieth percentile (of a normal distribution).
+/// Distance from the mean to the tenth and ninetieth percentile, in mean absolute deviations (of a normal
+/// distribution).
 constexpr double deviationsToTail = 1.6;
-/// The least deviation that is believed, as a share of the mean, as for load times.
+/// Lower bound of the deviation, as a fraction of the mean; the same as for load times.
 constexpr double minRelativeDeviation = 0.1;
 
 std::string keyOf(const Target& target)
--- a/src/agent/internal/servicetimes.h
+++ b/src/agent/internal/servicetimes.h
@@ -9,13 +9,14 @@
 
 namespace lagoon::agent {
 
-/// How long the upstream takes for a request, learned from those it ended, by target. Pure.
+/// Estimates how long the upstream takes for a request to each target, from the requests that have ended. Does no I/O
+/// and reads no clock.
 class ServiceTimes {
 public:
     void record(const Target&, framework::Milliseconds took);
-    /// Nothing before the first measurement of the target.
+    /// std::nullopt before the first measurement of the target.
     std::optional<policy::LoadTimeEstimate> estimateFor(const Target&) const;
-    /// Of whatever the upstream runs.
+    /// Estimate over the requests to all targets.
     policy::LoadTimeEstimate estimateForAll() const { return estimate(all_); }
 
 private:
--- a/src/agent/iservedtargets.h
+++ b/src/agent/iservedtargets.h
@@ -6,11 +6,11 @@
 
 namespace lagoon::agent {
 
-/// Who knows whether a target is served here now, and for which requests it must stay. Control thread only.
+/// Knows which targets are served on this VM now, and keeps a target served while requests use it. Control thread only.
 class IServedTargets {
 public:
     virtual ~IServedTargets() = default;
-    /// Keeps the target served until `endUse`, or says why it isn't served; nothing was run then.
+    /// Keeps the target served until `endUse`. Fails if the target isn't served; the request was not run then.
     virtual framework::Result<void> beginUse(const Target&, framework::SteadyTime now) = 0;
     virtual void endUse(const Target&, framework::SteadyTime now) = 0;
 };
--- a/src/agent/iupstream.h
+++ b/src/agent/iupstream.h
@@ -15,7 +15,7 @@
 
 using HttpHeaders = std::vector<std::pair<std::string, std::string>>;
 
-/// A request as the upstream gets it.
+/// A request as it is sent to the upstream.
 struct UpstreamRequest {
     framework::RequestName name;
     std::string method;
@@ -28,29 +28,32 @@
     framework::Deadline deadline;
 };
 
-/// What becomes of a call. From any thread, one at a time and in order; `onEnd` or `onFailed` comes last, once.
+/// Callbacks of a call. They run on any thread, one at a time and in order. The last one is either `onEnd` or
+/// `onFailed`, which is called once.
 struct UpstreamEvents {
     std::function<void(unsigned short status, HttpHeaders)> onHead;
     std::function<void(std::string bytes)> onBytes;
-    /// The answer is whole.
+    /// The answer is complete.
     std::function<void()> onEnd;
-    /// It isn't. `Execution::NotRun` only if the upstream can't have got the request.
+    /// The call failed before the answer was complete. The error has `Execution::NotRun` only if the upstream can't
+    /// have received the request.
     std::function<void(const framework::Error&)> onFailed;
 };
 
-/// A call under way.
+/// A call in progress.
 class IUpstreamCall {
 public:
     virtual ~IUpstreamCall() = default;
-    /// Closes the connection, which frees the upstream's work; `onFailed` follows. From any thread; idempotent.
+    /// Closes the connection, which makes the upstream stop the work; `onFailed` follows. Callable from any thread;
+    /// idempotent.
     virtual void cancel() = 0;
 };
 
-/// What an agent is the gate to. Thread-safe.
+/// The server behind an agent: a model engine or a plain service. Thread-safe.
 class IUpstream {
 public:
     virtual ~IUpstream() = default;
-    /// Returns at once.
+    /// Starts a call and returns immediately.
     virtual std::shared_ptr<IUpstreamCall> run(UpstreamRequest, UpstreamEvents) = 0;
 };
 
--- a/src/agent/tests/accounts_test.cpp
+++ b/src/agent/tests/accounts_test.cpp
@@ -30,7 +30,7 @@
 
 BOOST_AUTO_TEST_SUITE(MemoryAccounts)
 
-BOOST_AUTO_TEST_CASE(nothingIsReservedBeforeTheEngineWasRead)
+BOOST_AUTO_TEST_CASE(nothingIsReservedBeforeTheTotalIsKnown)
 {
     MemoryAccount account;
     BOOST_TEST(!account.reserve(model("a"), MebiBytes(1)));
@@ -38,7 +38,7 @@
     BOOST_TEST(account.reserve(model("a"), MebiBytes(100)));
 }
 
-BOOST_AUTO_TEST_CASE(reservationsNeverPassTheTotal)
+BOOST_AUTO_TEST_CASE(reservationsNeverExceedTheTotal)
 {
     MemoryAccount account;
     account.setTotal(MebiBytes(100));
@@ -46,13 +46,13 @@
     BOOST_TEST(!account.reserve(model("b"), MebiBytes(41)));
     BOOST_TEST(account.reserve(model("b"), MebiBytes(40)));
     BOOST_TEST(account.available().value() == 0u);
-    // The same load again keeps what it has.
+    // Reserving again for the same load keeps its reservation.
     BOOST_TEST(account.reserve(model("a"), MebiBytes(60)));
     account.free(model("a"));
     BOOST_TEST(account.available().value() == 60u);
 }
 
-BOOST_AUTO_TEST_CASE(theEnginesTruthGoesBeforeThePlan)
+BOOST_AUTO_TEST_CASE(theEnginesUseIsRecordedBeyondTheTotal)
 {
     MemoryAccount account;
     account.setTotal(MebiBytes(100));
@@ -64,9 +64,9 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(Admissions)
+BOOST_AUTO_TEST_SUITE(AdmissionQueues)
 
-BOOST_AUTO_TEST_CASE(priorityThenDeadlineDecidesWhoIsNext)
+BOOST_AUTO_TEST_CASE(higherPriorityThenEarlierDeadlineStartsFirst)
 {
     AdmissionQueue admission(1, 3);
     BOOST_TEST(admission.enqueue(waiting(1, 4, 500)));
@@ -84,7 +84,7 @@
     BOOST_TEST(order == (std::vector<std::uint64_t> { 4, 3, 2 }), boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(withoutAQueueOneStillRuns)
+BOOST_AUTO_TEST_CASE(withoutAQueueOneDispatchStillRuns)
 {
     AdmissionQueue admission(1, 0);
     BOOST_TEST(admission.enqueue(waiting(1, 4, 500)));
@@ -92,7 +92,7 @@
     BOOST_TEST(!admission.enqueue(waiting(2, 4, 500)));
 }
 
-BOOST_AUTO_TEST_CASE(aCancelledOneGivesUpItsPlace)
+BOOST_AUTO_TEST_CASE(aRemovedDispatchFreesItsSlotInTheQueue)
 {
     AdmissionQueue admission(1, 1);
     BOOST_TEST(admission.enqueue(waiting(1, 4, 500)));
@@ -107,7 +107,7 @@
 
 BOOST_AUTO_TEST_SUITE(Headers)
 
-BOOST_AUTO_TEST_CASE(connectionHeadersStayBehind)
+BOOST_AUTO_TEST_CASE(hopByHopHeadersAreNotForwarded)
 {
     const HttpHeaders kept = endToEndHeaders({ { "Accept", "text/plain" }, { "Connection", "close, X-Hop" },
         { "x-hop", "1" }, { "TRANSFER-ENCODING", "chunked" }, { "Content-Type", "application/json" },
--- a/src/agent/tests/agentsettings_test.cpp
+++ b/src/agent/tests/agentsettings_test.cpp
@@ -16,9 +16,9 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(AgentSettingsTexts)
+BOOST_AUTO_TEST_SUITE(AgentSettingsParsing)
 
-BOOST_AUTO_TEST_CASE(allIsRead)
+BOOST_AUTO_TEST_CASE(allSettingsAreRead)
 {
     const auto read = parseAgentSettings(
         settings(R"({"kind":"service","url":"http://127.0.0.1:2","checks_fencing":true,"settling_ms":70})",
@@ -35,7 +35,7 @@
     BOOST_TEST(read.value().shutdownGrace.count() == 8000);
 }
 
-BOOST_AUTO_TEST_CASE(aFaultNamesFileKeyAndExpectation)
+BOOST_AUTO_TEST_CASE(anErrorNamesFileKeyAndExpectation)
 {
     const auto checkFault = [](const std::string& text, const std::string& expected) {
         const auto read = parseAgentSettings(text, "agent.json");
--- a/src/agent/tests/fakeengine.h
+++ b/src/agent/tests/fakeengine.h
@@ -9,12 +9,13 @@
 
 namespace lagoon::agent::testing {
 
-/// An engine in memory. Loads end when the test says so; it notes when it was asked to hold more than it can.
+/// An in-memory engine. Loads end when the test calls `finishLoads` or `failLoads`; `isOvercommitted` records whether
+/// the engine ever had to hold more than its memory.
 class FakeEngine final : public IModelEngine {
 public:
     enum class OrderFault : std::uint8_t {
-        LoseAnswer, ///< taken, and the agent doesn't learn it
-        Hold, ///< it stays in the receive buffer until `deliverHeld`, and the agent learns nothing
+        LoseAnswer, ///< the order is carried out, but its answer is lost
+        Hold, ///< the order stays in the receive buffer until `deliverHeld`; the agent gets no answer
     };
 
     explicit FakeEngine(std::uint64_t memory) { state_.memory = framework::MebiBytes(memory); }
@@ -58,7 +59,7 @@
         held_.clear();
     }
 
-    /// Starts anew, empty.
+    /// Restarts the engine, which is empty then.
     void restart()
     {
         state_.replicas.clear();
@@ -93,7 +94,7 @@
     bool isOvercommitted = false;
     unsigned loadsAccepted = 0;
     unsigned unloadOrders = 0;
-    /// In their order.
+    /// In the order of the unloads.
     std::vector<ReplicaId> unloaded;
     std::vector<OrderFault> faults;
 
--- a/src/agent/tests/fakelink.h
+++ b/src/agent/tests/fakelink.h
@@ -7,14 +7,14 @@
 
 namespace lagoon::agent::testing {
 
-/// A link that keeps what is sent over it.
+/// A link that records the messages sent over it.
 class FakeLink final : public wire::ILink {
 public:
     void send(const wire::Message& message) override { sent.push_back(message); }
     void close() override { isClosed = true; }
     const framework::Endpoint& peer() const override { return peer_; }
 
-    /// All bodies of one type, in order.
+    /// All sent bodies of one type, in order.
     template <typename BodyTable> std::vector<BodyTable> all() const
     {
         std::vector<BodyTable> bodies;
@@ -25,7 +25,7 @@
         return bodies;
     }
 
-    /// The answer's bytes, each chunk at its offset.
+    /// The answer's bytes, with each chunk at its offset.
     std::string bytes() const
     {
         std::string whole;
--- a/src/agent/tests/fakevmlist.h
+++ b/src/agent/tests/fakevmlist.h
@@ -6,7 +6,7 @@
 
 namespace lagoon::agent::testing {
 
-/// The platform's list as the test writes it.
+/// The platform's VM list, with entries added by the test.
 class FakeVmList final : public objectstore::IVmList {
 public:
     framework::Result<objectstore::VmListSnapshot> waitForChange(
--- a/src/agent/tests/httpupstream_test.cpp
+++ b/src/agent/tests/httpupstream_test.cpp
@@ -23,10 +23,10 @@
 
 namespace {
 
-/// An upstream that does with each connection's requests just what the test says, one connection at a time.
+/// An upstream that answers raw HTTP requests by the test's script, one connection at a time.
 class RawUpstream {
 public:
-    /// Answers one request whose head is given; false closes the connection.
+    /// Answers one request, given its head; returns false to close the connection.
     using Script = std::function<bool(tcp::socket&, const std::string& head)>;
 
     explicit RawUpstream(Script script)
@@ -93,7 +93,7 @@
 
 const std::string chunkedHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Type: text/plain\r\n\r\n";
 
-/// What a call's events said, for the test's thread to wait for.
+/// Records the events of a call, so that the test's thread can wait for them.
 class CallRecorder {
 public:
     UpstreamEvents events()
@@ -168,7 +168,7 @@
 
 BOOST_AUTO_TEST_SUITE(HttpUpstreams)
 
-BOOST_AUTO_TEST_CASE(theRequestGoesOnWithItsNameAndPriority)
+BOOST_AUTO_TEST_CASE(theRequestIsForwardedWithItsNameAndPriority)
 {
     std::string seen;
     CallRecorder watch;
@@ -189,18 +189,18 @@
     BOOST_TEST(seen.find("X-Priority:8\r\n") != std::string::npos);
 }
 
-// A caller reads tokens as they are generated; a gate that waits for the whole answer would break the promise of the
-// first token. The upstream sends the second chunk only after the first has come through.
-BOOST_AUTO_TEST_CASE(chunksComeThroughAsTheyAreSent)
+// Prevents an agent that buffers the whole answer: callers read tokens as they are generated, and the first token would
+// be late. The upstream sends the second chunk only after the first has been received.
+BOOST_AUTO_TEST_CASE(chunksAreForwardedAsTheyAreSent)
 {
     std::mutex mutex;
     std::condition_variable changed;
-    bool isFirstThrough = false;
+    bool isFirstReceived = false;
     CallRecorder watch;
     RawUpstream server([&](tcp::socket& socket, const std::string&) {
         write(socket, chunkedHead + chunk("one "));
         std::unique_lock lock(mutex);
-        changed.wait(lock, [&] { return isFirstThrough; });
+        changed.wait(lock, [&] { return isFirstReceived; });
         write(socket, chunk("two") + chunk(""));
         return false;
     });
@@ -208,17 +208,17 @@
     watch.waitForBytes("one ");
     {
         const std::lock_guard lock(mutex);
-        isFirstThrough = true;
+        isFirstReceived = true;
         changed.notify_all();
     }
     watch.waitForEnd();
     watch.waitForBytes("one two");
 }
 
-// cpprest sends a POST again by itself when a pooled connection is closed before the answer: the upstream books the
-// slot twice, and the caller sees one success. A call that may not be repeated must reach the upstream once, and its
-// outcome is unknown.
-BOOST_AUTO_TEST_CASE(aCallThatMayNotBeRepeatedIsSentOnce)
+// Prevents a second run: cpprest resends a POST by itself when a pooled connection is closed before the answer, so that
+// the upstream books a slot twice while the caller sees one success. A call that isn't repeatable must reach the
+// upstream once, with an unknown outcome.
+BOOST_AUTO_TEST_CASE(aCallThatIsNotRepeatableIsSentOnce)
 {
     std::atomic<unsigned> answered { 0 };
     RawUpstream server([&](tcp::socket& socket, const std::string&) {
@@ -239,7 +239,7 @@
     BOOST_TEST(server.requests() == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(aRefusedConnectionIsNotRun)
+BOOST_AUTO_TEST_CASE(aRefusedConnectionIsReportedAsNotRun)
 {
     std::string url;
     {
@@ -255,8 +255,9 @@
     }
 }
 
-// An upstream dies in the middle of an answer. A cut that looked whole would be signed as a draft.
-BOOST_AUTO_TEST_CASE(aCutAnswerIsNotWhole)
+// Prevents the answer of an upstream that dies while sending it from being taken as complete: customers would sign it
+// as a draft.
+BOOST_AUTO_TEST_CASE(aTruncatedAnswerIsReportedAsBroken)
 {
     for (const std::string& sent :
         { chunkedHead + chunk("half"), std::string("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf") }) {
@@ -297,7 +298,7 @@
 
 BOOST_AUTO_TEST_SUITE(HttpModelEngines)
 
-BOOST_AUTO_TEST_CASE(theStateIsRead)
+BOOST_AUTO_TEST_CASE(theEngineStateIsParsed)
 {
     const auto state = parseEngineState(R"({"incarnation":5,"memory_mib":100,"running":1,"waiting":0,"more":1,
         "replicas":[{"model":"a","adapter":"","version":"v1","memory_mib":60,"state":"loaded"},
@@ -313,9 +314,9 @@
     BOOST_CHECK(state.value().checkpoints.at(0).place == lagoon::policy::CheckpointPlace::Memory);
 }
 
-// An engine's answer that lacks its memory or replicas, or is cut, must not be taken for an empty engine: all claims
-// would be freed while it still holds the models.
-BOOST_AUTO_TEST_CASE(aStateWithoutItsPartsIsRefused)
+// Prevents an engine state that lacks its memory or replicas, or is truncated, from being taken for an empty engine:
+// all claims would be released while the engine still holds the models.
+BOOST_AUTO_TEST_CASE(anIncompleteEngineStateIsRejected)
 {
     for (const char* text :
         { "", "{}", "[]", R"({"memory_mib":100})", R"({"replicas":[]})", R"({"memory_mib":"100","replicas":[]})",
@@ -323,7 +324,7 @@
         BOOST_TEST(parseEngineState(text, "engine").has_error(), text);
 }
 
-BOOST_AUTO_TEST_CASE(refusalsOfOrdersAreToldApart)
+BOOST_AUTO_TEST_CASE(refusalsOfOrdersAreDistinguished)
 {
     std::string answer;
     RawUpstream server([&](tcp::socket& socket, const std::string&) {
--- a/src/agent/tests/replicaclaims_test.cpp
+++ b/src/agent/tests/replicaclaims_test.cpp
@@ -73,9 +73,9 @@
     BOOST_TEST(object().holders.size() == 2u);
 }
 
-// Two agents see the last place free and claim it at the same moment. The platform's condition lets one of them write;
-// the other must look again instead of writing over it.
-BOOST_AUTO_TEST_CASE(twoAgentsCannotTakeTheLastPlace)
+// Two agents see the last slot free and claim it at the same time. The conditional write succeeds for one of them; the
+// other must read the object again instead of overwriting it.
+BOOST_AUTO_TEST_CASE(twoAgentsCannotTakeTheLastSlot)
 {
     store->beforeNextPut([this] { BOOST_TEST(claim(agentOn("two"), "n2", decided(1)).has_value()); });
     const auto loser = claim(agentOn("one"), "n1", decided(1));
@@ -84,8 +84,9 @@
     BOOST_TEST(object().holders.size() == 1u);
 }
 
-// The write took effect and its answer was lost. Read again, the object shows the nonce: the claim is one, not two.
-BOOST_AUTO_TEST_CASE(aLostAnswerIsSettledByItsNonce)
+// A claim write takes effect, but its answer is lost. The nonce in the object shows that the claim was made, so it
+// isn't made twice.
+BOOST_AUTO_TEST_CASE(aLostAnswerIsResolvedByTheNonce)
 {
     store->failNextWrites({ WriteFault::LoseAnswer });
     BOOST_TEST(claim(agentOn("one"), "n1", decided(1)).has_value());
@@ -93,7 +94,7 @@
     BOOST_TEST(object().holders.front().nonce == "n1");
 }
 
-BOOST_AUTO_TEST_CASE(fencingNumbersGrow)
+BOOST_AUTO_TEST_CASE(fencingTokensIncrease)
 {
     const auto first = claim(agentOn("one"), "n1", decided(1));
     const auto taken = claim(agentOn("one", 2), "n2", decided(1));
@@ -104,9 +105,9 @@
     BOOST_TEST(object().holders.front().incarnation.value() == 2u);
 }
 
-// A process is paused while another takes over its claim on the same VM. When it goes on it must not free what is no
-// longer its own.
-BOOST_AUTO_TEST_CASE(aFormerProcessCannotFreeTheClaim)
+// A process is paused while another process on the same VM takes over its claim. After it resumes, it must not release
+// the claim, which it no longer owns.
+BOOST_AUTO_TEST_CASE(aPreviousProcessCannotReleaseTheClaim)
 {
     ReplicaClaims former = agentOn("one", 1);
     BOOST_REQUIRE(claim(former, "n1", decided(1)).has_value());
@@ -118,7 +119,7 @@
     BOOST_CHECK(confirmed.error().code == ErrorCode::PlatformConflict);
 }
 
-BOOST_AUTO_TEST_CASE(aReleasedPlaceCanBeClaimed)
+BOOST_AUTO_TEST_CASE(aReleasedSlotCanBeClaimed)
 {
     ReplicaClaims one = agentOn("one");
     BOOST_REQUIRE(claim(one, "n1", decided(1)).has_value());
@@ -128,9 +129,9 @@
     BOOST_TEST(claim(agentOn("two"), "n2", decided(1)).has_value());
 }
 
-// A VM that the platform calls leaving, or doesn't list at all, may still have the model in its accelerator. Only
-// "gone" frees its place.
-BOOST_AUTO_TEST_CASE(onlyGoneVmsLoseTheirPlaces)
+// A VM that the platform lists as leaving, or doesn't list at all, may still have the model in its accelerator. Only
+// "gone" frees its slot.
+BOOST_AUTO_TEST_CASE(onlyGoneVmsLoseTheirClaims)
 {
     BOOST_REQUIRE(claim(agentOn("unlisted"), "n1", decided(2)).has_value());
     BOOST_REQUIRE(claim(agentOn("leaving"), "n2", decided(2)).has_value());
@@ -142,8 +143,9 @@
     BOOST_TEST(object().holder(VmName("unlisted")) == nullptr);
 }
 
-// An agent that hasn't heard of the newer bundle claims by the old, higher count. The object knows the newer one.
-BOOST_AUTO_TEST_CASE(anOlderBundlesCountDoesNotComeBack)
+// An agent that hasn't read the newer bundle claims by the older, higher count. The object has the newer count, which
+// must be applied.
+BOOST_AUTO_TEST_CASE(theCountOfAnOlderBundleIsIgnored)
 {
     BOOST_REQUIRE(claim(agentOn("one"), "n1", decided(1, 5)).has_value());
     BOOST_TEST(claim(agentOn("two"), "n2", decided(3, 4)).has_error());
@@ -151,7 +153,7 @@
     BOOST_TEST(claim(agentOn("two"), "n2", decided(2, 6)).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(theLastHoldersAreOverALoweredCount)
+BOOST_AUTO_TEST_CASE(theLastHoldersExceedALoweredCount)
 {
     ReplicaClaims one = agentOn("one");
     ReplicaClaims two = agentOn("two");
@@ -161,7 +163,7 @@
     BOOST_TEST(two.isOverCount(drafts, decided(1, 2), deadline()).value());
 }
 
-BOOST_AUTO_TEST_CASE(whatTheEngineHasIsEnteredWhateverTheCount)
+BOOST_AUTO_TEST_CASE(adoptedClaimsAreWrittenWhateverTheCount)
 {
     BOOST_REQUIRE(claim(agentOn("one"), "n1", decided(1)).has_value());
     BOOST_TEST(claim(agentOn("two"), "n2", decided(1), ClaimKind::Adopted).has_value());
@@ -169,7 +171,7 @@
     BOOST_TEST(claim(agentOn("three"), "n3", decided(2, 2)).has_error());
 }
 
-BOOST_AUTO_TEST_CASE(heldNamesModelsAndAdapters)
+BOOST_AUTO_TEST_CASE(heldListsModelsAndAdapters)
 {
     ReplicaClaims one = agentOn("one");
     BOOST_REQUIRE(claim(one, "n1", decided(2)).has_value());
--- a/src/agent/tests/replicacontroller_test.cpp
+++ b/src/agent/tests/replicacontroller_test.cpp
@@ -38,7 +38,7 @@
 ReplicaId model(const char* name) { return { ModelName(name), AdapterName() }; }
 ReplicaId adapter(const char* name, const char* adapterName) { return { ModelName(name), AdapterName(adapterName) }; }
 
-/// A bundle of models of 60 MiB (`a`, `b`) and one of 20 MiB (`small`), and an adapter of `a` of 10 MiB.
+/// A bundle with models of 60 MiB (`a`, `b`) and 20 MiB (`small`), and an adapter of `a` of 10 MiB.
 bundle::Bundle bundleOf(std::uint64_t version, std::uint32_t replicas, const char* weights = "v1")
 {
     bundle::Bundle made;
@@ -63,7 +63,7 @@
     return made;
 }
 
-/// What became of a load.
+/// The result of a load.
 struct LoadWatch {
     bool isDone = false;
     std::optional<Error> error;
@@ -71,9 +71,11 @@
     bool isRefused(ErrorCode code) const { return isDone && error && error->code == code; }
 };
 
-/// One agent's replicas over fakes; `startAgent` again is a new process on the same VM.
+/// The replica controller of one agent with fake dependencies. Another call of `startAgent` starts a new process on the
+/// same VM.
 struct ControllerFixture {
-    /// Long past for the real clock: what waits by that (`objectstore::updateObject`) tries once and gives up.
+    /// Starts far in the past of the real clock: code that waits by the real clock (`objectstore::updateObject`) tries
+    /// once and gives up.
     framework::ManualControl control { framework::SteadyTime(std::chrono::milliseconds(1)) };
     FakeEngine engineFake { 100 };
     std::shared_ptr<FakeEngine> engine { &engineFake, [](FakeEngine*) {} };
@@ -97,7 +99,7 @@
         control.advance(Milliseconds(50));
     }
 
-    /// The process dies: nothing of it happens any more.
+    /// Simulates the death of the process: its pending callbacks are dropped.
     void killAgent()
     {
         control.dropAll();
@@ -132,7 +134,7 @@
         replicas->endUse({ id, {} }, control.now());
     }
 
-    /// As long as loads take that are worth avoiding.
+    /// Loads a replica so slowly that avoiding a reload is worthwhile.
     void loadSlowly(const ReplicaId& id)
     {
         const auto watch = load(id);
@@ -152,7 +154,7 @@
         }
     }
 
-    /// How long it stays, idle from now on.
+    /// How long the replica stays loaded if it is idle from now on.
     Milliseconds timeToUnload(const ReplicaId& id)
     {
         const framework::SteadyTime from = control.now();
@@ -215,7 +217,7 @@
     BOOST_TEST(engineFake.loadsAccepted == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(theCapOfTheBundleHolds)
+BOOST_AUTO_TEST_CASE(theReplicaCapOfTheBundleIsEnforced)
 {
     setHolders(model("a"), { "engine-2" });
     startAgent();
@@ -224,9 +226,9 @@
     BOOST_TEST(holders(model("a")) == 1u);
 }
 
-// A VM is reclaimed with a claim. The platform's list says it is gone, and nothing of it can come back: its place must
-// not be lost to the model for good.
-BOOST_AUTO_TEST_CASE(aGoneVmsPlaceIsTaken)
+// A VM is reclaimed while it holds a claim. The platform lists it as gone, so its replica can't come back, and its slot
+// must be available again; otherwise the model would permanently have one replica too few.
+BOOST_AUTO_TEST_CASE(theSlotOfAGoneVmCanBeClaimed)
 {
     setHolders(model("a"), { "engine-2" });
     vmList->add("engine-2", objectstore::VmState::Gone);
@@ -235,7 +237,7 @@
     BOOST_TEST(holders(model("a")) == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(anIdleModelGoesWhenMemoryIsShort)
+BOOST_AUTO_TEST_CASE(anIdleModelIsEvictedWhenMemoryIsShort)
 {
     startAgent();
     loadAndWait(model("a"));
@@ -247,7 +249,7 @@
     BOOST_TEST(holders(model("b")) == 1u);
 }
 
-// Guards against unloading a model in the short gap between two requests, which makes the second wait for a reload.
+// Prevents unloading a model in the short gap between two requests, which would make the second wait for a reload.
 BOOST_AUTO_TEST_CASE(aModelStaysLoadedBetweenBackToBackRequests)
 {
     startAgent();
@@ -258,7 +260,7 @@
     BOOST_TEST(engineFake.unloadOrders == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(aModelInUseIsNoVictim)
+BOOST_AUTO_TEST_CASE(aModelInUseIsNotEvicted)
 {
     startAgent();
     loadAndWait(model("a"));
@@ -268,20 +270,20 @@
     loadAndWait(model("b"));
 }
 
-BOOST_AUTO_TEST_CASE(aHopelessLoadIsRefusedAtOnce)
+BOOST_AUTO_TEST_CASE(aHopelessLoadIsRefusedImmediately)
 {
     startAgent();
     BOOST_TEST(load(model("a"), Milliseconds(1))->isRefused(ErrorCode::DeadlineHopeless));
     BOOST_TEST(!isKnown(model("a")));
 }
 
-BOOST_AUTO_TEST_CASE(anAdapterBringsItsModel)
+BOOST_AUTO_TEST_CASE(loadingAnAdapterLoadsItsModel)
 {
     startAgent();
     loadAndWait(adapter("a", "fine"));
     BOOST_CHECK(engineFake.stateOf(model("a")) == EngineReplicaState::Loaded);
     BOOST_TEST(holders(adapter("a", "fine")) == 1u);
-    // The model can't go from under a request to the adapter.
+    // The model can't be evicted while a request uses its adapter.
     BOOST_REQUIRE(replicas->beginUse({ adapter("a", "fine"), {} }, control.now()).has_value());
     BOOST_TEST(load(model("b"))->isRefused(ErrorCode::MemoryShort));
     replicas->endUse({ adapter("a", "fine"), {} }, control.now());
@@ -290,7 +292,7 @@
     BOOST_TEST(!engineFake.stateOf(adapter("a", "fine")).has_value());
 }
 
-// Guards against a deadlock between an adapter that waits for memory and a load that waits for its model's memory.
+// Prevents a deadlock between an adapter that waits for memory and a load that waits for its model's memory.
 BOOST_AUTO_TEST_CASE(anAdapterRequestedWhileItsModelIsUnloadedDoesNotBlockOtherLoads)
 {
     startAgent();
@@ -307,7 +309,7 @@
     BOOST_TEST(!engineFake.isOvercommitted);
 }
 
-// Guards against an adapter that finishes loading while its model is draining and keeps the old model version loaded.
+// Prevents an adapter that finishes loading while its model is draining from keeping the old model version loaded.
 BOOST_AUTO_TEST_CASE(aNewModelVersionIsLoadedEvenIfAnAdapterWasStillLoading)
 {
     startAgent();
@@ -327,7 +329,7 @@
     BOOST_TEST(isReloaded());
 }
 
-// Guards against a model that waits for memory and keeps its claim after all callers of its adapter have timed out.
+// Prevents a model that waits for memory from keeping its claim after all callers of its adapter have timed out.
 BOOST_AUTO_TEST_CASE(aWaitingModelIsReleasedAfterItsAdaptersLastCallerTimesOut)
 {
     startAgent();
@@ -356,8 +358,9 @@
     BOOST_TEST(replicas->memory().used().value() == 0u);
 }
 
-// The platform is down while a claim is to be given up. Forgetting it would leave the model one replica short for good.
-BOOST_AUTO_TEST_CASE(aFreeThatCannotBeWrittenIsWrittenLater)
+// Prevents a claim from being lost when the platform is down during its release: the model would permanently have one
+// replica too few.
+BOOST_AUTO_TEST_CASE(aReleaseThatCannotBeWrittenIsRetried)
 {
     startAgent();
     load(model("a"));
@@ -371,8 +374,8 @@
     BOOST_TEST(!isKnown(model("a")));
 }
 
-// The platform is down when an idle model is called. Warm models go on being served; the load is refused as not run.
-BOOST_AUTO_TEST_CASE(withThePlatformDownWarmModelsGoOn)
+// While the platform is down, loaded models must still be served, and a load of another model is refused as not run.
+BOOST_AUTO_TEST_CASE(loadedModelsAreServedWhileThePlatformIsDown)
 {
     startAgent();
     loadAndWait(model("a"));
@@ -382,9 +385,9 @@
     BOOST_TEST(replicas->beginUse({ model("a"), {} }, control.now()).has_value());
 }
 
-// The answer to the claim's write is lost though the write took effect, and the load is refused meanwhile. The claim
-// must be given up, or the model would stay one replica short.
-BOOST_AUTO_TEST_CASE(aClaimOfUnknownOutcomeIsGivenUp)
+// A claim write takes effect, but its answer is lost and the load is refused. The claim must be released; otherwise the
+// model would have one replica too few.
+BOOST_AUTO_TEST_CASE(aClaimOfUnknownOutcomeIsReleased)
 {
     startAgent();
     store->failNextWrites({ WriteFault::LoseAnswer });
@@ -395,8 +398,8 @@
     loadAndWait(model("a"));
 }
 
-// The same, but the write is merely late, and lands when the agent has given the claim up.
-BOOST_AUTO_TEST_CASE(aLateClaimDoesNotTakeAPlace)
+// Prevents a claim write that is delayed until the agent has released the claim from taking a slot.
+BOOST_AUTO_TEST_CASE(aLateClaimDoesNotTakeASlot)
 {
     startAgent();
     store->failNextWrites({ WriteFault::Hold });
@@ -406,7 +409,7 @@
     BOOST_TEST(holders(model("a")) == 0u);
 }
 
-// The engine takes the load order, the agent doesn't learn it, and gives the order again. The load must be one.
+// The engine accepts a load order, but its answer is lost and the agent repeats the order. The engine must load once.
 BOOST_AUTO_TEST_CASE(aLostAnswerToTheLoadOrderLoadsOnce)
 {
     startAgent();
@@ -415,9 +418,9 @@
     BOOST_TEST(engineFake.loadsAccepted == 1u);
 }
 
-// An agent dies in the middle of a load; the next one on the VM finds the load in the engine and carries it on under
-// the same claim, instead of loading the model a second time elsewhere.
-BOOST_AUTO_TEST_CASE(aRestartedAgentAdoptsTheLoadUnderWay)
+// An agent dies during a load. The next agent on the VM must find the load in the engine and continue it under the same
+// claim, instead of the model being loaded a second time elsewhere.
+BOOST_AUTO_TEST_CASE(aRestartedAgentAdoptsTheLoadInProgress)
 {
     startAgent();
     load(model("a"));
@@ -432,10 +435,10 @@
     BOOST_TEST(replicaOf(model("a")).isClaimed);
 }
 
-// An agent dies right after it sent a load order, which the engine reads only much later. The restarted agent sees a
-// claim and an empty engine. Were claim and memory freed at once, another model would be loaded, then the late order
-// read, and the accelerator overcommitted. The engine ignores fencing numbers.
-BOOST_AUTO_TEST_CASE(aLateLoadOfTheFormerAgentIsReckonedWith)
+// Prevents overcommitted accelerator memory: an agent dies right after it has sent a load order, which the engine reads
+// only much later. The restarted agent sees a claim and an empty engine. If it freed claim and memory immediately, it
+// would load another model before the late order arrives. The engine ignores fencing tokens.
+BOOST_AUTO_TEST_CASE(memoryStaysReservedForALateLoadOfThePreviousAgent)
 {
     startAgent();
     engineFake.faults = { FakeEngine::OrderFault::Hold };
@@ -471,9 +474,10 @@
     BOOST_TEST(replicas->memory().used().value() == 0u);
 }
 
-// The same late order, at an engine that checks fencing numbers: the restarted agent takes the claim over, which gives
-// a newer number, and shows it to the engine. The late order is refused, so nothing needs to be waited for.
-BOOST_AUTO_TEST_CASE(aCheckingEngineRefusesTheLateLoad)
+// A late load order of a previous agent reaches an engine that checks fencing tokens. The restarted agent takes over
+// the claim, which gives a newer token, and sends it to the engine. The engine then refuses the late order, so the
+// agent doesn't have to wait for the settling time.
+BOOST_AUTO_TEST_CASE(anEngineThatChecksFencingRefusesTheLateLoad)
 {
     checksFencing = true;
     engineFake.checksFencing = true;
@@ -500,8 +504,8 @@
     loadAndWait(model("a"));
 }
 
-// The platform is down when an agent starts beside an engine that has models: they are served all the same.
-BOOST_AUTO_TEST_CASE(whatTheEngineHasIsServedBeforeClaimsAreRead)
+// If the platform is down when an agent starts, the models that its engine has loaded must still be served.
+BOOST_AUTO_TEST_CASE(loadedModelsAreServedBeforeClaimsAreRead)
 {
     store->setAvailable(false);
     engineFake.addReplica(model("a"), "v1", 60, EngineReplicaState::Loaded);
@@ -509,7 +513,7 @@
     BOOST_TEST(replicas->beginUse({ model("a"), {} }, control.now()).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(aNewVersionReplacesTheOldInItsPlace)
+BOOST_AUTO_TEST_CASE(aNewVersionReplacesTheOldUnderTheSameClaim)
 {
     startAgent();
     loadAndWait(model("a"));
@@ -527,8 +531,8 @@
     BOOST_TEST(!engineFake.isOvercommitted);
 }
 
-// Operators lower a count while the replicas serve. The last holders drain: requests under way end whole, then the
-// replica goes.
+// When operators lower a count while the replicas serve, the last holders drain: requests in progress complete, then
+// the replica is unloaded.
 BOOST_AUTO_TEST_CASE(aLoweredCountDrainsTheLastHolder)
 {
     setHolders(model("a"), { "engine-2" }, 2);
@@ -545,7 +549,7 @@
     BOOST_TEST(holders(model("a")) == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(anIdleReplicaIsUnloadedInTheEnd)
+BOOST_AUTO_TEST_CASE(anIdleReplicaIsEventuallyUnloaded)
 {
     startAgent();
     loadAndWait(model("a"));
@@ -554,7 +558,7 @@
     BOOST_TEST(holders(model("a")) == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(whatIsUsedAtShortGapsStaysAndAtLongGapsGoes)
+BOOST_AUTO_TEST_CASE(replicasStayLoadedAtShortIdleGapsAndNotAtLongOnes)
 {
     startAgent();
     useRepeatedly(model("a"), Milliseconds(25000), 20);
@@ -569,9 +573,9 @@
     BOOST_TEST(rare.timeToUnload(model("a")).count() < 25000);
 }
 
-// A model is called every half minute until others' loads take its memory. Were its gaps forgotten with it, it would
-// have to be learnt anew each time that it is worth keeping, at its callers' cost.
-BOOST_AUTO_TEST_CASE(gapsSurviveAnUnload)
+// A model that is used every half minute is evicted by the load of another. If its idle gaps were dropped with it, the
+// policy would have to learn each time again that it is worth keeping, while its callers wait for reloads.
+BOOST_AUTO_TEST_CASE(idleGapsSurviveAnUnload)
 {
     constexpr std::size_t bucket16To32Seconds = 4;
     constexpr float priorWeight = 5;
@@ -581,13 +585,14 @@
     BOOST_REQUIRE(!isKnown(model("a")));
     loadAndWait(model("a"));
     BOOST_TEST(replicaOf(model("a")).gaps.weight(bucket16To32Seconds) > 2 * priorWeight);
-    // Those of a model that was never used are the prior only.
+    // The gaps of a model that was never used consist of the prior only.
     loadAndWait(model("small"));
     BOOST_TEST(replicaOf(model("small")).gaps.weight(bucket16To32Seconds) <= priorWeight);
 }
 
-// An adapter takes so little memory that by itself it stays for hours, and its model with it, which nobody uses.
-BOOST_AUTO_TEST_CASE(adaptersGoBeforeTheirModelAndDoNotHoldIt)
+// An adapter takes so little memory that it would stay loaded for hours. It must not keep its model, which nobody uses,
+// loaded for as long.
+BOOST_AUTO_TEST_CASE(adaptersAreUnloadedBeforeTheirModelAndDoNotKeepItLoaded)
 {
     ControllerFixture alone;
     alone.startAgent();
@@ -603,7 +608,7 @@
     BOOST_CHECK(engineFake.unloaded == inOrder);
 }
 
-BOOST_AUTO_TEST_CASE(aRestartedEngineFreesItsClaims)
+BOOST_AUTO_TEST_CASE(claimsAreReleasedAfterAnEngineRestart)
 {
     startAgent();
     loadAndWait(model("a"));
@@ -615,9 +620,9 @@
     loadAndWait(model("a"));
 }
 
-// The answer to a load order is lost, the order is given again and that load fails. The first order may still lie
-// unread in the engine, so the memory isn't free yet.
-BOOST_AUTO_TEST_CASE(aLostOrderIsReckonedWithAfterItsLoadFailed)
+// The answer to a load order is lost, the order is repeated and that load fails. The first order may still be unread in
+// the engine, so the memory must stay reserved.
+BOOST_AUTO_TEST_CASE(memoryStaysReservedForALostOrderAfterItsLoadFailed)
 {
     startAgent();
     engineFake.faults = { FakeEngine::OrderFault::Hold };
@@ -640,8 +645,8 @@
     BOOST_TEST(other->isLoaded());
 }
 
-// An engine dies. Homes must not send loads to its agent, which can't carry them out, while others could.
-BOOST_AUTO_TEST_CASE(anEngineThatDoesNotAnswerTakesNoLoads)
+// Prevents homes from sending loads to an agent whose engine has died, while other agents could carry them out.
+BOOST_AUTO_TEST_CASE(loadsAreRefusedWhileTheEngineDoesNotAnswer)
 {
     startAgent();
     BOOST_TEST(!replicas->offer(model("a")).refusal.has_value());
@@ -654,9 +659,9 @@
     loadAndWait(model("a"));
 }
 
-// An operator releases a claim by force while its agent lives. The next agent to claim relies on the place being free,
-// so the replica goes at the latest when the counts are looked at.
-BOOST_AUTO_TEST_CASE(aReplicaWhoseClaimWasReleasedByForceGoes)
+// An operator releases a claim by force while its agent still runs. The next agent to claim the slot relies on it being
+// free, so the replica must be unloaded at the latest when the count is checked.
+BOOST_AUTO_TEST_CASE(aReplicaWhoseClaimWasReleasedByForceIsUnloaded)
 {
     startAgent(bundleOf(1, 2));
     loadAndWait(model("a"));
@@ -667,7 +672,7 @@
     BOOST_TEST(holders(model("a")) == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(aDrainingAgentTellsThoseWhoWaitForLoads)
+BOOST_AUTO_TEST_CASE(aDrainingAgentRefusesPendingLoads)
 {
     startAgent();
     const auto watch = load(model("a"));
--- a/src/agent/tests/requestgate_test.cpp
+++ b/src/agent/tests/requestgate_test.cpp
@@ -21,7 +21,7 @@
 const Incarnation own { 100 };
 const Incarnation router { 7 };
 
-/// Calls that the test answers; cancelling one fails it, as closing its connection does.
+/// An upstream whose calls the test answers. Cancelling a call fails it, as closing its connection does.
 class FakeUpstream final : public IUpstream {
 public:
     class Call final : public IUpstreamCall {
@@ -49,7 +49,7 @@
     std::vector<std::shared_ptr<Call>> calls;
 };
 
-/// Serves everything, unless the test says otherwise.
+/// Serves every target unless the test sets a refusal.
 class FakeServedTargets final : public IServedTargets {
 public:
     framework::Result<void> beginUse(const Target&, framework::SteadyTime) override
@@ -66,7 +66,8 @@
 };
 
 struct GateFixture {
-    /// Long past for the real clock: what waits by that (`objectstore::updateObject`) tries once and gives up.
+    /// Starts far in the past of the real clock: code that waits by the real clock (`objectstore::updateObject`) tries
+    /// once and gives up.
     framework::ManualControl control { framework::SteadyTime(std::chrono::milliseconds(1)) };
     FakeServedTargets use;
     std::shared_ptr<FakeUpstream> upstream = std::make_shared<FakeUpstream>();
@@ -144,7 +145,7 @@
         control.runPosted();
     }
 
-    /// One place and a queue; the upstream is known to take 100 ms.
+    /// Makes a gate with one slot and a queue of 100, and a measured service time of 100 ms.
     void learnServiceTime()
     {
         limits.waiting = 100;
@@ -169,7 +170,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(RequestGates, GateFixture)
 
-BOOST_AUTO_TEST_CASE(anAnswerComesWholeWithItsChecksum)
+BOOST_AUTO_TEST_CASE(aCompleteAnswerIsSentWithItsChecksum)
 {
     dispatch(1);
     BOOST_REQUIRE(upstream->calls.size() == 1u);
@@ -187,9 +188,9 @@
     BOOST_TEST(use.uses == 0);
 }
 
-// The link to the router falls silent in the middle of an answer, and the router asks again over a new one. The caller
-// must get the rest of this answer, not a second run.
-BOOST_AUTO_TEST_CASE(aRunningAnswerGoesOnOverANewLink)
+// The link to the router goes silent during an answer, and the router resolves the id over a new link. The caller must
+// get the rest of this answer, not a second run.
+BOOST_AUTO_TEST_CASE(aRunningAnswerContinuesOverANewLink)
 {
     dispatch(1);
     answerHead(0);
@@ -207,7 +208,7 @@
     BOOST_TEST(upstream->calls.size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(aWholeAnswerIsSentAgain)
+BOOST_AUTO_TEST_CASE(aCompleteAnswerIsResentOnResolve)
 {
     dispatch(1);
     answerHead(0);
@@ -219,7 +220,7 @@
     BOOST_TEST(second->all<fb::AnswerEndT>().size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(anUnseenIdIsFencedByTheQuestion)
+BOOST_AUTO_TEST_CASE(anUnseenIdIsFencedByResolve)
 {
     resolve(link, 1, 0);
     checkRefused(*link, ErrorCode::Fenced, Execution::NotRun);
@@ -227,7 +228,7 @@
     BOOST_TEST(upstream->calls.empty());
 }
 
-BOOST_AUTO_TEST_CASE(aQueuedOneThatIsCancelledNeverRuns)
+BOOST_AUTO_TEST_CASE(aCancelledWaitingDispatchNeverRuns)
 {
     dispatch(1);
     dispatch(2);
@@ -239,8 +240,9 @@
     BOOST_TEST(upstream->calls.size() == 1u);
 }
 
-// A caller hangs up while its draft is generated. The engine's work has to be freed for others.
-BOOST_AUTO_TEST_CASE(aRunningOneThatIsCancelledIsStoppedAtTheUpstream)
+// A caller disconnects while its answer is generated. The engine must stop the work, so that its capacity is free for
+// others.
+BOOST_AUTO_TEST_CASE(aCancelledRunningDispatchIsStoppedAtTheUpstream)
 {
     dispatch(1);
     dispatch(2);
@@ -250,7 +252,7 @@
     BOOST_TEST(upstream->calls.size() == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(aFullQueueRefusesAtOnce)
+BOOST_AUTO_TEST_CASE(aFullQueueRefusesImmediately)
 {
     dispatch(1);
     dispatch(2);
@@ -259,9 +261,10 @@
     BOOST_TEST(use.uses == 2);
 }
 
-// Requests come faster than the upstream serves. If all wait their turn, each is started just before its caller gives
-// up, and past saturation hardly anyone is served. Those that the queue can't serve in time must hear so at once.
-BOOST_AUTO_TEST_CASE(whatTheQueueCannotServeInTimeIsRefusedAtOnce)
+// Prevents a queue that is longer than the deadlines: requests arrive faster than the upstream serves them, and if all
+// waited, each would be started just before its caller gives up, so that past saturation hardly any is served in time.
+// Requests that the queue can't serve in time must be refused immediately.
+BOOST_AUTO_TEST_CASE(requestsThatTheQueueCannotServeInTimeAreRefusedImmediately)
 {
     learnServiceTime();
     dispatch(2, 1000);
@@ -275,9 +278,9 @@
     BOOST_TEST(use.uses == 3);
 }
 
-// The upstream has grown so slow that its time is longer than every deadline. With a free place it must be tried all
-// the same, or nobody would ever learn that it has recovered.
-BOOST_AUTO_TEST_CASE(aFreePlaceIsAlwaysTried)
+// The upstream has become so slow that its service time is longer than every deadline. If a slot is free, requests must
+// still be tried; otherwise its recovery would never be noticed.
+BOOST_AUTO_TEST_CASE(aFreeSlotIsAlwaysTried)
 {
     learnServiceTime();
     dispatch(2, 80);
@@ -285,16 +288,16 @@
     BOOST_TEST(link->all<fb::RefusedT>().empty());
 }
 
-// A request waits, and others of higher priority go before it until it can't be served in time. Its router must hear
-// "not run" while the caller still waits; after the deadline it could only say "unknown".
-BOOST_AUTO_TEST_CASE(oneThatOthersOvertakeIsRefusedBeforeItsDeadline)
+// Requests of higher priority overtake a waiting request until it can't be served in time. Its router must receive "not
+// run" while the caller still waits; after the deadline it could only report "unknown".
+BOOST_AUTO_TEST_CASE(anOvertakenRequestIsRefusedBeforeItsDeadline)
 {
     learnServiceTime();
     dispatch(2, 1000);
     dispatch(3, 400);
     for (std::uint64_t sequence = 4; sequence < 7; ++sequence)
         dispatch(sequence, 5000, 1, 9);
-    // 116 ms, the likely longest time, and 50 ms for the refusal's way before its deadline.
+    // The refusal is due before the deadline by 116 ms, the upper estimate of the service time, and 50 ms for delivery.
     control.advance(Milliseconds(233));
     BOOST_TEST(link->all<fb::RefusedT>().empty());
     control.advance(Milliseconds(1));
@@ -302,9 +305,10 @@
     BOOST_TEST(gate->waiting() == 3u);
 }
 
-// A model was just loaded for a burst that fills the queue before anyone knows how long a request takes. Once the first
-// has ended, those that can't be served in time are refused; before, they'd wait in vain for their whole deadline.
-BOOST_AUTO_TEST_CASE(theFirstMeasurementThinsTheQueue)
+// A burst on a newly loaded model fills the queue before it is known how long a request takes. Once the first request
+// has ended, requests that can't be served in time must be refused; otherwise they would wait in vain until their
+// deadlines.
+BOOST_AUTO_TEST_CASE(theFirstMeasurementRefusesHopelessRequests)
 {
     limits.waiting = 100;
     gate = makeGate();
@@ -323,7 +327,7 @@
     BOOST_TEST(gate->waiting() + gate->running() + refused == 6u);
 }
 
-BOOST_AUTO_TEST_CASE(aDeadlineThatPassesInTheQueueIsNotRun)
+BOOST_AUTO_TEST_CASE(aDeadlineThatPassesInTheQueueIsReportedAsNotRun)
 {
     dispatch(1, 5000);
     dispatch(2, 100);
@@ -332,7 +336,7 @@
     BOOST_TEST(upstream->calls.size() == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(aDeadlineThatPassesAtTheUpstreamIsUnknown)
+BOOST_AUTO_TEST_CASE(aDeadlineThatPassesAtTheUpstreamIsReportedAsUnknown)
 {
     dispatch(1, 100);
     control.advance(Milliseconds(100));
@@ -340,7 +344,7 @@
     checkRefused(*link, ErrorCode::DeadlinePassed, Execution::Unknown);
 }
 
-BOOST_AUTO_TEST_CASE(whatIsNotLoadedIsNotRun)
+BOOST_AUTO_TEST_CASE(aTargetThatIsNotLoadedIsReportedAsNotRun)
 {
     use.refusal = Error { ErrorCode::NotLoaded, "load", "a" };
     dispatch(1);
@@ -351,7 +355,7 @@
     checkRefused(*second, ErrorCode::NotLoaded, Execution::NotRun);
 }
 
-BOOST_AUTO_TEST_CASE(anEngineThatLostTheModelSaysNotLoaded)
+BOOST_AUTO_TEST_CASE(notFoundFromTheEngineIsReportedAsNotLoaded)
 {
     dispatch(1);
     answerHead(0, 404);
@@ -359,8 +363,9 @@
     BOOST_TEST(link->all<fb::AnswerHeadT>().empty());
 }
 
-// The upstream closes its connection after it got the request: it may have run it, so nobody may say "not run".
-BOOST_AUTO_TEST_CASE(aBrokenUpstreamIsUnknown)
+// An upstream closes the connection after it has received the request. It may have run the request, which therefore
+// must not be reported as "not run".
+BOOST_AUTO_TEST_CASE(aBrokenUpstreamConnectionIsReportedAsUnknown)
 {
     dispatch(1);
     answerHead(0);
@@ -371,7 +376,7 @@
     BOOST_TEST(link->all<fb::AnswerEndT>().empty());
 }
 
-BOOST_AUTO_TEST_CASE(anAnswerTooLongIsBrokenOff)
+BOOST_AUTO_TEST_CASE(anAnswerThatIsTooLongIsAborted)
 {
     dispatch(1);
     answerHead(0);
@@ -381,7 +386,7 @@
     BOOST_TEST(upstream->calls[0]->isCancelled);
 }
 
-BOOST_AUTO_TEST_CASE(drainingRefusesTheNewAndEndsTheRest)
+BOOST_AUTO_TEST_CASE(drainingRefusesNewRequestsAndCompletesTheRest)
 {
     dispatch(1);
     dispatch(2);
@@ -397,10 +402,10 @@
     BOOST_TEST(gate->isIdle());
 }
 
-// The agent is told to end while its upstream works on one request and another waits, both for longer than the grace
-// period. What waits was never given to the upstream and must be refused as not run, in time to be served elsewhere;
-// what runs is stopped, and is unknown, in time for its router to hear it.
-BOOST_AUTO_TEST_CASE(theEndRefusesWhatWaitsAndStopsWhatRuns)
+// The agent shuts down while one request runs and another waits, both for longer than the grace period. The waiting
+// request was never sent to the upstream and must be refused as not run, in time to be served elsewhere. The running
+// one must be stopped and reported as unknown, in time for its router to receive that.
+BOOST_AUTO_TEST_CASE(shutdownRefusesWaitingRequestsAndStopsRunningOnes)
 {
     dispatch(1, 60000);
     dispatch(2, 60000);
@@ -422,9 +427,9 @@
     BOOST_TEST(gate->isIdle());
 }
 
-// The upstream's times are known, and the queue is longer than what is left. Those that can't be served must not wait
-// for that to come true.
-BOOST_AUTO_TEST_CASE(atTheEndWhatTheQueueCantServeGoesElsewhereAtOnce)
+// The service time is known, and the queue takes longer than the time until shutdown. Requests that can't be served
+// must be refused immediately instead of waiting until that time has passed.
+BOOST_AUTO_TEST_CASE(shutdownRefusesRequestsThatTheQueueCannotServeImmediately)
 {
     learnServiceTime();
     dispatch(2, 60000);
@@ -433,16 +438,16 @@
     gate->beginDraining(framework::ServiceEnd::after(control.now(), Milliseconds(1000)));
     const auto refused = link->all<fb::RefusedT>();
     BOOST_TEST(!refused.empty());
-    BOOST_TEST(refused.size() < 20u, "what can be served waits on");
+    BOOST_TEST(refused.size() < 20u, "requests that can be served keep waiting");
     for (const fb::RefusedT& each : refused) {
         BOOST_CHECK(each.code == static_cast<std::uint8_t>(ErrorCode::Draining));
         BOOST_CHECK(each.execution == static_cast<std::uint8_t>(Execution::NotRun));
     }
 }
 
-// A router dies and never comes back. Its request goes on for a while, for the router might ask over a new link, and is
-// then stopped; nothing of it is kept.
-BOOST_AUTO_TEST_CASE(aGoneRoutersWorkIsStoppedInTheEnd)
+// A router dies and doesn't return. Its request continues for a while, since the router might resolve it over a new
+// link; then the request must be stopped and its entry dropped.
+BOOST_AUTO_TEST_CASE(theWorkOfADisconnectedRouterIsEventuallyStopped)
 {
     gate->linkOpened(router);
     dispatch(1, 60000);
--- a/src/agent/tests/requestledger_test.cpp
+++ b/src/agent/tests/requestledger_test.cpp
@@ -43,8 +43,8 @@
 
 BOOST_AUTO_TEST_SUITE(RequestLedgers)
 
-// The router's link falls silent before its frame arrives. It asks over a new link, is told "not run" and sends the
-// draft elsewhere. Minutes later the old frame arrives: without the fence the draft would be made twice.
+// Prevents a second run: a router's link goes silent before its dispatch frame arrives. The router resolves the id over
+// a new link, gets "not run" and sends the request elsewhere. Minutes later the old frame arrives and must be refused.
 BOOST_FIXTURE_TEST_CASE(aLateFrameAfterAResolveDoesNotRun, LedgerFixture)
 {
     BOOST_CHECK(resolve(1).value() == ResolveVerdict::Fenced);
@@ -59,7 +59,7 @@
     checkRefused(dispatch(1), ErrorCode::Fenced, Execution::NotRun);
 }
 
-BOOST_FIXTURE_TEST_CASE(theSameFrameTwiceRunsOnce, LedgerFixture)
+BOOST_FIXTURE_TEST_CASE(aRepeatedFrameRunsOnce, LedgerFixture)
 {
     BOOST_CHECK(dispatch(1).value() == DispatchVerdict::Started);
     BOOST_CHECK(dispatch(1).value() == DispatchVerdict::AlreadyKnown);
@@ -68,9 +68,10 @@
     BOOST_CHECK(resolve(1).value() == ResolveVerdict::Done);
 }
 
-// The agent dies and starts anew with an empty ledger while a frame to the former process is still under way. Were it
-// taken, a slot could be held twice; were it said to be "not run", that could be a lie about the former process.
-BOOST_FIXTURE_TEST_CASE(aFrameForTheFormerProcessIsRefused, LedgerFixture)
+// An agent restarts with an empty ledger while a frame to its previous process is still in transit. If the frame were
+// run, the upstream could book a slot twice; "not run" as the answer to a resolve could be wrong for the previous
+// process.
+BOOST_FIXTURE_TEST_CASE(aFrameForThePreviousProcessIsRefused, LedgerFixture)
 {
     checkRefused(ledger.dispatch(key(1), Incarnation(99), noFloor), ErrorCode::StaleIncarnation, Execution::NotRun);
     checkRefused(ledger.resolve(key(1), Incarnation(99), noFloor), ErrorCode::StaleIncarnation, Execution::Unknown);
@@ -90,9 +91,9 @@
     BOOST_TEST(ledger.openSession(router, start) == session);
 }
 
-// A frame is held up in the network until its request has long been settled and forgotten. Nothing in the ledger tells
-// that it ran before, so the floor must.
-BOOST_FIXTURE_TEST_CASE(belowTheFloorNothingRuns, LedgerFixture)
+// Prevents a second run by a frame that the network delays until its request has been settled and its entry dropped:
+// only the floor then shows that it was received before.
+BOOST_FIXTURE_TEST_CASE(nothingRunsBelowTheFloor, LedgerFixture)
 {
     BOOST_REQUIRE(dispatch(1).has_value());
     ledger.complete(key(1), std::nullopt);
@@ -100,7 +101,7 @@
     BOOST_TEST(ledger.entries() == 0u);
     checkRefused(dispatch(1), ErrorCode::BelowFloor, Execution::NotRun);
     checkRefused(resolve(1), ErrorCode::BelowFloor, Execution::Unknown);
-    // The floor never goes down, whatever a crossed frame says.
+    // A reordered frame with a lower floor doesn't lower the floor.
     checkRefused(dispatch(1, 1), ErrorCode::BelowFloor, Execution::NotRun);
 }
 
@@ -136,7 +137,7 @@
     for (std::uint64_t sequence = 1; sequence <= 4; ++sequence)
         BOOST_REQUIRE(dispatch(sequence).has_value());
     checkRefused(dispatch(5), ErrorCode::TooManyWaiting, Execution::NotRun);
-    // Without room for a fence nothing can be promised of an unseen id.
+    // Without space for a fence the outcome of an unseen id is unknown.
     checkRefused(resolve(6), ErrorCode::TooManyWaiting, Execution::Unknown);
     ledger.storeBytes(key(1), std::string(100, 'x'));
     ledger.complete(key(2), std::nullopt);
@@ -145,7 +146,7 @@
     checkRefused(dispatch(5), ErrorCode::TooManyWaiting, Execution::NotRun);
 }
 
-BOOST_FIXTURE_TEST_CASE(onlyRoutersWithoutALinkAreForgotten, LedgerFixture)
+BOOST_FIXTURE_TEST_CASE(onlyRoutersWithoutALinkAreDropped, LedgerFixture)
 {
     ledger.linkOpened(router);
     BOOST_REQUIRE(dispatch(1).has_value());
--- a/src/agent/tests/servicetimes_test.cpp
+++ b/src/agent/tests/servicetimes_test.cpp
@@ -14,7 +14,7 @@
 
 BOOST_AUTO_TEST_SUITE(ServiceTimesOfTargets)
 
-BOOST_AUTO_TEST_CASE(nothingIsKnownBeforeTheFirst)
+BOOST_AUTO_TEST_CASE(estimateIsUnknownBeforeTheFirstMeasurement)
 {
     ServiceTimes times;
     BOOST_TEST(!times.estimateFor(model("a")).has_value());
@@ -23,7 +23,7 @@
     BOOST_TEST(!times.estimateFor(model("b")).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(targetsAreApartAndAlsoTakenTogether)
+BOOST_AUTO_TEST_CASE(estimatesArePerTargetAndOverall)
 {
     ServiceTimes times;
     for (int turn = 0; turn < 100; ++turn) {
--- a/src/agent/types/enginestate.h
+++ b/src/agent/types/enginestate.h
@@ -16,15 +16,15 @@
     EngineReplicaState state = EngineReplicaState::Loading;
 };
 
-/// Where the engine has weights that it needn't fetch; what isn't listed is remote.
+/// Where the engine has cached a checkpoint. Checkpoints that aren't listed are in remote storage only.
 struct CachedCheckpoint {
     Checkpoint checkpoint;
     policy::CheckpointPlace place = policy::CheckpointPlace::Remote;
 };
 
-/// What a model engine says of itself.
+/// State reported by a model engine.
 struct EngineState {
-    /// Changes when the engine starts anew, empty.
+    /// Changes when the engine restarts, which leaves it without replicas.
     std::uint64_t incarnation = 0;
     framework::MebiBytes memory;
     std::vector<EngineReplica> replicas;
--- a/src/agent/types/replicaid.h
+++ b/src/agent/types/replicaid.h
@@ -7,7 +7,7 @@
 
 namespace lagoon::agent {
 
-/// A model, or an adapter beside its model. An upstream has at most one replica of each.
+/// Identifies a model, or an adapter of a model. An upstream has at most one replica of each.
 struct ReplicaId {
     framework::ModelName model;
     /// Empty for the model itself.
@@ -24,7 +24,7 @@
     return id.isAdapter() ? id.model.value() + "/" + id.adapter.value() : id.model.value();
 }
 
-/// The weights that a replica is made of.
+/// The version of the weights that a replica is loaded from.
 struct Checkpoint {
     ReplicaId replica;
     framework::WeightsVersion version;
--- a/src/agent/types/target.h
+++ b/src/agent/types/target.h
@@ -4,7 +4,7 @@
 
 namespace lagoon::agent {
 
-/// What a dispatch is for: a replica or a plain service.
+/// The destination of a dispatch: a replica or a plain service.
 struct Target {
     ReplicaId replica;
     framework::ServiceName service;
