--- a/src/agent/internal/replicacontroller.cpp
+++ b/src/agent/internal/replicacontroller.cpp
@@ -424,7 +424,7 @@
 {
     if (replica.isOrdered) {
         const auto took = std::chrono::duration_cast<Milliseconds>(now - replica.orderedAt);
-        loadTimes_.record(replicaText(replica.id), placeOf(replica.id), replica.memory, took, now);
+        loadTimes_.record(replicaText(replica.id), locationOf(replica.id), replica.memory, took, now);
         ports_.metrics->observeSeconds(
             "lagoon_load_seconds", std::chrono::duration<double>(now - replica.orderedAt).count());
         ports_.metrics->count("lagoon_loads_total");
@@ -514,10 +514,10 @@
 /// other checkpoints may have displaced it from memory.
 Milliseconds ReplicaController::expectedReloadTime(const Replica& replica) const
 {
-    const auto from = [&](policy::CheckpointPlace place) {
-        return loadTimes_.estimate(replicaText(replica.id), place, replica.memory, ports_.clock.now()).typical;
+    const auto from = [&](policy::CheckpointPlace location) {
+        return loadTimes_.estimate(replicaText(replica.id), location, replica.memory, ports_.clock.now()).typical;
     };
-    const policy::CheckpointPlace present = placeOf(replica.id);
+    const policy::CheckpointPlace present = locationOf(replica.id);
     return (from(present) + from(std::max(present, policy::CheckpointPlace::Disk))) / 2;
 }
 
--- a/src/agent/internal/replicacontroller.h
+++ b/src/agent/internal/replicacontroller.h
@@ -156,7 +156,7 @@
     bool hasRequiredModel(const ReplicaId&) const;
     bool hasAdaptersInTransition(const framework::ModelName&) const;
     framework::Milliseconds expectedReloadTime(const Replica&) const;
-    policy::CheckpointPlace placeOf(const ReplicaId&) const;
+    policy::CheckpointPlace locationOf(const ReplicaId&) const;
     policy::LoadTimeEstimate expectedLoad(const ReplicaId&) const;
     bool isInTransition() const;
     bool isRequested(const Replica&) const;
--- a/src/agent/internal/replicaqueries.cpp
+++ b/src/agent/internal/replicaqueries.cpp
@@ -28,7 +28,7 @@
     offer.refusal = refusalOf(id, Deadline(SteadyTime::max()));
     if (!bundle_ || !weightsOf(id))
         return offer;
-    offer.checkpoint = placeOf(id);
+    offer.checkpoint = locationOf(id);
     offer.expectedLoad = expectedLoad(id).typical;
     const std::uint64_t needed = replica ? 0 : memoryNeeded(id);
     if (needed <= offer.available.value())
@@ -149,7 +149,7 @@
 policy::LoadTimeEstimate ReplicaController::expectedLoad(const ReplicaId& id) const
 {
     policy::LoadTimeEstimate expected
-        = loadTimes_.estimate(replicaText(id), placeOf(id), weightsOf(id)->memory, ports_.clock.now());
+        = loadTimes_.estimate(replicaText(id), locationOf(id), weightsOf(id)->memory, ports_.clock.now());
     if (!id.isAdapter() || find(id.ofModel()))
         return expected;
     const policy::LoadTimeEstimate ofModel = expectedLoad(id.ofModel());
@@ -159,12 +159,12 @@
     return expected;
 }
 
-policy::CheckpointPlace ReplicaController::placeOf(const ReplicaId& id) const
+policy::CheckpointPlace ReplicaController::locationOf(const ReplicaId& id) const
 {
     const auto weights = weightsOf(id);
     for (const CachedCheckpoint& cached : engineState_.checkpoints) {
         if (weights && cached.checkpoint == Checkpoint { id, weights->version })
-            return cached.place;
+            return cached.location;
     }
     return policy::CheckpointPlace::Remote;
 }
--- a/src/agent/internal/requestgate.cpp
+++ b/src/agent/internal/requestgate.cpp
@@ -20,10 +20,10 @@
 namespace fb = wire::fb;
 
 constexpr std::size_t maxChunkBytes = std::size_t(256) * 1024;
-constexpr std::uint8_t highestPriority = 9;
+constexpr std::uint8_t maxPriority = 9;
 constexpr Milliseconds retryWhenFull { 500 };
 /// Retry delay of requests that are refused because the agent shuts down; another upstream may serve them immediately.
-constexpr Milliseconds retryElsewhere { 1000 };
+constexpr Milliseconds retryWhenDraining { 1000 };
 constexpr unsigned short notFound = 404;
 /// How long before the deadline an answer or refusal has to be sent to reach the router in time. Shortly before the
 /// deadline the router refuses the request itself, and can then only report it as "unknown".
@@ -67,7 +67,7 @@
     request.path = std::move(dispatch.path);
     request.headers = headersOf(dispatch.headers);
     request.body.assign(dispatch.body.begin(), dispatch.body.end());
-    request.priority = std::min(dispatch.priority, highestPriority);
+    request.priority = std::min(dispatch.priority, maxPriority);
     request.isRepeatable = dispatch.is_repeatable;
     request.deadline = Deadline::after(now, Milliseconds(dispatch.remaining_ms));
     return request;
@@ -90,7 +90,7 @@
 Error drainingRefusal(std::string detail, Execution execution)
 {
     Error error = refusal(ErrorCode::Draining, std::move(detail), execution);
-    error.retryAfter = retryElsewhere;
+    error.retryAfter = retryWhenDraining;
     return error;
 }
 
@@ -250,11 +250,11 @@
 
 /// Also records calls that were stopped after more than the typical time; otherwise an upstream that has become too
 /// slow for every deadline would never be noticed.
-void RequestGate::recordServiceTime(const Call& call, bool isWhole)
+void RequestGate::recordServiceTime(const Call& call, bool isComplete)
 {
     const auto took = std::chrono::duration_cast<Milliseconds>(ports_.clock.now() - call.startedAt);
     const auto known = serviceTimes_.estimateFor(call.target);
-    if (!isWhole && (!known || took <= known->typical))
+    if (!isComplete && (!known || took <= known->typical))
         return;
     serviceTimes_.record(call.target, took);
     if (!known)
--- a/src/agent/internal/requestgate.h
+++ b/src/agent/internal/requestgate.h
@@ -89,7 +89,7 @@
     void armQueueTimer(const DispatchKey&, Call&);
     void refuseHopeless(const Target&);
     void armRunTimer(const DispatchKey&, Call&);
-    void recordServiceTime(const Call&, bool isWhole);
+    void recordServiceTime(const Call&, bool isComplete);
     Call* find(const DispatchKey&);
 
     GatePorts ports_;
--- a/src/agent/internal/requestledger.cpp
+++ b/src/agent/internal/requestledger.cpp
@@ -209,8 +209,8 @@
             ++session;
             continue;
         }
-        const SequenceNumber past(~std::uint64_t { 0 });
-        raiseFloor(session->first, session->second, past);
+        const SequenceNumber aboveAll(~std::uint64_t { 0 });
+        raiseFloor(session->first, session->second, aboveAll);
         // Running entries keep the session until their upstream calls have ended.
         session = session->second.entries.empty() ? sessions_.erase(session) : std::next(session);
     }
--- a/src/agent/tests/httpupstream_test.cpp
+++ b/src/agent/tests/httpupstream_test.cpp
@@ -311,7 +311,7 @@
     BOOST_REQUIRE(state.value().replicas.size() == 2u);
     BOOST_TEST(replicaText(state.value().replicas[1].checkpoint.replica) == "a/f");
     BOOST_CHECK(state.value().replicas[1].state == EngineReplicaState::Unloading);
-    BOOST_CHECK(state.value().checkpoints.at(0).place == lagoon::policy::CheckpointPlace::Memory);
+    BOOST_CHECK(state.value().checkpoints.at(0).location == lagoon::policy::CheckpointPlace::Memory);
 }
 
 // Prevents an engine state that lacks its memory or replicas, or is truncated, from being taken for an empty engine:
--- a/src/agent/types/enginestate.h
+++ b/src/agent/types/enginestate.h
@@ -19,7 +19,7 @@
 /// Where the engine has cached a checkpoint. Checkpoints that aren't listed are in remote storage only.
 struct CachedCheckpoint {
     Checkpoint checkpoint;
-    policy::CheckpointPlace place = policy::CheckpointPlace::Remote;
+    policy::CheckpointPlace location = policy::CheckpointPlace::Remote;
 };
 
 /// State reported by a model engine.
