--- a/src/agent/internal/admissionqueue.cpp
+++ b/src/agent/internal/admissionqueue.cpp
@@ -60,7 +60,7 @@
         queue_.begin(), queue_.end(), [&](const WaitingDispatch& dispatch) { return dispatch.key == key; });
 }
 
-std::uint32_t AdmissionQueue::ahead(const WaitingDispatch& dispatch) const
+std::uint32_t AdmissionQueue::countAhead(const WaitingDispatch& dispatch) const
 {
     return static_cast<std::uint32_t>(std::distance(queue_.begin(), queue_.lower_bound(dispatch)));
 }
--- a/src/agent/internal/admissionqueue.h
+++ b/src/agent/internal/admissionqueue.h
@@ -35,7 +35,7 @@
     /// Whether a new dispatch would start immediately.
     bool hasFreeSlot() const { return queue_.empty() && running_ < maxRunning_; }
     /// Number of waiting dispatches that would start before this one.
-    std::uint32_t ahead(const WaitingDispatch&) const;
+    std::uint32_t countAhead(const WaitingDispatch&) const;
     std::uint32_t maxRunning() const { return maxRunning_; }
     std::uint32_t running() const { return running_; }
     std::uint32_t waiting() const { return static_cast<std::uint32_t>(queue_.size()); }
--- a/src/agent/internal/replicacontroller.cpp
+++ b/src/agent/internal/replicacontroller.cpp
@@ -122,14 +122,14 @@
 void ReplicaController::addPendingModel(const ReplicaId& id)
 {
     setStage(*find(id), ReplicaStage::WaitingForModel);
-    if (!find(id.ofModel()))
-        add(id.ofModel(), *weightsOf(id.ofModel()), ReplicaStage::Claiming);
+    if (!find(id.modelId()))
+        add(id.modelId(), *weightsOf(id.modelId()), ReplicaStage::Claiming);
 }
 
 Result<void> ReplicaController::beginUse(const Target& target, SteadyTime now)
 {
     Replica* replica = find(target.replica);
-    Replica* model = find(target.replica.ofModel());
+    Replica* model = find(target.replica.modelId());
     const auto isServed = [](const Replica* one) { return one && one->stage == ReplicaStage::Loaded; };
     if (!isServed(replica) || !isServed(model)) {
         const std::string stage = replica ? stageText(replica->stage) : "not here";
@@ -172,7 +172,7 @@
     };
     end(target.replica);
     if (target.replica.isAdapter())
-        end(target.replica.ofModel());
+        end(target.replica.modelId());
     const Replica* replica = find(target.replica);
     if (replica && replica->stage != ReplicaStage::Loaded)
         advance();
@@ -206,7 +206,7 @@
         return;
     switch (replica.stage) {
     case ReplicaStage::WaitingForModel: {
-        const Replica* model = find(replica.id.ofModel());
+        const Replica* model = find(replica.id.modelId());
         if (!model || model->stage > ReplicaStage::Loaded)
             return failLoad(
                 replica, refusal(ErrorCode::LoadFailed, replica.id, "its model isn't loaded", retryWhenBusy));
--- a/src/agent/internal/replicaqueries.cpp
+++ b/src/agent/internal/replicaqueries.cpp
@@ -58,14 +58,14 @@
         return permanentRefusal(ErrorCode::NoCapacity, id, "not decided for pool " + settings_.pool.value());
     if (id.isAdapter() && !bundle_->adapter(id.model, id.adapter))
         return permanentRefusal(ErrorCode::UnknownAdapter, id, "not in the bundle");
-    if (decidedCount(id).decided == 0 || decidedCount(id.ofModel()).decided == 0)
+    if (decidedCount(id).decided == 0 || decidedCount(id.modelId()).decided == 0)
         return permanentRefusal(ErrorCode::ReplicaCapReached, id, "no replica decided at this site");
     if (engineFailures_ >= failuresUntilUnreachable)
         return refusal(ErrorCode::NotReady, id, "the engine doesn't answer", retryWhenBusy);
     const Replica* replica = find(id);
     const auto isBeingUnloaded
         = [](const Replica* one) { return one && one->stage == ReplicaStage::Draining && !one->reloadsAfterUnload; };
-    if (isBeingUnloaded(replica) || isBeingUnloaded(find(id.ofModel())))
+    if (isBeingUnloaded(replica) || isBeingUnloaded(find(id.modelId())))
         return refusal(ErrorCode::NotReady, id, "it is being unloaded", retryWhenBusy);
     if (replica)
         return std::nullopt;
@@ -89,8 +89,8 @@
 std::uint64_t ReplicaController::memoryNeeded(const ReplicaId& id) const
 {
     std::uint64_t needed = weightsOf(id)->memory.value();
-    if (id.isAdapter() && !find(id.ofModel()))
-        needed += weightsOf(id.ofModel())->memory.value();
+    if (id.isAdapter() && !find(id.modelId()))
+        needed += weightsOf(id.modelId())->memory.value();
     return needed;
 }
 
@@ -116,7 +116,7 @@
         if (replica.stage != ReplicaStage::Loaded)
             continue;
         policy::LoadedReplica view = viewOf(replica);
-        const bool isPinned = id == incoming.ofModel() || !replica.isClaimed;
+        const bool isPinned = id == incoming.modelId() || !replica.isClaimed;
         if (isPinned)
             view.running = std::max<std::uint32_t>(1, view.running);
         views.push_back(std::move(view));
@@ -150,12 +150,12 @@
 {
     policy::LoadTimeEstimate expected
         = loadTimes_.estimate(replicaText(id), locationOf(id), weightsOf(id)->memory, ports_.clock.now());
-    if (!id.isAdapter() || find(id.ofModel()))
+    if (!id.isAdapter() || find(id.modelId()))
         return expected;
-    const policy::LoadTimeEstimate ofModel = expectedLoad(id.ofModel());
-    expected.low += ofModel.low;
-    expected.typical += ofModel.typical;
-    expected.high += ofModel.high;
+    const policy::LoadTimeEstimate modelEstimate = expectedLoad(id.modelId());
+    expected.low += modelEstimate.low;
+    expected.typical += modelEstimate.typical;
+    expected.high += modelEstimate.high;
     return expected;
 }
 
@@ -202,7 +202,7 @@
 /// Always true for a model. An adapter requires its model to be loaded and not draining.
 bool ReplicaController::hasRequiredModel(const ReplicaId& id) const
 {
-    const Replica* model = find(id.ofModel());
+    const Replica* model = find(id.modelId());
     return !id.isAdapter() || (model && model->stage == ReplicaStage::Loaded);
 }
 
--- a/src/agent/internal/requestgate.cpp
+++ b/src/agent/internal/requestgate.cpp
@@ -181,7 +181,7 @@
     const auto own = serviceTimes_.estimateFor(target);
     if (!own || admission_.hasFreeSlot())
         return std::nullopt;
-    const policy::LoadQueue queue { admission_.ahead(waiting), admission_.running(), admission_.maxRunning(), 0,
+    const policy::LoadQueue queue { admission_.countAhead(waiting), admission_.running(), admission_.maxRunning(), 0,
         serviceTimes_.estimateForAll() };
     const policy::LoadForecast forecast = policy::forecastWaiting(*own, queue);
     if (!policy::isLikelyTooLate(
@@ -242,10 +242,10 @@
 void RequestGate::armRunTimer(const DispatchKey& key, Call& call)
 {
     const Deadline last = answerDeadline(call.request.deadline);
-    const Error why = last < call.request.deadline
+    const Error error = last < call.request.deadline
         ? drainingRefusal("the agent ends before its answer", Execution::Unknown)
         : refusal(ErrorCode::DeadlinePassed, "", Execution::Unknown);
-    call.deadlineTimer = ports_.control.runAt(last, [this, key, why] { stop(key, why); });
+    call.deadlineTimer = ports_.control.runAt(last, [this, key, error] { stop(key, error); });
 }
 
 /// Also records calls that were stopped after more than the typical time; otherwise an upstream that has become too
--- a/src/agent/tests/replicacontroller_test.cpp
+++ b/src/agent/tests/replicacontroller_test.cpp
@@ -598,12 +598,12 @@
     alone.startAgent();
     alone.loadSlowly(model("a"));
     alone.use(model("a"));
-    const Milliseconds ofModel = alone.timeToUnload(model("a"));
+    const Milliseconds modelTime = alone.timeToUnload(model("a"));
     startAgent();
     loadSlowly(model("a"));
     loadSlowly(adapter("a", "fine"));
     use(adapter("a", "fine"));
-    BOOST_TEST(timeToUnload(model("a")).count() <= (ofModel + Milliseconds(10000)).count());
+    BOOST_TEST(timeToUnload(model("a")).count() <= (modelTime + Milliseconds(10000)).count());
     const std::vector<ReplicaId> inOrder { adapter("a", "fine"), model("a") };
     BOOST_CHECK(engineFake.unloaded == inOrder);
 }
--- a/src/agent/types/replicaid.h
+++ b/src/agent/types/replicaid.h
@@ -14,7 +14,7 @@
     framework::AdapterName adapter;
 
     bool isAdapter() const { return !adapter.value().empty(); }
-    ReplicaId ofModel() const { return { model, {} }; }
+    ReplicaId modelId() const { return { model, {} }; }
     friend auto operator<=>(const ReplicaId&, const ReplicaId&) = default;
 };
 
