--- a/src/agent/internal/httpmodelengine.cpp
+++ b/src/agent/internal/httpmodelengine.cpp
@@ -152,8 +152,8 @@
 {
     constexpr auto code = ErrorCode::UpstreamFailed;
     BOOST_OUTCOME_TRY(value, framework::parseJson(text, source, code, stateLimits));
-    // An incomplete state must not be taken for an empty engine: claims would be released while the engine still holds
-    // the models.
+    // An incomplete state must not be taken for an empty engine: claims would be released while the engine still has
+    // models loaded.
     if (!value.is_object() || numberField(value, "memory_mib") == 0 || !value.has_array_field("replicas"))
         return Error { code, "read engine state", source, "expected memory_mib above 0 and replicas" };
     if (objectArray(value, "replicas").size() != value.at("replicas").size())
--- a/src/agent/internal/memoryaccount.h
+++ b/src/agent/internal/memoryaccount.h
@@ -17,8 +17,8 @@
     /// Returns false if the memory doesn't fit. An existing reservation of the replica counts towards the new one and
     /// is never reduced.
     [[nodiscard]] bool reserve(const ReplicaId&, framework::MebiBytes);
-    /// Sets the memory that the engine holds for a replica, or may still have to hold, whether or not it fits: the
-    /// engine's state takes precedence over the plan.
+    /// Sets the memory that a replica uses in the engine, or may use once a pending order arrives, whether or not it
+    /// fits: the engine's state takes precedence over the plan.
     void setReservation(const ReplicaId&, framework::MebiBytes);
     void free(const ReplicaId&);
 
--- a/src/agent/internal/replicaclaims.h
+++ b/src/agent/internal/replicaclaims.h
@@ -14,7 +14,7 @@
 
 /// Writes claims by conditional updates of `replicas/<site>/<model>[/<adapter>]`. The count and all holders are in one
 /// object, so two agents can't both take the last slot. A claim never expires: a paused agent couldn't renew it while
-/// its engine still holds the model.
+/// its engine still has the model loaded.
 class ReplicaClaims final : public IReplicaClaims {
 public:
     ReplicaClaims(std::shared_ptr<objectstore::IObjectStore>, std::shared_ptr<objectstore::IVmList>,
--- a/src/agent/internal/replicacontroller.cpp
+++ b/src/agent/internal/replicacontroller.cpp
@@ -510,8 +510,8 @@
     });
 }
 
-/// The mean of the load times from where the checkpoint is now and from disk or slower: by the time of the reload,
-/// other checkpoints may have displaced it from memory.
+/// The mean of the load times from the checkpoint's current location and from disk (or the current location if that is
+/// slower): by the time of the reload, other checkpoints may have displaced it from the memory cache.
 Milliseconds ReplicaController::expectedReloadTime(const Replica& replica) const
 {
     const auto from = [&](policy::CheckpointPlace location) {
--- a/src/agent/internal/requestgate.cpp
+++ b/src/agent/internal/requestgate.cpp
@@ -467,8 +467,7 @@
     stopAbandoned();
 }
 
-/// Stops calls that nobody waits for any more: their callers have received another result, or their router has
-/// disconnected.
+/// Stops calls that no caller waits for any more: it has received another result, or its router has disconnected.
 void RequestGate::stopAbandoned()
 {
     for (const DispatchKey& key : ledger_.takeAbandoned())
--- a/src/agent/internal/requestledger.cpp
+++ b/src/agent/internal/requestledger.cpp
@@ -75,7 +75,7 @@
 framework::Result<DispatchVerdict> RequestLedger::dispatch(
     const DispatchKey& key, framework::Incarnation agentIncarnation, SequenceNumber floor)
 {
-    // A frame that is refused here isn't run. Whether an earlier frame of the same id was run is for `resolve` to tell.
+    // A frame refused here isn't run. Only `resolve` reports whether an earlier frame of the same id was run.
     auto session = sessionFor(key, agentIncarnation);
     if (session.has_error()) {
         Error error = session.error();
--- a/src/agent/internal/requestledger.h
+++ b/src/agent/internal/requestledger.h
@@ -58,7 +58,7 @@
 class RequestLedger {
 public:
     /// Creates the empty ledger of a restarted process, which has a new incarnation. Frames addressed to the previous
-    /// incarnation are refused, so that a late one can't run because the ledger is empty.
+    /// incarnation are refused; otherwise a late one could run again, since the empty ledger doesn't know its id.
     static RequestLedger restart(framework::Incarnation own, const LedgerLimits&);
 
     /// Returns the session of a router process: the same for all its links, as long as the ledger keeps it.
@@ -67,7 +67,7 @@
     void linkOpened(framework::Incarnation router);
     void linkClosed(framework::Incarnation router, framework::SteadyTime now);
 
-    /// Records a new id as running. An error is a refusal and says whether the id is known not to have run.
+    /// Records a new id as running. An error is a refusal, which states whether the id is known not to have run.
     framework::Result<DispatchVerdict> dispatch(
         const DispatchKey&, framework::Incarnation agentIncarnation, framework::SequenceNumber floor);
     /// Marks an unseen id so that it will never run; known ids are left unchanged.
@@ -75,7 +75,7 @@
     /// Returns the state of the id; an unseen id is fenced.
     framework::Result<ResolveVerdict> resolve(
         const DispatchKey&, framework::Incarnation agentIncarnation, framework::SequenceNumber floor);
-    /// Drops the entries below the floor: the router no longer needs their answers.
+    /// Drops the entries below the floor, whose answers the router no longer needs; running ones become abandoned.
     void settle(framework::Incarnation router, std::uint64_t session, framework::SequenceNumber floor);
     /// Marks the answer as complete, or stores the refusal in its place.
     void complete(const DispatchKey&, std::optional<framework::Error> refusal);
--- a/src/agent/tests/httpupstream_test.cpp
+++ b/src/agent/tests/httpupstream_test.cpp
@@ -315,7 +315,7 @@
 }
 
 // Prevents an engine state that lacks its memory or replicas, or is truncated, from being taken for an empty engine:
-// all claims would be released while the engine still holds the models.
+// all claims would be released while the engine still has models loaded.
 BOOST_AUTO_TEST_CASE(anIncompleteEngineStateIsRejected)
 {
     for (const char* text :
