--- a/src/agent/internal/replicacontroller.cpp
+++ b/src/agent/internal/replicacontroller.cpp
@@ -54,7 +54,7 @@
 ReplicaController::ReplicaController(ReplicaPorts ports, ReplicaSettings settings)
     : ports_(std::move(ports))
     , settings_(std::move(settings))
-    , keepWarm_(policy::makeKeepWarm(bundle::PolicyNumbers {}))
+    , keepWarm_(policy::makeKeepWarm(bundle::PolicyParameters {}))
 {
 }
 
--- a/src/bundle/internal/bundlereader.cpp
+++ b/src/bundle/internal/bundlereader.cpp
@@ -80,17 +80,17 @@
     return defaults;
 }
 
-void readPolicy(CheckedObject& object, PolicyNumbers& policy)
+void readPolicy(CheckedObject& object, PolicyParameters& policy)
 {
     if (!object.has("policy"))
         return;
-    CheckedObject numbers = object.object("policy");
-    policy.coldStartWeight = numbers.fractionOr("cold_start_weight", policy.coldStartWeight, 0, maxColdStartWeight);
-    policy.weightLoadsPerSecond = numbers.fractionOr(
+    CheckedObject parameters = object.object("policy");
+    policy.coldStartWeight = parameters.fractionOr("cold_start_weight", policy.coldStartWeight, 0, maxColdStartWeight);
+    policy.weightLoadsPerSecond = parameters.fractionOr(
         "weight_loads_per_second", policy.weightLoadsPerSecond, minLoadsPerSecond, maxLoadsPerSecond);
     policy.weightLoadsAtFullSpeed = static_cast<std::uint32_t>(
-        numbers.numberOr("weight_loads_at_full_speed", policy.weightLoadsAtFullSpeed, 1, maxReplicas));
-    (void)numbers.finish();
+        parameters.numberOr("weight_loads_at_full_speed", policy.weightLoadsAtFullSpeed, 1, maxReplicas));
+    (void)parameters.finish();
 }
 
 void readPool(CheckedObject& object, Bundle& bundle)
--- a/src/bundle/internal/bundlewriter.cpp
+++ b/src/bundle/internal/bundlewriter.cpp
@@ -33,7 +33,7 @@
     json["priority"] = value::number(static_cast<std::uint32_t>(defaults.priority));
 }
 
-value policyJson(const PolicyNumbers& policy)
+value policyJson(const PolicyParameters& policy)
 {
     value json = value::object(true);
     json["cold_start_weight"] = value::number(policy.coldStartWeight);
--- a/src/bundle/tests/parserfuzz_test.cpp
+++ b/src/bundle/tests/parserfuzz_test.cpp
@@ -17,7 +17,7 @@
 constexpr unsigned maxMutations = 6;
 constexpr std::uint64_t seed = 20261202;
 
-const std::vector<std::string> words { "null", "-1", "1e400", "18446744073709551616", "{}", "[]", "\"\"", "{", "]",
+const std::vector<std::string> tokens { "null", "-1", "1e400", "18446744073709551616", "{}", "[]", "\"\"", "{", "]",
     "\"\\ud800\"", ",", ":", "\xff", std::string(1, '\0'), "true", "\"version\":", "0.5" };
 
 /// Mutates a text by replacing, removing and duplicating bytes and by inserting tokens that JSON parsers often
@@ -51,10 +51,10 @@
             text.insert(at, text.substr(at, std::min<std::size_t>(length, 200)));
             return;
         case 3:
-            text.insert(at, words[below(words.size())]);
+            text.insert(at, tokens[below(tokens.size())]);
             return;
         default:
-            text.replace(at, std::min<std::size_t>(length, 8), words[below(words.size())]);
+            text.replace(at, std::min<std::size_t>(length, 8), tokens[below(tokens.size())]);
             return;
         }
     }
--- a/src/bundle/types/bundle.h
+++ b/src/bundle/types/bundle.h
@@ -57,7 +57,7 @@
 };
 
 /// Parameters of the placement policy, for all sites.
-struct PolicyNumbers {
+struct PolicyParameters {
     /// Cost of one second of a caller's cold start, in seconds of an idle accelerator.
     double coldStartWeight = 10;
     /// Limits of the weight store, in total for all sites.
@@ -68,7 +68,7 @@
 /// The configuration of models, adapters, services and pools that an operator signs off. Immutable.
 struct Bundle {
     framework::BundleVersion version;
-    PolicyNumbers policy;
+    PolicyParameters policy;
     std::map<framework::PoolName, Pool> pools;
     std::map<framework::ModelName, Model> models;
     std::map<framework::ModelName, std::map<framework::AdapterName, Adapter>> adapters;
--- a/src/objectstore/internal/callbudget.cpp
+++ b/src/objectstore/internal/callbudget.cpp
@@ -13,7 +13,7 @@
 {
 }
 
-std::optional<framework::Milliseconds> CallBudget::take(framework::SteadyTime now)
+std::optional<framework::Milliseconds> CallBudget::tryAcquire(framework::SteadyTime now)
 {
     const std::lock_guard lock(mutex_);
     const double elapsed = std::chrono::duration<double>(std::max(now, refilledAt_) - refilledAt_).count();
--- a/src/objectstore/internal/callbudget.h
+++ b/src/objectstore/internal/callbudget.h
@@ -17,7 +17,7 @@
     CallBudget(double callsPerSecond, double burst, framework::SteadyTime now);
 
     /// Takes one token. If none is available, returns the time until one is.
-    std::optional<framework::Milliseconds> take(framework::SteadyTime now);
+    std::optional<framework::Milliseconds> tryAcquire(framework::SteadyTime now);
 
 private:
     std::mutex mutex_;
--- a/src/objectstore/internal/httpcalls.cpp
+++ b/src/objectstore/internal/httpcalls.cpp
@@ -107,7 +107,7 @@
 {
     const framework::SystemClock clock;
     const auto startedAt = clock.now();
-    if (const auto wait = budget_.take(startedAt)) {
+    if (const auto wait = budget_.tryAcquire(startedAt)) {
         countResult(call, "over_budget");
         Error refusal = error(call, ErrorCode::PlatformUnavailable, "the call budget of this process is exhausted");
         refusal.retryAfter = wait;
@@ -130,7 +130,7 @@
     std::future<Outcome> future = promise->get_future();
     pplx::cancellation_token_source cancellation;
     startCall(call.wait == Milliseconds(0) ? calls_ : watches_, call.request, cancellation.get_token(), promise);
-    const std::stop_callback whenStopped(stop, [&cancellation] { cancellation.cancel(); });
+    const std::stop_callback cancelOnStop(stop, [&cancellation] { cancellation.cancel(); });
     const bool isAnswered = future.wait_until(limit.at()) == std::future_status::ready;
     std::string failure = "no answer in time";
     if (isAnswered) {
@@ -143,10 +143,10 @@
         cancellation.cancel();
     }
     countResult(call, isAnswered ? "broken" : "timeout");
-    Error lost = error(call, ErrorCode::PlatformUnavailable, std::move(failure));
+    Error callError = error(call, ErrorCode::PlatformUnavailable, std::move(failure));
     if (call.effect == CallEffect::Write)
-        lost.execution = Execution::Unknown;
-    return lost;
+        callError.execution = Execution::Unknown;
+    return callError;
 }
 
 Error HttpCalls::unavailable(const HttpCall& call, const HttpAnswer& answer) const
--- a/src/objectstore/internal/httpobjectstore.cpp
+++ b/src/objectstore/internal/httpobjectstore.cpp
@@ -178,9 +178,9 @@
     calls_->countResult(call, version ? "ok" : "malformed");
     if (version)
         return *version;
-    Error lost = calls_->error(call, ErrorCode::PlatformUnavailable, "the answer has no version");
-    lost.execution = Execution::Unknown;
-    return lost;
+    Error unknownOutcome = calls_->error(call, ErrorCode::PlatformUnavailable, "the answer has no version");
+    unknownOutcome.execution = Execution::Unknown;
+    return unknownOutcome;
 }
 
 Result<void> HttpObjectStore::remove(const ObjectKey& key, ObjectVersion expected, Deadline deadline)
--- a/src/objectstore/internal/objectmirror.cpp
+++ b/src/objectstore/internal/objectmirror.cpp
@@ -54,11 +54,11 @@
     feed_.list(after, Deadline::after(clock_.now(), answerTimeout()),
         [this, alive = std::weak_ptr<int>(alive_)](Result<FeedPage> page) {
             if (!alive.expired())
-                didList(std::move(page));
+                handleList(std::move(page));
         });
 }
 
-void ObjectMirror::didList(Result<FeedPage> page)
+void ObjectMirror::handleList(Result<FeedPage> page)
 {
     if (page.has_error())
         return scheduleRetry(page.error(), [this] { list({}); });
@@ -143,17 +143,17 @@
     feed_.watch(watchRevision_, wait, Deadline::after(clock_.now(), wait + answerTimeout()),
         [this, alive = std::weak_ptr<int>(alive_)](Result<FeedChanges> changes) {
             if (!alive.expired())
-                didWatch(std::move(changes));
+                handleWatch(std::move(changes));
         });
 }
 
-void ObjectMirror::didWatch(Result<FeedChanges> changes)
+void ObjectMirror::handleWatch(Result<FeedChanges> changes)
 {
     if (changes.has_error()) {
         if (changes.error().code == ErrorCode::NotFound) {
             logDecision(
                 LogLine("store_history_gone").text("kind", settings_.kind).number("revision", watchRevision_.value()));
-            return after(backoff_.next(), [this] { list({}); });
+            return runAfter(backoff_.next(), [this] { list({}); });
         }
         return scheduleRetry(changes.error(), [this] { watch(); });
     }
@@ -169,7 +169,7 @@
     observers_.didConfirm(answeredAt_);
     if (changes.value().events.empty() || settings_.pauseAfterChange.count() == 0)
         return watch();
-    after(settings_.pauseAfterChange, [this] { watch(); });
+    runAfter(settings_.pauseAfterChange, [this] { watch(); });
 }
 
 /// Applies an object unless its revision is known already. Prevents a stale state from replacing a newer one: a list
@@ -204,7 +204,7 @@
     outage_->lastSentAt = sentAt_;
     const auto pause
         = error.retryAfter ? std::optional(std::min(*error.retryAfter, settings_.maxRetryAfter)) : std::nullopt;
-    after(backoff_.next(pause), std::move(step));
+    runAfter(backoff_.next(pause), std::move(step));
 }
 
 void ObjectMirror::recordAnswer()
@@ -232,7 +232,7 @@
     return std::chrono::duration_cast<Milliseconds>(clock_.now() - time);
 }
 
-void ObjectMirror::after(Milliseconds wait, std::function<void()> step)
+void ObjectMirror::runAfter(Milliseconds wait, std::function<void()> step)
 {
     timer_ = control_.runAt(Deadline::after(clock_.now(), wait), std::move(step));
 }
--- a/src/objectstore/objectmirror.h
+++ b/src/objectstore/objectmirror.h
@@ -78,10 +78,10 @@
     };
 
     void list(const std::string& after);
-    void didList(framework::Result<FeedPage>);
+    void handleList(framework::Result<FeedPage>);
     void finishList();
     void watch();
-    void didWatch(framework::Result<FeedChanges>);
+    void handleWatch(framework::Result<FeedChanges>);
     void applyObject(const FeedObject&);
     void remove(const std::string& name);
     void handleMissing(const std::string& name);
@@ -94,7 +94,7 @@
     void scheduleRetry(const framework::Error&, std::function<void()> step);
     void recordAnswer();
     framework::Milliseconds elapsedSince(framework::SteadyTime) const;
-    void after(framework::Milliseconds, std::function<void()> step);
+    void runAfter(framework::Milliseconds, std::function<void()> step);
 
     IObjectFeed& feed_;
     framework::IControlExecutor& control_;
--- a/src/objectstore/tests/limits_test.cpp
+++ b/src/objectstore/tests/limits_test.cpp
@@ -43,17 +43,17 @@
 {
     const framework::SteadyTime start {};
     CallBudget budget(10, 2, start);
-    BOOST_TEST(!budget.take(start).has_value());
-    BOOST_TEST(!budget.take(start).has_value());
-    BOOST_TEST(budget.take(start).value().count() == 100);
-    BOOST_TEST(budget.take(start + Milliseconds(60)).value().count() == 40);
-    BOOST_TEST(!budget.take(start + Milliseconds(101)).has_value());
-    BOOST_TEST(budget.take(start + Milliseconds(101)).has_value());
+    BOOST_TEST(!budget.tryAcquire(start).has_value());
+    BOOST_TEST(!budget.tryAcquire(start).has_value());
+    BOOST_TEST(budget.tryAcquire(start).value().count() == 100);
+    BOOST_TEST(budget.tryAcquire(start + Milliseconds(60)).value().count() == 40);
+    BOOST_TEST(!budget.tryAcquire(start + Milliseconds(101)).has_value());
+    BOOST_TEST(budget.tryAcquire(start + Milliseconds(101)).has_value());
     // A long idle time fills the bucket up to the burst only.
     const framework::SteadyTime later = start + std::chrono::hours(1);
-    BOOST_TEST(!budget.take(later).has_value());
-    BOOST_TEST(!budget.take(later).has_value());
-    BOOST_TEST(budget.take(later).has_value());
+    BOOST_TEST(!budget.tryAcquire(later).has_value());
+    BOOST_TEST(!budget.tryAcquire(later).has_value());
+    BOOST_TEST(budget.tryAcquire(later).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(settingsAreCheckedByKey)
--- a/src/objectstore/tests/memoryobjectstore.cpp
+++ b/src/objectstore/tests/memoryobjectstore.cpp
@@ -86,14 +86,14 @@
 {
     std::unique_lock lock(mutex_);
     ++reads_;
-    const auto isOver = [&] {
+    const auto hasChanged = [&] {
         const auto object = visibleObject(key);
         return !isAvailable_ || (object ? object->version : ObjectVersion()) != known;
     };
-    const bool isEarly = changed_.wait_until(lock, stop, deadline.at(), isOver);
+    const bool isConditionMet = changed_.wait_until(lock, stop, deadline.at(), hasChanged);
     if (!isAvailable_ || stop.stop_requested())
         return unavailable("watch", Execution::NotRun);
-    if (!isEarly)
+    if (!isConditionMet)
         return std::optional<StoredObject>();
     auto object = visibleObject(key);
     if (!object)
@@ -138,10 +138,10 @@
     ++writes_;
     if (!isAvailable_)
         return unavailable("remove", Execution::NotRun);
-    const ObjectVersion present = versionOf(key);
-    if (present == ObjectVersion())
+    const ObjectVersion currentVersion = versionOf(key);
+    if (currentVersion == ObjectVersion())
         return framework::success();
-    if (present != expected)
+    if (currentVersion != expected)
         return conflict("remove");
     objects_.erase(key);
     changed_.notify_all();
--- a/src/objectstore/tests/mirrorbounds_test.cpp
+++ b/src/objectstore/tests/mirrorbounds_test.cpp
@@ -31,7 +31,7 @@
     Served,
     Silent, ///< no call is answered, not even a pending one
     Refused, ///< calls fail with status 503
-    RefusedForLong, ///< calls fail with status 429 and a long `Retry-After`
+    RefusedWithRetryAfter, ///< calls fail with status 429 and a long `Retry-After`
 };
 
 /// A store in simulated time. Calls take the network delay, and calls without an answer fail at their deadline.
@@ -154,7 +154,7 @@
             return;
         if (availability_ == Availability::Refused)
             return end(call, error("status 503"));
-        if (availability_ == Availability::RefusedForLong)
+        if (availability_ == Availability::RefusedWithRetryAfter)
             return end(call, error("status 429", Milliseconds(10000)));
         if (call->isDue())
             return end(call, std::nullopt);
@@ -317,7 +317,7 @@
 // A long `Retry-After` is cut, so that the mirror calls the store again in time.
 BOOST_AUTO_TEST_CASE(aServerDeletedDuringALongRetryAfterIsRemovedInTime)
 {
-    BOOST_TEST(maxRemovalDelayAfterOutage(Availability::RefusedForLong, true).count() < maxOutageDelay.count());
+    BOOST_TEST(maxRemovalDelayAfterOutage(Availability::RefusedWithRetryAfter, true).count() < maxOutageDelay.count());
 }
 
 // Prevents a missing entry from being kept forever when the store drops its history often: each new list used to start
--- a/src/objectstore/tests/objectstoreclient_test.cpp
+++ b/src/objectstore/tests/objectstoreclient_test.cpp
@@ -230,8 +230,8 @@
     unsigned round = 0;
     while (!fixture.hasCount("put", "conflict") && round < maxRounds) {
         const std::string nonce = ";" + std::to_string(++round) + ";";
-        const ObjectUpdate append { [&](const auto& present) -> framework::Result<ObjectChange> {
-                                       return ObjectChange { *present + nonce };
+        const ObjectUpdate append { [&](const auto& current) -> framework::Result<ObjectChange> {
+                                       return ObjectChange { *current + nonce };
                                    },
             [&](const std::string& value) { return value.find(nonce) != std::string::npos; } };
         const std::string wanted = stored + nonce;
--- a/src/objectstore/tests/objectupdate_test.cpp
+++ b/src/objectstore/tests/objectupdate_test.cpp
@@ -20,10 +20,10 @@
 /// Appends `token`, which also serves as the nonce; refuses if the object already has `limit` characters or more.
 ObjectUpdate append(const std::string& token, std::size_t limit = 100)
 {
-    return { [=](const std::optional<std::string>& present) -> framework::Result<ObjectChange> {
-                if (present && present->size() >= limit)
+    return { [=](const std::optional<std::string>& current) -> framework::Result<ObjectChange> {
+                if (current && current->size() >= limit)
                     return framework::Error { framework::ErrorCode::ReplicaCapReached, "append", "", "full" };
-                return ObjectChange { present.value_or("") + token };
+                return ObjectChange { current.value_or("") + token };
             },
         [=](const std::string& value) { return value.find(token) != std::string::npos; } };
 }
--- a/src/policy/benchmarks/loadsimulation.cpp
+++ b/src/policy/benchmarks/loadsimulation.cpp
@@ -43,9 +43,9 @@
     return values[static_cast<std::size_t>(std::max(1.0, rank)) - 1];
 }
 
-bundle::PolicyNumbers storeNumbers(const Deployment& deployment)
+bundle::PolicyParameters storeNumbers(const Deployment& deployment)
 {
-    bundle::PolicyNumbers numbers;
+    bundle::PolicyParameters numbers;
     numbers.weightLoadsPerSecond = deployment.storeLoadsPerSecond;
     numbers.weightLoadsAtFullSpeed = deployment.storeFullSpeedLoads;
     return numbers;
--- a/src/policy/benchmarks/policybenchmark.cpp
+++ b/src/policy/benchmarks/policybenchmark.cpp
@@ -19,9 +19,9 @@
 using Hours = std::chrono::hours;
 using Minutes = std::chrono::minutes;
 
-lagoon::bundle::PolicyNumbers numbers(const Deployment& deployment)
+lagoon::bundle::PolicyParameters numbers(const Deployment& deployment)
 {
-    lagoon::bundle::PolicyNumbers made;
+    lagoon::bundle::PolicyParameters made;
     made.coldStartWeight = deployment.coldStartWeight;
     return made;
 }
--- a/src/policy/internal/policysetup.cpp
+++ b/src/policy/internal/policysetup.cpp
@@ -7,21 +7,24 @@
 
 namespace lagoon::policy {
 
-std::unique_ptr<ILoadPlacement> makeLoadPlacement(const bundle::PolicyNumbers&)
+std::unique_ptr<ILoadPlacement> makeLoadPlacement(const bundle::PolicyParameters&)
 {
     return std::make_unique<CheapestLoadPlacement>();
 }
 
-std::unique_ptr<IReplicaChoice> makeReplicaChoice(const bundle::PolicyNumbers&, std::uint64_t seed)
+std::unique_ptr<IReplicaChoice> makeReplicaChoice(const bundle::PolicyParameters&, std::uint64_t seed)
 {
     return std::make_unique<BoundedLoadReplicaChoice>(seed);
 }
 
-std::unique_ptr<IKeepWarm> makeKeepWarm(const bundle::PolicyNumbers& numbers)
+std::unique_ptr<IKeepWarm> makeKeepWarm(const bundle::PolicyParameters& numbers)
 {
     return std::make_unique<SkiRentalKeepWarm>(numbers.coldStartWeight);
 }
 
-std::unique_ptr<ILoadOrder> makeLoadOrder(const bundle::PolicyNumbers&) { return std::make_unique<ValueLoadOrder>(); }
+std::unique_ptr<ILoadOrder> makeLoadOrder(const bundle::PolicyParameters&)
+{
+    return std::make_unique<ValueLoadOrder>();
+}
 
 } // namespace lagoon::policy
--- a/src/policy/internal/weightstoreshare.cpp
+++ b/src/policy/internal/weightstoreshare.cpp
@@ -13,13 +13,13 @@
 
 } // namespace
 
-WeightStoreShare::WeightStoreShare(const bundle::PolicyNumbers& numbers, bool mayBorrow)
+WeightStoreShare::WeightStoreShare(const bundle::PolicyParameters& numbers, bool mayBorrow)
     : numbers_(numbers)
     , mayBorrow_(mayBorrow)
 {
 }
 
-void WeightStoreShare::setLimits(const bundle::PolicyNumbers& numbers) { numbers_ = numbers; }
+void WeightStoreShare::setLimits(const bundle::PolicyParameters& numbers) { numbers_ = numbers; }
 
 void WeightStoreShare::setLiveRouters(std::uint32_t count, std::uint32_t rank)
 {
--- a/src/policy/policysetup.h
+++ b/src/policy/policysetup.h
@@ -13,10 +13,10 @@
 namespace lagoon::policy {
 
 /// Makes the policies that the bundle's numbers call for. Routers need different seeds, lest they all choose alike.
-std::unique_ptr<ILoadPlacement> makeLoadPlacement(const bundle::PolicyNumbers&);
+std::unique_ptr<ILoadPlacement> makeLoadPlacement(const bundle::PolicyParameters&);
 std::unique_ptr<IReplicaChoice> makeReplicaChoice(
-    const bundle::PolicyNumbers&, std::uint64_t seed = framework::randomNumber());
-std::unique_ptr<IKeepWarm> makeKeepWarm(const bundle::PolicyNumbers&);
-std::unique_ptr<ILoadOrder> makeLoadOrder(const bundle::PolicyNumbers&);
+    const bundle::PolicyParameters&, std::uint64_t seed = framework::randomNumber());
+std::unique_ptr<IKeepWarm> makeKeepWarm(const bundle::PolicyParameters&);
+std::unique_ptr<ILoadOrder> makeLoadOrder(const bundle::PolicyParameters&);
 
 } // namespace lagoon::policy
--- a/src/policy/tests/keepwarm_test.cpp
+++ b/src/policy/tests/keepwarm_test.cpp
@@ -33,7 +33,7 @@
 
 std::unique_ptr<policy::IKeepWarm> keepWarm(double weight = 10)
 {
-    bundle::PolicyNumbers numbers;
+    bundle::PolicyParameters numbers;
     numbers.coldStartWeight = weight;
     return policy::makeKeepWarm(numbers);
 }
--- a/src/policy/tests/weightstoreshare_test.cpp
+++ b/src/policy/tests/weightstoreshare_test.cpp
@@ -10,9 +10,9 @@
 
 const framework::SteadyTime start = framework::SteadyTime() + 1h;
 
-bundle::PolicyNumbers numbers(double rate, std::uint32_t places)
+bundle::PolicyParameters numbers(double rate, std::uint32_t places)
 {
-    bundle::PolicyNumbers made;
+    bundle::PolicyParameters made;
     made.weightLoadsPerSecond = rate;
     made.weightLoadsAtFullSpeed = places;
     return made;
--- a/src/policy/weightstoreshare.h
+++ b/src/policy/weightstoreshare.h
@@ -17,10 +17,10 @@
 /// counted here.
 class WeightStoreShare {
 public:
-    explicit WeightStoreShare(const bundle::PolicyNumbers&, bool mayBorrow = false);
+    explicit WeightStoreShare(const bundle::PolicyParameters&, bool mayBorrow = false);
 
     /// From a new bundle or VM list; all sites' routers count.
-    void setLimits(const bundle::PolicyNumbers&);
+    void setLimits(const bundle::PolicyParameters&);
     /// `rank` is this router's position among the live ones by name, from 0: those in front take the places that are
     /// left over by the division.
     void setLiveRouters(std::uint32_t count, std::uint32_t rank);
@@ -41,7 +41,7 @@
 private:
     double tokens(framework::SteadyTime now) const;
 
-    bundle::PolicyNumbers numbers_;
+    bundle::PolicyParameters numbers_;
     bool mayBorrow_;
     std::uint32_t routers_ = 1;
     std::uint32_t rank_ = 0;
--- a/src/router/internal/loadgate.cpp
+++ b/src/router/internal/loadgate.cpp
@@ -23,7 +23,7 @@
     : control_(control)
     , clock_(clock)
     , metrics_(metrics)
-    , share_(bundle::PolicyNumbers {})
+    , share_(bundle::PolicyParameters {})
 {
 }
 
@@ -150,7 +150,7 @@
     return forecastWaiting(ownEstimate, queue);
 }
 
-void LoadGate::setPolicy(const bundle::PolicyNumbers& numbers, std::unique_ptr<policy::ILoadOrder> order)
+void LoadGate::setPolicy(const bundle::PolicyParameters& numbers, std::unique_ptr<policy::ILoadOrder> order)
 {
     share_.setLimits(numbers);
     order_ = std::move(order);
--- a/src/router/internal/loadgate.h
+++ b/src/router/internal/loadgate.h
@@ -49,7 +49,7 @@
     /// Of a load that waits or runs here.
     policy::LoadForecast forecast(const SiteTarget&) const;
 
-    void setPolicy(const bundle::PolicyNumbers&, std::unique_ptr<policy::ILoadOrder>);
+    void setPolicy(const bundle::PolicyParameters&, std::unique_ptr<policy::ILoadOrder>);
     /// Of all sites; `rank` is this router's position among them by name, from 0, or `count` if it is none of them.
     void setHomes(std::uint32_t count, std::uint32_t rank);
 
--- a/src/router/internal/router.cpp
+++ b/src/router/internal/router.cpp
@@ -76,7 +76,7 @@
     LinkServer::Context linkServerContext();
     http::OpsViews opsViews();
     BundleVersion bundleVersion() const;
-    void setPolicies(const bundle::PolicyNumbers&);
+    void setPolicies(const bundle::PolicyParameters&);
     void takeVms(const objectstore::VmEntries&);
     std::size_t homesPerSite() const;
     void shareStore();
@@ -193,7 +193,7 @@
     return bundle ? bundle->version : BundleVersion();
 }
 
-void Router::Implementation::setPolicies(const bundle::PolicyNumbers& numbers)
+void Router::Implementation::setPolicies(const bundle::PolicyParameters& numbers)
 {
     gate_.setPolicy(numbers, policy::makeLoadOrder(numbers));
     home_.setLoadPlacement(policy::makeLoadPlacement(numbers));
--- a/src/router/tests/dispatcher_test.cpp
+++ b/src/router/tests/dispatcher_test.cpp
@@ -378,7 +378,7 @@
 // those who wait for a queued load. The load must overtake, and those who wait must be told of the earlier end.
 BOOST_AUTO_TEST_CASE(aHomesQueuedLoadTakesALaterWakesPriority)
 {
-    bundle::PolicyNumbers numbers;
+    bundle::PolicyParameters numbers;
     numbers.weightLoadsAtFullSpeed = 1;
     gate_.setPolicy(numbers, policy::makeLoadOrder(numbers));
     const framework::SiteName site = directory_.find(framework::VmName("entry-1"))->site;
--- a/src/router/tests/loadgate_test.cpp
+++ b/src/router/tests/loadgate_test.cpp
@@ -22,7 +22,7 @@
 public:
     GateFixture()
     {
-        bundle::PolicyNumbers numbers;
+        bundle::PolicyParameters numbers;
         numbers.weightLoadsPerSecond = 10;
         numbers.weightLoadsAtFullSpeed = 1;
         gate_.setPolicy(numbers, policy::makeLoadOrder(numbers));
