--- a/src/bundle/bundlewatch.h
+++ b/src/bundle/bundlewatch.h
@@ -11,18 +11,18 @@
 
 namespace lagoon::bundle {
 
-/// How a process learns of a new bundle head. `Watch`, for routers: one waiting call to the platform at a time.
-/// `Listen`, for agents: notifications from routers, and polling.
+/// How a process learns of a new bundle head. `Watch`: one waiting call to the platform at a time; routers and agents
+/// use this mode. `Listen`: versions that peers report, and polling, without a waiting call.
 enum class HeadMode : std::uint8_t { Watch, Listen };
 
 /// Intervals and time limits. The program uses the defaults; tests use shorter ones.
 struct BundleWatchTimes {
     /// How long one watch call waits. A silently broken connection is detected after this time, so it bounds how late a
-    /// router learns of a new bundle.
+    /// watching process learns of a new bundle.
     framework::Milliseconds watch { 8000 };
-    /// Interval at which a listener reads the head while no router reports a newer version; each interval is drawn from
+    /// Interval at which a listener reads the head while no peer reports a newer version; each interval is drawn from
     /// two thirds to four thirds of it. No router contacts an agent whose models are idle, but the agent still has to
-    /// drain replicas that a new bundle removes, so this bounds how late an agent learns of a new bundle.
+    /// drain replicas that a new bundle removes, so this bounds how late a listening agent learns of a new bundle.
     framework::Milliseconds poll { 9000 };
     /// Before it reads a newer bundle, each process waits for a random time from zero to this value times the number of
     /// parts of its current bundle, so that the processes of the fleet don't read at the same time. The wait grows with
