--- a/src/callers/callerserver.h
+++ b/src/callers/callerserver.h
@@ -37,7 +37,7 @@
     bool waitUntilIdle(framework::Deadline);
     /// Besides, the refusals have left that wait for the rest of their requests' bodies; gives up at the deadline, as
     /// some of these never come.
-    bool waitUntilAllLeft(framework::Deadline);
+    bool waitUntilAllSent(framework::Deadline);
     /// Closes the listener, which cuts what is still in flight; cpprest 2.10.18 seldom crashes the process then, so
     /// wait until idle before. No request is dispatched after it returns.
     void stop();
--- a/src/callers/internal/bodybudget.h
+++ b/src/callers/internal/bodybudget.h
@@ -9,26 +9,26 @@
 /// Bounds the bytes of all request bodies that are held at once. Thread-safe.
 class BodyBudget {
 public:
-    explicit BodyBudget(std::size_t mostBytes)
-        : mostBytes_(mostBytes)
+    explicit BodyBudget(std::size_t maxBytes)
+        : maxBytes_(maxBytes)
     {
     }
 
     /// False, and nothing is taken, if there isn't as much left.
-    bool take(std::size_t bytes)
+    bool acquire(std::size_t bytes)
     {
-        std::size_t taken = taken_.load();
-        while (taken + bytes <= mostBytes_) {
-            if (taken_.compare_exchange_weak(taken, taken + bytes))
+        std::size_t used = used_.load();
+        while (used + bytes <= maxBytes_) {
+            if (used_.compare_exchange_weak(used, used + bytes))
                 return true;
         }
         return false;
     }
-    void giveBack(std::size_t bytes) { taken_ -= bytes; }
+    void release(std::size_t bytes) { used_ -= bytes; }
 
 private:
-    const std::size_t mostBytes_;
-    std::atomic<std::size_t> taken_ = 0;
+    const std::size_t maxBytes_;
+    std::atomic<std::size_t> used_ = 0;
 };
 
 /// One request's part of the budget, given back with this object. Grown by one thread at a time.
@@ -38,13 +38,13 @@
         : budget_(std::move(budget))
     {
     }
-    ~BodyReservation() { budget_->giveBack(bytes_); }
+    ~BodyReservation() { budget_->release(bytes_); }
     BodyReservation(const BodyReservation&) = delete;
     BodyReservation& operator=(const BodyReservation&) = delete;
 
     bool grow(std::size_t bytes)
     {
-        if (!budget_->take(bytes))
+        if (!budget_->acquire(bytes))
             return false;
         bytes_ += bytes;
         return true;
--- a/src/callers/internal/calleranswer.cpp
+++ b/src/callers/internal/calleranswer.cpp
@@ -24,15 +24,15 @@
 
 } // namespace
 
-CallerAnswer::CallerAnswer(web::http::http_request request, AnswerParts parts)
+CallerAnswer::CallerAnswer(web::http::http_request request, AnswerContext context)
     : request_(std::move(request))
-    , parts_(std::move(parts))
+    , context_(std::move(context))
 {
 }
 
 std::shared_ptr<ICallerAnswer> CallerAnswer::guarded()
 {
-    return { this, [self = shared_from_this()](ICallerAnswer*) { self->abandon(); } };
+    return { this, [self = shared_from_this()](ICallerAnswer*) { self->failDropped(); } };
 }
 
 void CallerAnswer::begin(unsigned short status, const HttpHeaders& headers, std::uint32_t attempt)
@@ -42,16 +42,16 @@
         return;
     phase_ = Phase::Streaming;
     attempt_ = attempt;
-    parts_.observer->waitingEnded();
-    parts_.metrics->observeSeconds("lagoon_first_byte_seconds", secondsSince(parts_.receivedAt));
+    context_.observer->didEndWaiting();
+    context_.metrics->observeSeconds("lagoon_first_byte_seconds", secondsSince(context_.receivedAt));
 
     http_response response(status);
     for (const auto& [name, value] : headers) {
         if (isEndToEndHeader(name))
             response.headers().add(name, value);
     }
-    if (lacksBody(status)) {
-        bodyless_ = response;
+    if (isBodyless(status)) {
+        bodylessResponse_ = response;
         return;
     }
     const std::string contentType = response.headers().content_type();
@@ -63,22 +63,22 @@
 
 void CallerAnswer::write(std::string bytes)
 {
-    std::function<void()> gone;
+    std::function<void()> onGone;
     {
         const std::lock_guard lock(mutex_);
-        if (phase_ != Phase::Streaming || bodyless_ || bytes.empty())
+        if (phase_ != Phase::Streaming || bodylessResponse_ || bytes.empty())
             return;
         // A caller that stops reading without hanging up would have its whole answer kept here.
-        if (body_.in_avail() + bytes.size() > parts_.backlogBytes) {
-            gone = std::move(onCallerGone_);
+        if (body_.in_avail() + bytes.size() > context_.backlogBytes) {
+            onGone = std::move(onCallerGone_);
             breakOffLocked({ ErrorCode::CallerGone, "send answer", "", "the caller reads too slowly" }, "caller_slow");
         } else {
             body_.putn_nocopy(reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
             body_.sync();
         }
     }
-    if (gone)
-        gone();
+    if (onGone)
+        onGone();
 }
 
 void CallerAnswer::finish()
@@ -92,8 +92,8 @@
         return;
     }
     settleLocked("finished");
-    if (bodyless_)
-        send(*bodyless_);
+    if (bodylessResponse_)
+        send(*bodylessResponse_);
     else
         body_.close(std::ios::out);
 }
@@ -123,10 +123,10 @@
         refuseLocked(error, 0, status);
 }
 
-void CallerAnswer::giveUpConnection()
+void CallerAnswer::abandonConnection()
 {
     const std::lock_guard lock(mutex_);
-    isConnectionGivenUp_ = true;
+    isConnectionAbandoned_ = true;
 }
 
 void CallerAnswer::onCallerGone(std::function<void()> action)
@@ -142,30 +142,31 @@
     action();
 }
 
-void CallerAnswer::abandon()
+void CallerAnswer::failDropped()
 {
     breakOff({ ErrorCode::Internal, "answer", "", "the request was dropped", Execution::Unknown });
 }
 
 void CallerAnswer::refuseLocked(const Error& error, std::uint32_t attempt, std::optional<unsigned short> status)
 {
-    parts_.observer->waitingEnded();
+    context_.observer->didEndWaiting();
     attempt_ = attempt;
     settleLocked("refused");
-    parts_.metrics->count("lagoon_refusals_total",
+    context_.metrics->count("lagoon_refusals_total",
         { { "code", std::string(framework::errorCodeText(error.code)) },
             { "execution", std::string(framework::executionText(error.execution)) } });
-    send(refusalResponse(error, parts_.name, attempt, status));
-    if (isConnectionGivenUp_)
-        parts_.observer->replyPutOff();
+    send(refusalResponse(error, context_.name, attempt, status));
+    if (isConnectionAbandoned_)
+        context_.observer->didDeferReply();
 }
 
 void CallerAnswer::breakOffLocked(const Error& error, const std::string& result)
 {
     settleLocked(result);
-    parts_.metrics->count("lagoon_break_offs_total", { { "code", std::string(framework::errorCodeText(error.code)) } });
-    if (bodyless_) {
-        send(refusalResponse(error, parts_.name, attempt_, std::nullopt));
+    context_.metrics->count(
+        "lagoon_break_offs_total", { { "code", std::string(framework::errorCodeText(error.code)) } });
+    if (bodylessResponse_) {
+        send(refusalResponse(error, context_.name, attempt_, std::nullopt));
         return;
     }
     // A clean close would end the chunked body as if it were whole; with an exception the connection breaks.
@@ -176,15 +177,15 @@
 {
     phase_ = Phase::Settled;
     onCallerGone_ = nullptr;
-    parts_.metrics->count("lagoon_answers_total", { { "result", result } });
+    context_.metrics->count("lagoon_answers_total", { { "result", result } });
 }
 
 void CallerAnswer::send(http_response response)
 {
-    response.headers()[requestHeader] = parts_.name.value();
+    response.headers()[requestHeader] = context_.name.value();
     if (attempt_ > 0)
         response.headers()[attemptHeader] = std::to_string(attempt_);
-    if (isConnectionGivenUp_ || parts_.closesConnection())
+    if (isConnectionAbandoned_ || context_.closesConnection())
         response.headers()["Connection"] = "close";
     request_.reply(response).then([self = shared_from_this()](const pplx::task<void>& reply) {
         bool didFail = false;
@@ -193,32 +194,32 @@
         } catch (...) {
             didFail = true;
         }
-        self->replyEnded(didFail);
+        self->didEndReply(didFail);
     });
 }
 
-void CallerAnswer::replyEnded(bool didFail)
+void CallerAnswer::didEndReply(bool didFail)
 {
-    std::function<void()> gone;
+    std::function<void()> onGone;
     {
         const std::lock_guard lock(mutex_);
         if (phase_ == Phase::Streaming) {
             isCallerGone_ = true;
-            gone = std::move(onCallerGone_);
+            onGone = std::move(onCallerGone_);
             settleLocked("caller_gone");
         } else if (didFail) {
-            parts_.metrics->count("lagoon_replies_undelivered_total");
+            context_.metrics->count("lagoon_replies_undelivered_total");
         }
     }
-    if (gone)
-        gone();
-    if (isConnectionGivenUp_)
-        parts_.observer->putOffReplyEnded();
+    if (onGone)
+        onGone();
+    if (isConnectionAbandoned_)
+        context_.observer->didEndDeferredReply();
     else
-        parts_.observer->replyEnded();
+        context_.observer->didEndReply();
 }
 
-bool CallerAnswer::lacksBody(unsigned short status) const
+bool CallerAnswer::isBodyless(unsigned short status) const
 {
     return request_.method() == web::http::methods::HEAD || status == web::http::status_codes::NoContent
         || status == web::http::status_codes::NotModified;
--- a/src/callers/internal/calleranswer.h
+++ b/src/callers/internal/calleranswer.h
@@ -20,17 +20,18 @@
 public:
     virtual ~IAnswerObserver() = default;
     /// The request doesn't wait any more: its answer began or it was refused.
-    virtual void waitingEnded() = 0;
+    virtual void didEndWaiting() = 0;
     /// The reply has left wholly or failed, or nobody waits for that; the last that happens.
-    virtual void replyEnded() = 0;
-    /// In place of `replyEnded`, for a refusal that leaves only with the rest of its request's body: its place is free.
-    virtual void replyPutOff() = 0;
+    virtual void didEndReply() = 0;
+    /// In place of `didEndReply`, for a refusal that leaves only with the rest of its request's body: its place is
+    /// free.
+    virtual void didDeferReply() = 0;
     /// Such a refusal has left or failed.
-    virtual void putOffReplyEnded() = 0;
+    virtual void didEndDeferredReply() = 0;
 };
 
 /// What an answer is made of.
-struct AnswerParts {
+struct AnswerContext {
     framework::RequestName name;
     framework::SteadyTime receivedAt;
     std::size_t backlogBytes = 0;
@@ -46,7 +47,7 @@
 /// reply has left or failed.
 class CallerAnswer final : public ICallerAnswer, public std::enable_shared_from_this<CallerAnswer> {
 public:
-    CallerAnswer(web::http::http_request, AnswerParts);
+    CallerAnswer(web::http::http_request, AnswerContext);
 
     /// The answer for a dispatcher. Should it drop its last pointer without an outcome, which is a defect, the caller
     /// is told at once that what happened is unknown, in place of waiting for nothing.
@@ -64,31 +65,31 @@
     /// The request's body isn't wanted any more: the connection ends with the answer, which leaves only
     /// after the body (see `discardBody`). So its place is free as soon as it is refused; else callers that announce a
     /// body and never send it would take all places, and a graceful shutdown would wait for them without end.
-    void giveUpConnection();
+    void abandonConnection();
 
 private:
     /// Waiting -> Streaming -> Settled, or Waiting -> Settled.
     enum class Phase : std::uint8_t { Waiting, Streaming, Settled };
 
-    void abandon();
+    void failDropped();
     void refuseLocked(const framework::Error&, std::uint32_t attempt, std::optional<unsigned short> status);
     void breakOffLocked(const framework::Error&, const std::string& result);
     void settleLocked(const std::string& result);
     void send(web::http::http_response);
-    void replyEnded(bool didFail);
-    bool lacksBody(unsigned short status) const;
+    void didEndReply(bool didFail);
+    bool isBodyless(unsigned short status) const;
 
     web::http::http_request request_;
-    AnswerParts parts_;
+    AnswerContext context_;
     std::mutex mutex_;
     Phase phase_ = Phase::Waiting;
     bool isCallerGone_ = false;
-    bool isConnectionGivenUp_ = false;
+    bool isConnectionAbandoned_ = false;
     std::function<void()> onCallerGone_;
     std::uint32_t attempt_ = 0;
     concurrency::streams::producer_consumer_buffer<std::uint8_t> body_;
     /// An answer without a body (to HEAD, or by its status) leaves only once it is known to be whole.
-    std::optional<web::http::http_response> bodyless_;
+    std::optional<web::http::http_response> bodylessResponse_;
 };
 
 } // namespace lagoon::callers
--- a/src/callers/internal/callerserver.cpp
+++ b/src/callers/internal/callerserver.cpp
@@ -23,16 +23,16 @@
 namespace {
 
 /// When to come back after a refusal that says nothing about the system's load: another router may serve at once.
-constexpr framework::Milliseconds soon { 1000 };
+constexpr framework::Milliseconds retryDelay { 1000 };
 
 /// How long the body of a refused request is waited for, so that the caller reads its refusal in place of a reset.
-constexpr framework::Milliseconds drainTime { 2000 };
+constexpr framework::Milliseconds bodyDrainTimeout { 2000 };
 /// How long `stop` waits for replies that are leaving.
-constexpr framework::Milliseconds leavingTime { 2000 };
-constexpr framework::Milliseconds settlingTime { 50 };
+constexpr framework::Milliseconds replyTimeout { 2000 };
+constexpr framework::Milliseconds settlingDelay { 50 };
 
 /// One request on its way through the checks.
-struct Intake {
+struct IncomingRequest {
     http_request http;
     std::shared_ptr<CallerAnswer> answer;
     /// Ends the answer if this is dropped before anyone did: cpprest, and the reading of the body, swallow whatever is
@@ -41,7 +41,7 @@
     std::shared_ptr<BodyReservation> body;
     framework::SteadyTime receivedAt;
     RequestKind kind = RequestKind::Other;
-    CallerStatements statements;
+    RequestOptions options;
     CallerRequest request;
 };
 
@@ -86,7 +86,7 @@
 
     void waitUntilIdle() { occupancy_->waitUntilEmpty(); }
     bool waitUntilIdle(Deadline deadline) { return occupancy_->waitUntilEmpty(deadline); }
-    bool waitUntilAllLeft(Deadline deadline) { return occupancy_->waitUntilAllLeft(deadline); }
+    bool waitUntilAllSent(Deadline deadline) { return occupancy_->waitUntilAllSent(deadline); }
 
     void stop()
     {
@@ -101,8 +101,8 @@
         // or write there, and now and then crashes of it. Replies that are just leaving are waited for, and then a
         // moment more, in which their connections settle into waiting for a next request. A process that ends anyway is
         // safer without closing (routercommand.cpp).
-        occupancy_->waitUntilEmpty(Deadline::after(std::chrono::steady_clock::now(), leavingTime));
-        std::this_thread::sleep_for(settlingTime);
+        occupancy_->waitUntilEmpty(Deadline::after(std::chrono::steady_clock::now(), replyTimeout));
+        std::this_thread::sleep_for(settlingDelay);
         listener_->close().wait();
         listener_.reset();
     }
@@ -110,64 +110,65 @@
 private:
     void handle(const http_request& http)
     {
-        const auto intake = std::make_shared<Intake>();
-        intake->http = http;
-        intake->receivedAt = std::chrono::steady_clock::now();
-        intake->kind = kindOf(http);
-        intake->request.name = nextName();
-        intake->body = std::make_shared<BodyReservation>(bodyBudget_);
-        intake->answer = std::make_shared<CallerAnswer>(http, answerParts(*intake));
-        metrics_->count("lagoon_requests_total", { { "kind", kindText(intake->kind) } });
-        const bool hasRoom = occupancy_->enter();
-        intake->guard = intake->answer->guarded();
-        if (const auto refusal = refusalByHead(*intake, hasRoom))
-            refuseEarly(intake, *refusal);
+        const auto incoming = std::make_shared<IncomingRequest>();
+        incoming->http = http;
+        incoming->receivedAt = std::chrono::steady_clock::now();
+        incoming->kind = kindOf(http);
+        incoming->request.name = nextName();
+        incoming->body = std::make_shared<BodyReservation>(bodyBudget_);
+        incoming->answer = std::make_shared<CallerAnswer>(http, answerContext(*incoming));
+        metrics_->count("lagoon_requests_total", { { "kind", kindText(incoming->kind) } });
+        const bool hasCapacity = occupancy_->enter();
+        incoming->guard = incoming->answer->guarded();
+        if (const auto refusal = checkBeforeBody(*incoming, hasCapacity))
+            refuseEarly(incoming, *refusal);
         else
-            receiveBody(intake);
+            receiveBody(incoming);
     }
 
-    std::optional<EarlyRefusal> refusalByHead(Intake& intake, bool hasRoom) const
+    std::optional<EarlyRefusal> checkBeforeBody(IncomingRequest& incoming, bool hasCapacity) const
     {
-        if (auto refusal = checkHead(intake.http, intake.kind, limits_))
+        if (auto refusal = checkHead(incoming.http, incoming.kind, limits_))
             return refusal;
         if (*isRefusing_)
-            return EarlyRefusal { comeBackSoon(ErrorCode::ShuttingDown, "this router is shutting down") };
-        if (!hasRoom)
-            return EarlyRefusal { comeBackSoon(ErrorCode::TooManyWaiting, "too many requests wait") };
-        auto statements = readCallerStatements(intake.http.headers());
-        if (statements.has_error())
-            return EarlyRefusal { .error = statements.error() };
-        intake.statements = std::move(statements.value());
+            return EarlyRefusal { retryLaterError(ErrorCode::ShuttingDown, "this router is shutting down") };
+        if (!hasCapacity)
+            return EarlyRefusal { retryLaterError(ErrorCode::TooManyWaiting, "too many requests wait") };
+        auto options = readRequestOptions(incoming.http.headers());
+        if (options.has_error())
+            return EarlyRefusal { .error = options.error() };
+        incoming.options = std::move(options.value());
         return std::nullopt;
     }
 
-    static Error comeBackSoon(ErrorCode code, const std::string& detail)
+    static Error retryLaterError(ErrorCode code, const std::string& detail)
     {
-        return { code, "receive request", "", detail, framework::Execution::NotRun, soon };
+        return { code, "receive request", "", detail, framework::Execution::NotRun, retryDelay };
     }
 
-    void refuseEarly(const std::shared_ptr<Intake>& intake, const EarlyRefusal& refusal)
+    void refuseEarly(const std::shared_ptr<IncomingRequest>& incoming, const EarlyRefusal& refusal)
     {
         if (refusal.endsConnection) {
-            discardBody(intake->http);
-            intake->answer->giveUpConnection();
-            refuseBy(*intake, refusal);
+            discardBody(incoming->http);
+            incoming->answer->abandonConnection();
+            sendRefusal(*incoming, refusal);
             return;
         }
-        const BodyBounds drained { limits_.bodyBytes, Deadline::after(intake->receivedAt, drainTime), nullptr };
-        readBody(intake->http, drained, [intake, refusal](const framework::Result<std::string>& body) {
+        const BodyLimits drainLimits { limits_.bodyBytes, Deadline::after(incoming->receivedAt, bodyDrainTimeout),
+            nullptr };
+        readBody(incoming->http, drainLimits, [incoming, refusal](const framework::Result<std::string>& body) {
             if (body.has_error())
-                intake->answer->giveUpConnection();
-            refuseBy(*intake, refusal);
+                incoming->answer->abandonConnection();
+            sendRefusal(*incoming, refusal);
         });
     }
 
-    static void refuseBy(Intake& intake, const EarlyRefusal& refusal)
+    static void sendRefusal(IncomingRequest& incoming, const EarlyRefusal& refusal)
     {
         if (refusal.status)
-            intake.answer->refuseAs(*refusal.status, refusal.error);
+            incoming.answer->refuseAs(*refusal.status, refusal.error);
         else
-            intake.answer->refuse(refusal.error, 0);
+            incoming.answer->refuse(refusal.error, 0);
     }
 
     framework::RequestName nextName()
@@ -175,67 +176,68 @@
         return framework::RequestName(std::to_string(router_.value()) + "-" + std::to_string(++lastRequest_));
     }
 
-    AnswerParts answerParts(const Intake& intake) const
+    AnswerContext answerContext(const IncomingRequest& incoming) const
     {
-        AnswerParts parts;
-        parts.name = intake.request.name;
-        parts.receivedAt = intake.receivedAt;
-        parts.backlogBytes = limits_.answerBacklogBytes;
+        AnswerContext context;
+        context.name = incoming.request.name;
+        context.receivedAt = incoming.receivedAt;
+        context.backlogBytes = limits_.answerBacklogBytes;
         // A caller's pool must not keep a connection to a router that leaves.
-        parts.closesConnection = [isRefusing = isRefusing_] { return isRefusing->load(); };
-        parts.body = intake.body;
-        parts.observer = occupancy_;
-        parts.metrics = metrics_;
-        return parts;
+        context.closesConnection = [isRefusing = isRefusing_] { return isRefusing->load(); };
+        context.body = incoming.body;
+        context.observer = occupancy_;
+        context.metrics = metrics_;
+        return context;
     }
 
-    void receiveBody(const std::shared_ptr<Intake>& intake)
+    void receiveBody(const std::shared_ptr<IncomingRequest>& incoming)
     {
-        const auto timeout = intake->statements.timeout.value_or(bundle::RequestDefaults().timeout);
-        const BodyBounds bounds { limits_.bodyBytes,
-            Deadline::after(intake->receivedAt, std::min(timeout, limits_.longestTimeout)), intake->body };
-        readBody(intake->http, bounds, [self = shared_from_this(), intake](framework::Result<std::string> body) {
-            if (body.has_error()) {
-                intake->answer->giveUpConnection();
-                intake->answer->refuse(body.error(), 0);
-                return;
-            }
-            intake->request.body = std::move(body.value());
-            self->complete(*intake);
-        });
+        const auto timeout = incoming->options.timeout.value_or(bundle::RequestDefaults().timeout);
+        const BodyLimits bodyLimits { limits_.bodyBytes,
+            Deadline::after(incoming->receivedAt, std::min(timeout, limits_.maxTimeout)), incoming->body };
+        readBody(
+            incoming->http, bodyLimits, [self = shared_from_this(), incoming](framework::Result<std::string> body) {
+                if (body.has_error()) {
+                    incoming->answer->abandonConnection();
+                    incoming->answer->refuse(body.error(), 0);
+                    return;
+                }
+                incoming->request.body = std::move(body.value());
+                self->complete(*incoming);
+            });
     }
 
     /// Dispatcher and bundle source may be gone after `stop`, while a body still arrives.
-    void complete(Intake& intake)
+    void complete(IncomingRequest& incoming)
     {
         const std::shared_lock lock(dispatchMutex_);
         if (isStopped_) {
-            intake.answer->refuse(comeBackSoon(ErrorCode::ShuttingDown, "this router has shut down"), 0);
+            incoming.answer->refuse(retryLaterError(ErrorCode::ShuttingDown, "this router has shut down"), 0);
             return;
         }
         const bundle::BundlePointer bundle = bundle_();
         if (!bundle) {
-            intake.answer->refuse(comeBackSoon(ErrorCode::NotReady, "this router has no bundle yet"), 0);
+            incoming.answer->refuse(retryLaterError(ErrorCode::NotReady, "this router has no bundle yet"), 0);
             return;
         }
-        if (intake.kind == RequestKind::Models) {
-            intake.answer->begin(web::http::status_codes::OK, { { "Content-Type", "application/json" } }, 0);
-            intake.answer->write(modelList(*bundle));
-            intake.answer->finish();
+        if (incoming.kind == RequestKind::Models) {
+            incoming.answer->begin(web::http::status_codes::OK, { { "Content-Type", "application/json" } }, 0);
+            incoming.answer->write(modelList(*bundle));
+            incoming.answer->finish();
             return;
         }
-        const auto filled = fill(intake, *bundle);
+        const auto filled = fill(incoming, *bundle);
         if (filled.has_error())
-            intake.answer->refuse(filled.error(), 0);
+            incoming.answer->refuse(filled.error(), 0);
         else
-            dispatcher_.accept(std::move(intake.request), std::move(intake.guard));
+            dispatcher_.accept(std::move(incoming.request), std::move(incoming.guard));
     }
 
-    framework::Result<void> fill(Intake& intake, const bundle::Bundle& bundle) const
+    framework::Result<void> fill(IncomingRequest& incoming, const bundle::Bundle& bundle) const
     {
-        CallerRequest& request = intake.request;
-        const web::uri& uri = intake.http.request_uri();
-        if (intake.kind == RequestKind::Service) {
+        CallerRequest& request = incoming.request;
+        const web::uri& uri = incoming.http.request_uri();
+        if (incoming.kind == RequestKind::Service) {
             splitServicePath(uri.path(), uri.query(), request);
         } else {
             BOOST_OUTCOME_TRY(completion, readCompletionBody(request.body, limits_.jsonDepth));
@@ -245,14 +247,14 @@
             request.path = uri.resource().to_string();
         }
         BOOST_OUTCOME_TRY(defaults, findDefaults(bundle, request.target));
-        const CallerStatements& statements = intake.statements;
-        const auto timeout = std::min(statements.timeout.value_or(defaults.timeout), limits_.longestTimeout);
-        request.deadline = Deadline::after(intake.receivedAt, timeout);
-        request.isRepeatable = statements.isRepeatable.value_or(defaults.isRepeatable);
-        request.priority = statements.priority.value_or(defaults.priority);
-        request.idempotencyKey = statements.idempotencyKey;
-        request.method = intake.http.method();
-        request.headers = upstreamHeaders(intake.http.headers());
+        const RequestOptions& options = incoming.options;
+        const auto timeout = std::min(options.timeout.value_or(defaults.timeout), limits_.maxTimeout);
+        request.deadline = Deadline::after(incoming.receivedAt, timeout);
+        request.isRepeatable = options.isRepeatable.value_or(defaults.isRepeatable);
+        request.priority = options.priority.value_or(defaults.priority);
+        request.idempotencyKey = options.idempotencyKey;
+        request.method = incoming.http.method();
+        request.headers = upstreamHeaders(incoming.http.headers());
         if (request.deadline.hasPassed(std::chrono::steady_clock::now()))
             return Error { ErrorCode::DeadlinePassed, "receive request", "", "the deadline passed with the body" };
         return framework::success();
@@ -292,7 +294,7 @@
 
 bool CallerServer::waitUntilIdle(Deadline deadline) { return implementation_->waitUntilIdle(deadline); }
 
-bool CallerServer::waitUntilAllLeft(Deadline deadline) { return implementation_->waitUntilAllLeft(deadline); }
+bool CallerServer::waitUntilAllSent(Deadline deadline) { return implementation_->waitUntilAllSent(deadline); }
 
 void CallerServer::stop() { implementation_->stop(); }
 
--- a/src/callers/internal/callersettings.cpp
+++ b/src/callers/internal/callersettings.cpp
@@ -5,10 +5,10 @@
 namespace {
 
 constexpr std::uint64_t mebibyte = 1024 * 1024;
-constexpr std::uint64_t mostHeldBytes = 64 * 1024 * mebibyte;
-constexpr std::uint64_t mostRequests = 100000;
-constexpr std::uint64_t mostJsonDepth = 200;
-constexpr std::uint64_t dayInMilliseconds = 24 * 60 * 60 * 1000;
+constexpr std::uint64_t maxHeldBytes = 64 * 1024 * mebibyte;
+constexpr std::uint64_t maxRequests = 100000;
+constexpr std::uint64_t maxJsonDepth = 200;
+constexpr std::uint64_t maxTimeoutMs = 24 * 60 * 60 * 1000;
 
 } // namespace
 
@@ -20,14 +20,14 @@
     framework::CheckedObject section = settings.object("limits");
     limits.headerBytes = section.numberOr("header_bytes", limits.headerBytes, 256, mebibyte);
     limits.bodyBytes = section.numberOr("body_bytes", limits.bodyBytes, 1, 256 * mebibyte);
-    limits.heldBodyBytes = section.numberOr("held_body_bytes", limits.heldBodyBytes, 1, mostHeldBytes);
-    limits.jsonDepth = section.numberOr("json_depth", limits.jsonDepth, 1, mostJsonDepth);
-    limits.waitingRequests = section.numberOr("waiting_requests", limits.waitingRequests, 1, mostRequests);
-    limits.requestsInProgress = section.numberOr("requests_in_progress", limits.requestsInProgress, 1, mostRequests);
+    limits.heldBodyBytes = section.numberOr("held_body_bytes", limits.heldBodyBytes, 1, maxHeldBytes);
+    limits.jsonDepth = section.numberOr("json_depth", limits.jsonDepth, 1, maxJsonDepth);
+    limits.waitingRequests = section.numberOr("waiting_requests", limits.waitingRequests, 1, maxRequests);
+    limits.requestsInProgress = section.numberOr("requests_in_progress", limits.requestsInProgress, 1, maxRequests);
     limits.answerBacklogBytes
         = section.numberOr("answer_backlog_bytes", limits.answerBacklogBytes, 1024, 256 * mebibyte);
-    limits.longestTimeout = framework::Milliseconds(
-        section.numberOr("longest_timeout_ms", limits.longestTimeout.count(), 1, dayInMilliseconds));
+    limits.maxTimeout
+        = framework::Milliseconds(section.numberOr("longest_timeout_ms", limits.maxTimeout.count(), 1, maxTimeoutMs));
     // A part's unknown keys are its own to find.
     (void)section.finish();
     return limits;
--- a/src/callers/internal/headcheck.cpp
+++ b/src/callers/internal/headcheck.cpp
@@ -37,7 +37,7 @@
 /// cpprest takes a Content-Length that it can't read for a body of 0 bytes, and one below 0 for a huge one: the request
 /// would run without its body, or wait for ever. Beside a Transfer-Encoding, a proxy before us may have counted by the
 /// other of the two.
-bool isLengthUnclear(const web::http::http_headers& headers)
+bool isLengthAmbiguous(const web::http::http_headers& headers)
 {
     const auto length = headers.find(header_names::content_length);
     if (length == headers.end())
@@ -45,13 +45,13 @@
     return !isDecimal(length->second) || headers.has(header_names::transfer_encoding);
 }
 
-bool isLengthOver(const web::http::http_headers& headers, std::size_t limit)
+bool isLengthAboveLimit(const web::http::http_headers& headers, std::size_t limit)
 {
     const auto length = headers.find(header_names::content_length);
     if (length == headers.end())
         return false;
-    constexpr std::size_t surelyReadable = 18;
-    return length->second.size() > surelyReadable || std::stoull(length->second) > limit;
+    constexpr std::size_t maxParsableDigits = 18;
+    return length->second.size() > maxParsableDigits || std::stoull(length->second) > limit;
 }
 
 } // namespace
@@ -88,9 +88,9 @@
 std::optional<EarlyRefusal> checkHead(const http_request& request, RequestKind kind, const CallerLimits& limits)
 {
     const web::http::http_headers& headers = request.headers();
-    if (isLengthUnclear(headers))
+    if (isLengthAmbiguous(headers))
         return EarlyRefusal { { ErrorCode::BadRequest, step, "", "the body's length is unclear" }, std::nullopt, true };
-    if (isLengthOver(headers, limits.bodyBytes))
+    if (isLengthAboveLimit(headers, limits.bodyBytes))
         return EarlyRefusal { { ErrorCode::TooLarge, step, "",
                                   "the body is larger than " + std::to_string(limits.bodyBytes) + " bytes" },
             std::nullopt, true };
--- a/src/callers/internal/occupancy.cpp
+++ b/src/callers/internal/occupancy.cpp
@@ -3,8 +3,8 @@
 namespace lagoon::callers {
 
 Occupancy::Occupancy(const CallerLimits& limits, std::shared_ptr<framework::Metrics> metrics)
-    : mostWaiting_(limits.waitingRequests)
-    , mostInProgress_(limits.requestsInProgress)
+    : maxWaiting_(limits.waitingRequests)
+    , maxInProgress_(limits.requestsInProgress)
     , metrics_(std::move(metrics))
 {
 }
@@ -14,38 +14,38 @@
     const std::lock_guard lock(mutex_);
     ++waiting_;
     ++inProgress_;
-    showLocked();
-    return waiting_ <= mostWaiting_ && inProgress_ <= mostInProgress_;
+    updateMetricsLocked();
+    return waiting_ <= maxWaiting_ && inProgress_ <= maxInProgress_;
 }
 
-void Occupancy::waitingEnded()
+void Occupancy::didEndWaiting()
 {
     const std::lock_guard lock(mutex_);
     --waiting_;
-    showLocked();
+    updateMetricsLocked();
 }
 
-void Occupancy::replyEnded()
+void Occupancy::didEndReply()
 {
     const std::lock_guard lock(mutex_);
     --inProgress_;
-    showLocked();
+    updateMetricsLocked();
     isEmpty_.notify_all();
 }
 
-void Occupancy::replyPutOff()
+void Occupancy::didDeferReply()
 {
     const std::lock_guard lock(mutex_);
     --inProgress_;
-    ++putOff_;
-    showLocked();
+    ++deferred_;
+    updateMetricsLocked();
     isEmpty_.notify_all();
 }
 
-void Occupancy::putOffReplyEnded()
+void Occupancy::didEndDeferredReply()
 {
     const std::lock_guard lock(mutex_);
-    --putOff_;
+    --deferred_;
     isEmpty_.notify_all();
 }
 
@@ -61,13 +61,13 @@
     return isEmpty_.wait_until(lock, deadline.at(), [this] { return inProgress_ == 0; });
 }
 
-bool Occupancy::waitUntilAllLeft(framework::Deadline deadline)
+bool Occupancy::waitUntilAllSent(framework::Deadline deadline)
 {
     std::unique_lock lock(mutex_);
-    return isEmpty_.wait_until(lock, deadline.at(), [this] { return inProgress_ + putOff_ == 0; });
+    return isEmpty_.wait_until(lock, deadline.at(), [this] { return inProgress_ + deferred_ == 0; });
 }
 
-void Occupancy::showLocked()
+void Occupancy::updateMetricsLocked()
 {
     metrics_->setGauge("lagoon_requests_waiting", static_cast<double>(waiting_));
     metrics_->setGauge("lagoon_requests_in_progress", static_cast<double>(inProgress_));
--- a/src/callers/internal/occupancy.h
+++ b/src/callers/internal/occupancy.h
@@ -18,27 +18,27 @@
 
     /// Takes a request in; false if one of the limits is passed by it, and it has to be refused at once.
     bool enter();
-    void waitingEnded() override;
-    void replyEnded() override;
-    void replyPutOff() override;
-    void putOffReplyEnded() override;
+    void didEndWaiting() override;
+    void didEndReply() override;
+    void didDeferReply() override;
+    void didEndDeferredReply() override;
     void waitUntilEmpty();
     /// Gives up at the deadline; whether it is empty.
     bool waitUntilEmpty(framework::Deadline);
     /// The same, and the refusals that were put off have left as well.
-    bool waitUntilAllLeft(framework::Deadline);
+    bool waitUntilAllSent(framework::Deadline);
 
 private:
-    void showLocked();
+    void updateMetricsLocked();
 
-    const std::size_t mostWaiting_;
-    const std::size_t mostInProgress_;
+    const std::size_t maxWaiting_;
+    const std::size_t maxInProgress_;
     const std::shared_ptr<framework::Metrics> metrics_;
     std::mutex mutex_;
     std::condition_variable isEmpty_;
     std::size_t waiting_ = 0;
     std::size_t inProgress_ = 0;
-    std::size_t putOff_ = 0;
+    std::size_t deferred_ = 0;
 };
 
 } // namespace lagoon::callers
--- a/src/callers/internal/requestheaders.cpp
+++ b/src/callers/internal/requestheaders.cpp
@@ -20,15 +20,15 @@
 constexpr const char* repeatableHeader = "X-Lagoon-Repeatable";
 constexpr const char* priorityHeader = "X-Lagoon-Priority";
 constexpr const char* idempotencyHeader = "Idempotency-Key";
-constexpr std::uint64_t highestPriority = 9;
-constexpr std::uint64_t mostMilliseconds = 1000ULL * 60 * 60 * 24 * 365;
-constexpr std::size_t longestIdempotencyKey = 255;
+constexpr std::uint64_t maxPriority = 9;
+constexpr std::uint64_t maxTimeoutMs = 1000ULL * 60 * 60 * 24 * 365;
+constexpr std::size_t maxIdempotencyKeyLength = 255;
 
 /// Answered by each hop for itself.
 constexpr std::string_view expectHeader = "Expect";
 /// Set by the agent; a caller's own would pretend to be another request.
 constexpr std::array<std::string_view, 3> agentHeaders { "Host", "X-Request-Id", "X-Priority" };
-constexpr std::string_view ownPrefix = "X-Lagoon-";
+constexpr std::string_view internalHeaderPrefix = "X-Lagoon-";
 
 template <std::size_t size> bool contains(const std::array<std::string_view, size>& names, const std::string& name)
 {
@@ -43,7 +43,7 @@
 
 /// `unset` if the header isn't there.
 Result<std::optional<std::uint64_t>> readNumber(
-    const web::http::http_headers& headers, const std::string& name, std::uint64_t least, std::uint64_t most)
+    const web::http::http_headers& headers, const std::string& name, std::uint64_t min, std::uint64_t max)
 {
     const auto found = headers.find(name);
     if (found == headers.end())
@@ -51,8 +51,8 @@
     const std::string& text = found->second;
     std::uint64_t number = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
-    if (error != std::errc() || end != text.data() + text.size() || number < least || number > most)
-        return badHeader(name, "a whole number from " + std::to_string(least) + " to " + std::to_string(most));
+    if (error != std::errc() || end != text.data() + text.size() || number < min || number > max)
+        return badHeader(name, "a whole number from " + std::to_string(min) + " to " + std::to_string(max));
     return std::optional<std::uint64_t>(number);
 }
 
@@ -74,45 +74,45 @@
     const std::string& key = found->second;
     const bool isPrintable
         = std::all_of(key.begin(), key.end(), [](char character) { return character >= ' ' && character <= '~'; });
-    if (key.empty() || key.size() > longestIdempotencyKey || !isPrintable)
+    if (key.empty() || key.size() > maxIdempotencyKeyLength || !isPrintable)
         return badHeader(
-            idempotencyHeader, "1 to " + std::to_string(longestIdempotencyKey) + " printable ASCII characters");
+            idempotencyHeader, "1 to " + std::to_string(maxIdempotencyKeyLength) + " printable ASCII characters");
     return std::optional<std::string>(key);
 }
 
 } // namespace
 
-Result<CallerStatements> readCallerStatements(const web::http::http_headers& headers)
+Result<RequestOptions> readRequestOptions(const web::http::http_headers& headers)
 {
-    CallerStatements statements;
-    BOOST_OUTCOME_TRY(timeout, readNumber(headers, timeoutHeader, 1, mostMilliseconds));
-    BOOST_OUTCOME_TRY(priority, readNumber(headers, priorityHeader, 0, highestPriority));
+    RequestOptions options;
+    BOOST_OUTCOME_TRY(timeout, readNumber(headers, timeoutHeader, 1, maxTimeoutMs));
+    BOOST_OUTCOME_TRY(priority, readNumber(headers, priorityHeader, 0, maxPriority));
     BOOST_OUTCOME_TRY(isRepeatable, readFlag(headers, repeatableHeader));
     BOOST_OUTCOME_TRY(idempotencyKey, readIdempotencyKey(headers));
     if (timeout)
-        statements.timeout = framework::Milliseconds(*timeout);
+        options.timeout = framework::Milliseconds(*timeout);
     if (priority)
-        statements.priority = static_cast<std::uint8_t>(*priority);
-    statements.isRepeatable = isRepeatable;
-    statements.idempotencyKey = std::move(idempotencyKey);
-    return statements;
+        options.priority = static_cast<std::uint8_t>(*priority);
+    options.isRepeatable = isRepeatable;
+    options.idempotencyKey = std::move(idempotencyKey);
+    return options;
 }
 
 bool isEndToEndHeader(const std::string& name)
 {
     return !http::isConnectionField(name) && !boost::iequals(name, expectHeader)
-        && !boost::istarts_with(name, ownPrefix);
+        && !boost::istarts_with(name, internalHeaderPrefix);
 }
 
 HttpHeaders upstreamHeaders(const web::http::http_headers& headers)
 {
-    HttpHeaders passed;
+    HttpHeaders forwarded;
     for (const auto& [name, value] : headers) {
         if (!isEndToEndHeader(name) || contains(agentHeaders, name))
             continue;
-        passed.emplace_back(name, value);
+        forwarded.emplace_back(name, value);
     }
-    return passed;
+    return forwarded;
 }
 
 std::size_t headerBytes(const web::http::http_headers& headers)
--- a/src/callers/internal/requestheaders.h
+++ b/src/callers/internal/requestheaders.h
@@ -11,7 +11,7 @@
 namespace lagoon::callers {
 
 /// What a caller states about its request; absent ones come from the bundle.
-struct CallerStatements {
+struct RequestOptions {
     std::optional<framework::Milliseconds> timeout;
     std::optional<bool> isRepeatable;
     std::optional<std::uint8_t> priority;
@@ -20,7 +20,7 @@
 
 /// Reads `X-Lagoon-Timeout-Ms`, `X-Lagoon-Repeatable`, `X-Lagoon-Priority` and `Idempotency-Key`. A value that can't be
 /// read is refused: a caller that means "not repeatable" must not be served as if it had said nothing.
-framework::Result<CallerStatements> readCallerStatements(const web::http::http_headers&);
+framework::Result<RequestOptions> readRequestOptions(const web::http::http_headers&);
 
 /// False for what concerns one connection only, and for what each side sets itself.
 bool isEndToEndHeader(const std::string& name);
--- a/src/callers/internal/requesttarget.cpp
+++ b/src/callers/internal/requesttarget.cpp
@@ -50,7 +50,7 @@
     return std::count_if(body.begin(), body.end(), [](const auto& field) { return field.first == "model"; }) > 1;
 }
 
-value listed(const std::string& id)
+value modelEntry(const std::string& id)
 {
     return value::object({ { "id", value::string(id) }, { "object", value::string("model") } }, true);
 }
@@ -101,10 +101,10 @@
 {
     std::vector<value> models;
     for (const auto& [name, model] : bundle.models)
-        models.push_back(listed(name.value()));
+        models.push_back(modelEntry(name.value()));
     for (const auto& [model, adapters] : bundle.adapters) {
         for (const auto& [name, adapter] : adapters)
-            models.push_back(listed(model.value() + "/" + name.value()));
+            models.push_back(modelEntry(model.value() + "/" + name.value()));
     }
     return value::object({ { "object", value::string("list") }, { "data", value::array(std::move(models)) } }, true)
         .serialize();
--- a/src/callers/tests/badinput_test.cpp
+++ b/src/callers/tests/badinput_test.cpp
@@ -19,13 +19,13 @@
     return limits;
 }
 
-struct SmallFixture : CallerFixture {
-    SmallFixture()
+struct SmallLimitsFixture : CallerFixture {
+    SmallLimitsFixture()
         : CallerFixture(smallLimits())
     {
     }
 
-    void refuses(const std::string& text, const std::string& status, const std::string& part)
+    void checkRefused(const std::string& text, const std::string& status, const std::string& part)
     {
         const std::string answer = exchange(text);
         BOOST_TEST(answer.starts_with("HTTP/1.1 " + status + " "), text.substr(0, 200) << " gave " << answer);
@@ -34,11 +34,11 @@
     }
 };
 
-void servesOthers(CallerFixture& fixture)
+void checkServesOthers(CallerFixture& fixture)
 {
     RawCaller caller(fixture.endpoint);
     caller.send(completionText(R"({"model":"m"})"));
-    const Accepted accepted = fixture.dispatcher.take();
+    const AcceptedRequest accepted = fixture.dispatcher.take();
     accepted.answer->begin(200, {}, 1);
     accepted.answer->finish();
     BOOST_TEST(caller.readUntil("0\r\n\r\n"));
@@ -48,112 +48,112 @@
 
 BOOST_AUTO_TEST_SUITE(BadInput)
 
-BOOST_FIXTURE_TEST_CASE(badBodiesAreRefusedInWords, SmallFixture)
+BOOST_FIXTURE_TEST_CASE(invalidBodiesAndPathsAreRefusedWithTheReason, SmallLimitsFixture)
 {
-    refuses(completionText("{nope"), "400", "not JSON");
-    refuses(completionText("[1]"), "400", "expected a JSON object");
-    refuses(completionText(R"({"prompt":"x"})"), "400", R"(key \"model\")");
-    refuses(completionText(R"({"model":"m","model":"other"})"), "400", R"(key \"model\")");
-    refuses(completionText(R"({"model":"m/"})"), "400", R"(key \"model\")");
-    refuses(completionText(R"({"model":"m","x":[[[[1]]]]})"), "400", "nested deeper than 4");
-    refuses(completionText(R"({"model":"m/b"})"), "404", "unknown_adapter");
-    refuses(requestText("GET /services/t/x"), "404", "unknown_service");
-    refuses(requestText("GET /elsewhere"), "404", "not_found");
-    refuses(requestText("GET /v1/completions"), "405", "expected POST");
+    checkRefused(completionText("{nope"), "400", "not JSON");
+    checkRefused(completionText("[1]"), "400", "expected a JSON object");
+    checkRefused(completionText(R"({"prompt":"x"})"), "400", R"(key \"model\")");
+    checkRefused(completionText(R"({"model":"m","model":"other"})"), "400", R"(key \"model\")");
+    checkRefused(completionText(R"({"model":"m/"})"), "400", R"(key \"model\")");
+    checkRefused(completionText(R"({"model":"m","x":[[[[1]]]]})"), "400", "nested deeper than 4");
+    checkRefused(completionText(R"({"model":"m/b"})"), "404", "unknown_adapter");
+    checkRefused(requestText("GET /services/t/x"), "404", "unknown_service");
+    checkRefused(requestText("GET /elsewhere"), "404", "not_found");
+    checkRefused(requestText("GET /v1/completions"), "405", "expected POST");
     BOOST_TEST(dispatcher.count() == 0u);
-    servesOthers(*this);
+    checkServesOthers(*this);
 }
 
-BOOST_FIXTURE_TEST_CASE(statementsThatCantBeReadAreRefused, SmallFixture)
+BOOST_FIXTURE_TEST_CASE(invalidRequestOptionsAreRefused, SmallLimitsFixture)
 {
     const auto with = [](const std::string& header) { return completionText(R"({"model":"m"})", header + "\r\n"); };
-    refuses(with("X-Lagoon-Timeout-Ms: 0"), "400", "X-Lagoon-Timeout-Ms: expected a whole number");
-    refuses(with("X-Lagoon-Timeout-Ms: 1e3"), "400", "X-Lagoon-Timeout-Ms");
-    refuses(with("X-Lagoon-Repeatable: no"), "400", "expected true or false");
-    refuses(with("X-Lagoon-Priority: 10"), "400", "from 0 to 9");
-    refuses(with("Idempotency-Key: " + std::string(256, 'k')), "400", "1 to 255 printable");
+    checkRefused(with("X-Lagoon-Timeout-Ms: 0"), "400", "X-Lagoon-Timeout-Ms: expected a whole number");
+    checkRefused(with("X-Lagoon-Timeout-Ms: 1e3"), "400", "X-Lagoon-Timeout-Ms");
+    checkRefused(with("X-Lagoon-Repeatable: no"), "400", "expected true or false");
+    checkRefused(with("X-Lagoon-Priority: 10"), "400", "from 0 to 9");
+    checkRefused(with("Idempotency-Key: " + std::string(256, 'k')), "400", "1 to 255 printable");
     BOOST_TEST(dispatcher.count() == 0u);
 }
 
 // What a user sees: a caller sends a body without end, and all the others get slow or the router dies of memory.
 // cpprest takes any body, so each way to send one is bounded here: announced, in chunks, or announced and never sent.
-BOOST_FIXTURE_TEST_CASE(largeBodiesAreRefusedAndHarmNobody, SmallFixture)
+BOOST_FIXTURE_TEST_CASE(largeBodiesAreRefusedWithoutAffectingOthers, SmallLimitsFixture)
 {
-    refuses(completionText(std::string(1001, 'x')), "413", "too_large");
-    refuses(completionText(std::string(100000, 'x')), "413", "too_large");
+    checkRefused(completionText(std::string(1001, 'x')), "413", "too_large");
+    checkRefused(completionText(std::string(100000, 'x')), "413", "too_large");
     const std::string piece = "100\r\n" + std::string(256, 'x') + "\r\n";
-    refuses("POST /v1/completions HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n" + piece + piece + piece
-            + piece + "0\r\n\r\n",
+    checkRefused("POST /v1/completions HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n" + piece + piece
+            + piece + piece + "0\r\n\r\n",
         "413", "too_large");
-    servesOthers(*this);
+    checkServesOthers(*this);
 }
 
 // What a user sees: the router answers "too many requests" for ever although nobody asks anything.
 // A caller announces a body and sends a part of it. cpprest waits for the rest without end, and sends no reply before
 // the caller's next bytes; the place has to be free after the deadline all the same.
-BOOST_AUTO_TEST_CASE(aBodyThatNeverComesFreesItsPlace)
+BOOST_AUTO_TEST_CASE(aBodyThatNeverArrivesFreesItsSlot)
 {
     CallerLimits limits;
     limits.requestsInProgress = 1;
     CallerFixture fixture(limits);
     RawCaller caller(fixture.endpoint);
     caller.send("POST /services/s/ HTTP/1.1\r\nHost: x\r\nX-Lagoon-Timeout-Ms: 20\r\nContent-Length: 9\r\n\r\nabc");
-    while (fixture.counted("lagoon_refusals_total{code=\"deadline_passed\",execution=\"not_run\"}") == 0)
+    while (fixture.metricSum("lagoon_refusals_total{code=\"deadline_passed\",execution=\"not_run\"}") == 0)
         std::this_thread::yield();
     fixture.server.waitUntilIdle();
-    servesOthers(fixture);
+    checkServesOthers(fixture);
     caller.send("defghi");
     BOOST_TEST(contains(caller.readToEnd(), R"("code":"deadline_passed")"));
     fixture.server.waitUntilIdle();
-    BOOST_TEST(fixture.counted("lagoon_requests_in_progress") == 0);
+    BOOST_TEST(fixture.metricSum("lagoon_requests_in_progress") == 0);
 }
 
-BOOST_FIXTURE_TEST_CASE(anUnclearLengthIsRefused, SmallFixture)
+BOOST_FIXTURE_TEST_CASE(anAmbiguousContentLengthIsRefused, SmallLimitsFixture)
 {
     const std::string line = "POST /services/s/ HTTP/1.1\r\nHost: x\r\n";
-    refuses(line + "Content-Length: abc\r\n\r\nabc", "400", "length is unclear");
-    refuses(line + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400", "length is unclear");
+    checkRefused(line + "Content-Length: abc\r\n\r\nabc", "400", "length is unclear");
+    checkRefused(line + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400", "length is unclear");
     // cpprest waits for 2^64 - 5 bytes before it sends the refusal.
     RawCaller caller(endpoint);
     caller.send(line + "Content-Length: -5\r\n\r\nabc");
-    while (counted("lagoon_refusals_total{code=\"bad_request\",execution=\"not_run\"}") < 3)
+    while (metricSum("lagoon_refusals_total{code=\"bad_request\",execution=\"not_run\"}") < 3)
         std::this_thread::yield();
     server.waitUntilIdle();
-    caller.hangUp();
-    while (counted("lagoon_replies_undelivered_total") == 0)
+    caller.disconnect();
+    while (metricSum("lagoon_replies_undelivered_total") == 0)
         std::this_thread::yield();
     BOOST_TEST(dispatcher.count() == 0u);
-    servesOthers(*this);
+    checkServesOthers(*this);
 }
 
-BOOST_FIXTURE_TEST_CASE(largeHeadersAndOldHttpAreRefused, SmallFixture)
+BOOST_FIXTURE_TEST_CASE(largeHeadersAndHttp10AreRefused, SmallLimitsFixture)
 {
-    refuses(requestText("GET /services/s/", "", "Large: " + std::string(2000, 'h') + "\r\n"), "431", "too_large");
-    refuses(requestText("GET /services/s/" + std::string(2000, 'p')), "431", "too_large");
-    refuses("GET /services/s/ HTTP/1.0\r\n\r\n", "505", "expected HTTP/1.1");
-    servesOthers(*this);
+    checkRefused(requestText("GET /services/s/", "", "Large: " + std::string(2000, 'h') + "\r\n"), "431", "too_large");
+    checkRefused(requestText("GET /services/s/" + std::string(2000, 'p')), "431", "too_large");
+    checkRefused("GET /services/s/ HTTP/1.0\r\n\r\n", "505", "expected HTTP/1.1");
+    checkServesOthers(*this);
 }
 
-BOOST_FIXTURE_TEST_CASE(bodiesTogetherAreBounded, SmallFixture)
+BOOST_FIXTURE_TEST_CASE(theTotalSizeOfBodiesIsBounded, SmallLimitsFixture)
 {
     RawCaller first(endpoint);
     first.send(requestText("POST /services/s/", std::string(900, 'x')));
-    const Accepted accepted = dispatcher.take();
-    refuses(requestText("POST /services/s/", std::string(900, 'x')), "429", "too_many_waiting");
+    const AcceptedRequest accepted = dispatcher.take();
+    checkRefused(requestText("POST /services/s/", std::string(900, 'x')), "429", "too_many_waiting");
     accepted.answer->begin(200, {}, 1);
     accepted.answer->finish();
     BOOST_TEST(first.readUntil("0\r\n\r\n"));
     server.waitUntilIdle();
 }
 
-BOOST_AUTO_TEST_CASE(pastTheLimitOfWaitingRequestsEachIsRefusedAtOnce)
+BOOST_AUTO_TEST_CASE(requestsAboveTheWaitingLimitAreRefusedAtOnce)
 {
     CallerLimits limits;
     limits.waitingRequests = 1;
     CallerFixture fixture(limits);
     RawCaller first(fixture.endpoint);
     first.send(completionText(R"({"model":"m"})"));
-    const Accepted accepted = fixture.dispatcher.take();
+    const AcceptedRequest accepted = fixture.dispatcher.take();
     const std::string refusal = fixture.exchange(completionText(R"({"model":"m"})"));
     BOOST_TEST(refusal.starts_with("HTTP/1.1 429 "));
     BOOST_TEST(contains(refusal, "Retry-After: 1\r\n"));
--- a/src/callers/tests/callerfixture.h
+++ b/src/callers/tests/callerfixture.h
@@ -66,7 +66,7 @@
     }
 
     /// The sum of all series that begin like this, as `/metrics` shows them.
-    double counted(const std::string& series) const
+    double metricSum(const std::string& series) const
     {
         std::istringstream text(metrics->text());
         double sum = 0;
--- a/src/callers/tests/callerserver_test.cpp
+++ b/src/callers/tests/callerserver_test.cpp
@@ -8,12 +8,12 @@
 
 BOOST_AUTO_TEST_SUITE(CallerServer)
 
-BOOST_FIXTURE_TEST_CASE(aStreamArrivesChunkByChunkAndWhole, CallerFixture)
+BOOST_FIXTURE_TEST_CASE(aStreamArrivesChunkByChunkAndComplete, CallerFixture)
 {
     RawCaller caller(endpoint);
     caller.send(
         completionText(R"({"model":"m/a","stream":true,"prompt":"hi"})", "X-Lagoon-Priority: 9\r\nX-Own: 1\r\n"));
-    const Accepted accepted = dispatcher.take();
+    const AcceptedRequest accepted = dispatcher.take();
     BOOST_TEST(accepted.request.name == framework::RequestName("9-1"));
     BOOST_TEST(accepted.request.target.model.value() == "m");
     BOOST_TEST(accepted.request.target.adapter.value() == "a");
@@ -32,14 +32,14 @@
     accepted.answer->write("data: [DONE]\n\n");
     accepted.answer->finish();
     BOOST_TEST(caller.readUntil(lastChunk));
-    BOOST_TEST(counted("lagoon_answers_total{result=\"finished\"}") == 1);
+    BOOST_TEST(metricSum("lagoon_answers_total{result=\"finished\"}") == 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(aServiceGetsMethodPathAndQuery, CallerFixture)
+BOOST_FIXTURE_TEST_CASE(aServiceReceivesMethodPathAndQuery, CallerFixture)
 {
     RawCaller caller(endpoint);
     caller.send(requestText("PUT /services/s/slots/4?hold=1", "body", "X-Lagoon-Repeatable: false\r\n"));
-    const Accepted accepted = dispatcher.take();
+    const AcceptedRequest accepted = dispatcher.take();
     BOOST_TEST(accepted.request.target.service.value() == "s");
     BOOST_TEST(accepted.request.method == "PUT");
     BOOST_TEST(accepted.request.path == "/slots/4?hold=1");
@@ -50,7 +50,7 @@
     BOOST_TEST(caller.readUntil("HTTP/1.1 204"));
 }
 
-BOOST_FIXTURE_TEST_CASE(aRefusalSaysAllThatIsKnown, CallerFixture)
+BOOST_FIXTURE_TEST_CASE(aRefusalReportsAllErrorFields, CallerFixture)
 {
     const std::string answer = exchange(completionText(R"({"model":"nobody"})"));
     BOOST_TEST(answer.starts_with("HTTP/1.1 404 "));
@@ -58,10 +58,10 @@
     BOOST_TEST(body
         == R"({"error":{"code":"unknown_model","message":"no model nobody","execution":"not_run",)"
            R"("step":"look up in bundle","peer":"bundle 7","request":"9-1","attempt":0,"retry_after_ms":null}})");
-    BOOST_TEST(counted("lagoon_refusals_total{code=\"unknown_model\",execution=\"not_run\"}") == 1);
+    BOOST_TEST(metricSum("lagoon_refusals_total{code=\"unknown_model\",execution=\"not_run\"}") == 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(aRefusalByTheDispatcherSaysWhenToComeBack, CallerFixture)
+BOOST_FIXTURE_TEST_CASE(aRefusalByTheDispatcherCarriesRetryAfter, CallerFixture)
 {
     RawCaller caller(endpoint);
     caller.send(completionText(R"({"model":"m"})"));
@@ -77,7 +77,7 @@
 }
 
 // The router ends while an engine works on a request that may not run twice. A balancer sends what got a 503 again.
-BOOST_FIXTURE_TEST_CASE(whatMayHaveRunAtTheEndIsNo503, CallerFixture)
+BOOST_FIXTURE_TEST_CASE(aRequestThatMayHaveRunAtShutdownIsNotRefusedWith503, CallerFixture)
 {
     for (const framework::ErrorCode code : { framework::ErrorCode::ShuttingDown, framework::ErrorCode::Draining }) {
         RawCaller caller(endpoint);
@@ -96,22 +96,22 @@
     BOOST_TEST(contains(caller.received(), R"({"object":"list","data":[{"id":"m","object":"model"},{"id":"m/a")"));
 }
 
-BOOST_FIXTURE_TEST_CASE(beforeTheFirstBundleNothingIsServed, CallerFixture)
+BOOST_FIXTURE_TEST_CASE(requestsAreRefusedBeforeTheFirstBundle, CallerFixture)
 {
     bundle = nullptr;
     BOOST_TEST(contains(exchange(completionText(R"({"model":"m"})")), R"("code":"not_ready")"));
 }
 
-BOOST_FIXTURE_TEST_CASE(requestsWithTheSameBeginningShareThePrefixHash, CallerFixture)
+BOOST_FIXTURE_TEST_CASE(promptsWithTheSameBeginningShareThePrefixHash, CallerFixture)
 {
     const std::string shared(256, 'p');
     RawCaller first(endpoint);
     first.send(completionText(R"({"model":"m","prompt":")" + shared + R"(one"})"));
-    const Accepted one = dispatcher.take();
+    const AcceptedRequest one = dispatcher.take();
     RawCaller second(endpoint);
     second.send(requestText("POST /v1/chat/completions",
         R"({"model":"m","messages":[{"role":"user","content":")" + shared + R"("},{"content":"two"}]})"));
-    const Accepted two = dispatcher.take();
+    const AcceptedRequest two = dispatcher.take();
     BOOST_TEST(one.request.prefixHash == two.request.prefixHash);
     BOOST_TEST(two.request.path == "/v1/chat/completions");
 }
--- a/src/callers/tests/callersettings_test.cpp
+++ b/src/callers/tests/callersettings_test.cpp
@@ -23,11 +23,11 @@
     const callers::CallerLimits limits = callers::readCallerLimits(object);
     BOOST_TEST(object.finish().has_value());
     BOOST_TEST(limits.bodyBytes == 5u);
-    BOOST_TEST(limits.longestTimeout.count() == 7);
+    BOOST_TEST(limits.maxTimeout.count() == 7);
     BOOST_TEST(limits.waitingRequests == callers::CallerLimits().waitingRequests);
 }
 
-BOOST_AUTO_TEST_CASE(aFaultNamesItsKey)
+BOOST_AUTO_TEST_CASE(anErrorNamesItsKey)
 {
     framework::CheckedObject object = settings(R"({"limits": {"json_depth": 0}})");
     callers::readCallerLimits(object);
--- a/src/callers/tests/clientresend_test.cpp
+++ b/src/callers/tests/clientresend_test.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-/// An upstream that answers each request but one, the first that is the `doomed`th of its connection: this one it runs
-/// and then drops the connection.
+/// An upstream that answers each request but one, the first that is the `droppedPosition`th of its connection: this one
+/// it runs and then drops the connection.
 class DroppingUpstream {
 public:
-    explicit DroppingUpstream(int doomed)
-        : doomed_(doomed)
+    explicit DroppingUpstream(int droppedPosition)
+        : droppedPosition_(droppedPosition)
         , acceptor_(context_, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0))
         , acceptThread_([this] { acceptAll(); })
     {
@@ -66,14 +66,14 @@
         if (error)
             return false;
         ++executed_;
-        if (number == doomed_ && !hasDropped_.exchange(true))
+        if (number == droppedPosition_ && !hasDropped_.exchange(true))
             return false;
         boost::asio::write(
             socket, boost::asio::buffer(std::string("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")), error);
         return !error;
     }
 
-    const int doomed_;
+    const int droppedPosition_;
     std::atomic<bool> isStopped_ = false;
     std::atomic<bool> hasDropped_ = false;
     std::atomic<int> executed_ = 0;
@@ -91,7 +91,7 @@
 // What a user sees: two letters for one draft, although nobody asked twice.
 // An upstream runs a POST and closes the connection before its answer. cpprest's client takes a pooled connection for
 // stale then and sends the POST again by itself. If this fails, cpprest has changed; the guards may be loosened.
-BOOST_AUTO_TEST_CASE(aPooledClientSendsAPostAgain)
+BOOST_AUTO_TEST_CASE(aPooledClientResendsAPost)
 {
     DroppingUpstream upstream(2);
     web::http::client::http_client pooled(upstream.uri());
@@ -104,7 +104,7 @@
     BOOST_TEST(upstream.executed() == sent + 1);
 }
 
-BOOST_AUTO_TEST_CASE(aFreshClientSendsItOnce)
+BOOST_AUTO_TEST_CASE(aNewClientSendsAPostOnce)
 {
     DroppingUpstream upstream(1);
     web::http::client::http_client fresh(upstream.uri());
--- a/src/callers/tests/fakedispatcher.h
+++ b/src/callers/tests/fakedispatcher.h
@@ -9,7 +9,7 @@
 namespace lagoon::callers::testing {
 
 /// A request as the server handed it over, with its answer.
-struct Accepted {
+struct AcceptedRequest {
     CallerRequest request;
     std::shared_ptr<ICallerAnswer> answer;
 };
@@ -22,15 +22,15 @@
         const std::lock_guard lock(mutex_);
         accepted_.push_back({ std::move(request), std::move(answer) });
         ++count_;
-        hasSome_.notify_all();
+        isNotEmpty_.notify_all();
     }
 
     /// Waits for the next one.
-    Accepted take()
+    AcceptedRequest take()
     {
         std::unique_lock lock(mutex_);
-        hasSome_.wait(lock, [this] { return !accepted_.empty(); });
-        Accepted first = std::move(accepted_.front());
+        isNotEmpty_.wait(lock, [this] { return !accepted_.empty(); });
+        AcceptedRequest first = std::move(accepted_.front());
         accepted_.pop_front();
         return first;
     }
@@ -43,8 +43,8 @@
 
 private:
     mutable std::mutex mutex_;
-    std::condition_variable hasSome_;
-    std::deque<Accepted> accepted_;
+    std::condition_variable isNotEmpty_;
+    std::deque<AcceptedRequest> accepted_;
     std::size_t count_ = 0;
 };
 
--- a/src/callers/types/callerlimits.h
+++ b/src/callers/types/callerlimits.h
@@ -22,7 +22,7 @@
     /// Bytes of one answer that its caller hasn't taken yet; past it the answer is broken off.
     std::size_t answerBacklogBytes = 8 * 1024 * 1024;
     /// The longest deadline a caller may ask for; a longer one is cut to it.
-    framework::Milliseconds longestTimeout { 600000 };
+    framework::Milliseconds maxTimeout { 600000 };
 };
 
 } // namespace lagoon::callers
--- a/src/direct/internal/directrouter.cpp
+++ b/src/direct/internal/directrouter.cpp
@@ -89,7 +89,7 @@
         std::this_thread::sleep_until(end.noticedBy.at());
         ports_.traffic.post([this] {
             callers_.closeIdle();
-            refuseComing();
+            refuseIncomplete();
         });
         while (
             !end.exitBy.hasPassed(ports_.clock.now()) && onTraffic([this] { return callers_.busyConnections(); }) > 0)
@@ -126,7 +126,7 @@
 
     /// Guards against a request of which a part has come when no more are taken. It surely hasn't run, and other
     /// routers have time for it; here its answer could be cut by the end.
-    void refuseComing() { callers_.refuseComing(ports_.dialect.refusal(503, comeBackElsewhere)); }
+    void refuseIncomplete() { callers_.refuseIncomplete(ports_.dialect.refusal(503, comeBackElsewhere)); }
 
     /// On the traffic thread, last thing; returns how many requests have no answer. Guards against a request that is
     /// read between the last look at the connections and the process's end, which would be sent to a server and never
@@ -134,7 +134,7 @@
     std::size_t stopTaking()
     {
         forwarder_.answerNow();
-        refuseComing();
+        refuseIncomplete();
         forwarder_.logUnanswered();
         const std::size_t unanswered = forwarder_.requests();
         callers_.closeAll();
--- a/src/forwarding/internal/requestjob.cpp
+++ b/src/forwarding/internal/requestjob.cpp
@@ -62,7 +62,7 @@
 
 void RequestJob::start()
 {
-    exchange_->setGoneHandler([weak = weak_from_this()] {
+    exchange_->setDisconnectHandler([weak = weak_from_this()] {
         if (const auto self = weak.lock())
             self->didLoseCaller();
     });
@@ -417,7 +417,7 @@
 
 bool RequestJob::endIfCallerLeft()
 {
-    if (!exchange_->hasCallerLeft())
+    if (!exchange_->hasCallerDisconnected())
         return false;
     const auto keepsItself = shared_from_this();
     didLoseCaller();
--- a/src/forwarding/internal/upstreamchoice.cpp
+++ b/src/forwarding/internal/upstreamchoice.cpp
@@ -33,7 +33,7 @@
 http::ConnectionPool::Reuse reuseFor(const catalog::Route& route)
 {
     const bool mayRunTwice = route.kind == catalog::RouteKind::Idempotent || route.isResumable;
-    return mayRunTwice ? http::ConnectionPool::Reuse::Usual : http::ConnectionPool::Reuse::Careful;
+    return mayRunTwice ? http::ConnectionPool::Reuse::Normal : http::ConnectionPool::Reuse::Conservative;
 }
 
 /// The engines by the order in which all routers prefer them for prompts that begin like this one: so requests with
--- a/src/forwarding/internal/upstreamtable.cpp
+++ b/src/forwarding/internal/upstreamtable.cpp
@@ -172,7 +172,7 @@
         if (!service)
             continue;
         const auto share = static_cast<std::size_t>(shareOfConnections * service->mostConnections / routers());
-        record->connections.setMost(std::max(fewestConnections, share));
+        record->connections.setMaxConnections(std::max(fewestConnections, share));
     }
 }
 
--- a/src/forwarding/tests/forwarder_test.cpp
+++ b/src/forwarding/tests/forwarder_test.cpp
@@ -57,8 +57,8 @@
     void sendPiece(std::string_view) override { }
     void endAnswer() override { }
     void breakOff() override { }
-    bool hasCallerLeft() const override { return hasLeft_; }
-    void setGoneHandler(std::function<void()>) override { }
+    bool hasCallerDisconnected() const override { return hasLeft_; }
+    void setDisconnectHandler(std::function<void()>) override { }
     std::size_t unsentBytes() const override { return 0; }
     void setDrainedHandler(std::function<void()>) override { }
 
--- a/src/forwarding/tests/upstreamtable_test.cpp
+++ b/src/forwarding/tests/upstreamtable_test.cpp
@@ -76,7 +76,7 @@
         load.routers = routersAfter;
         table.setLoad(load, now);
         std::vector<std::shared_ptr<http::ClientConnection>> taken;
-        while (auto connection = only().connections.take(http::ConnectionPool::Reuse::Usual, now))
+        while (auto connection = only().connections.take(http::ConnectionPool::Reuse::Normal, now))
             taken.push_back(std::move(connection));
         for (const auto& connection : taken)
             connection->abandon();
--- a/src/http/clientconnection.h
+++ b/src/http/clientconnection.h
@@ -47,9 +47,9 @@
 
 struct ClientOptions {
     /// Longest wait for a connection to stand.
-    framework::Milliseconds connectWithin { 1000 };
+    framework::Milliseconds connectTimeout { 1000 };
     /// A peer from which the network brings no sign of life for so long is given up.
-    framework::Milliseconds silence { 3000 };
+    framework::Milliseconds unresponsiveTimeout { 3000 };
 };
 
 /// One connection to a server, by Boost.Beast's parser over Asio. In place of cpprest's client where requests are
@@ -81,7 +81,7 @@
     /// Since when it has been idle.
     virtual framework::SteadyTime idleSince() const = 0;
     /// How long the server said that it keeps an idle connection.
-    virtual std::optional<framework::Milliseconds> keptFor() const = 0;
+    virtual std::optional<framework::Milliseconds> keepAliveTimeout() const = 0;
 };
 
 } // namespace lagoon::http
--- a/src/http/exchangeserver.h
+++ b/src/http/exchangeserver.h
@@ -43,7 +43,7 @@
     /// Accepts no more, and closes the connections that have no request under way.
     void closeIdle();
     /// Answers the requests of which only a part has come with this head, and reads no more of them.
-    void refuseComing(const ResponseHead&);
+    void refuseIncomplete(const ResponseHead&);
     /// Closes all connections, also those with a request under way, whose handler hears that its caller has gone.
     void closeAll();
     /// Connections whose request isn't wholly answered yet, or whose last answer is still on its way.
--- a/src/http/iexchange.h
+++ b/src/http/iexchange.h
@@ -34,9 +34,9 @@
 
     /// Whether the caller has closed its connection, even if the event loop hasn't come to that yet. Costs a system
     /// call.
-    virtual bool hasCallerLeft() const = 0;
+    virtual bool hasCallerDisconnected() const = 0;
     /// Called at most once, if the caller closes or loses its connection before the answer has been handed over.
-    virtual void setGoneHandler(std::function<void()>) = 0;
+    virtual void setDisconnectHandler(std::function<void()>) = 0;
     /// Bytes of the answer that the caller hasn't taken yet.
     virtual std::size_t unsentBytes() const = 0;
     /// Called each time all that was handed over has been taken by the socket.
--- a/src/http/internal/callclient.cpp
+++ b/src/http/internal/callclient.cpp
@@ -15,13 +15,13 @@
 using framework::Milliseconds;
 
 /// Calls of one process to one server at a time: a few watches, and what is read or written beside them.
-constexpr std::size_t mostConnections = 16;
+constexpr std::size_t maxConnections = 16;
 /// A page of the largest list there is.
-constexpr std::size_t mostAnswerBytes = 16 * 1024 * 1024;
+constexpr std::size_t maxAnswerBytes = 16 * 1024 * 1024;
 /// An answer of which nothing more has come for so long isn't on its way any more: links take some milliseconds.
-constexpr Milliseconds pieceTime { 700 };
+constexpr Milliseconds progressTimeout { 700 };
 /// The largest answer over the slowest of today's links, 10 Mbit/s, shared with callers' requests.
-constexpr Milliseconds longestAnswer { 15000 };
+constexpr Milliseconds maxAnswerTime { 15000 };
 
 /// One call under way.
 class Call final : public IAnswerSink, public std::enable_shared_from_this<Call> {
@@ -37,8 +37,8 @@
         Deadline deadline)
     {
         connection_ = std::move(connection);
-        wholeBy_ = Deadline::after(deadline.at(), longestAnswer);
-        checkAt(thread, deadline);
+        completeBy_ = Deadline::after(deadline.at(), maxAnswerTime);
+        scheduleCheck(thread, deadline);
         connection_->send(request, shared_from_this());
     }
 
@@ -51,25 +51,25 @@
     void didReceiveBody(std::string_view piece) override
     {
         response_.body += piece;
-        if (response_.body.size() > mostAnswerBytes)
-            giveUp("answer of more than 16 MiB");
+        if (response_.body.size() > maxAnswerBytes)
+            abort("answer of more than 16 MiB");
     }
 
-    void didFinish() override { end(std::move(response_)); }
+    void didFinish() override { complete(std::move(response_)); }
 
     void didFail(const ClientFailure& failure) override
     {
-        end(error(std::string(clientStepText(failure.step)) + ": " + failure.detail, failure.mayHaveArrived));
+        complete(error(std::string(clientStepText(failure.step)) + ": " + failure.detail, failure.mayHaveArrived));
     }
 
-    void giveUp(const std::string& detail)
+    void abort(const std::string& detail)
     {
         if (connection_)
             connection_->abandon();
-        end(error(detail, true));
+        complete(error(detail, true));
     }
 
-    void end(framework::Result<Response> result)
+    void complete(framework::Result<Response> result)
     {
         timer_.reset();
         connection_.reset();
@@ -84,7 +84,7 @@
     }
 
 private:
-    void checkAt(framework::EventThread& thread, Deadline deadline)
+    void scheduleCheck(framework::EventThread& thread, Deadline deadline)
     {
         timer_ = thread.runAt(deadline, [weak = weak_from_this(), &thread] {
             if (const auto self = weak.lock())
@@ -98,11 +98,11 @@
     void checkProgress(framework::EventThread& thread)
     {
         const framework::SteadyTime now = std::chrono::steady_clock::now();
-        const bool hasProgressed = response_.body.size() > seenBytes_;
-        if (!hasProgressed || wholeBy_.hasPassed(now))
-            return giveUp("no answer in time");
-        seenBytes_ = response_.body.size();
-        checkAt(thread, Deadline::after(now, pieceTime));
+        const bool hasProgressed = response_.body.size() > lastBodyBytes_;
+        if (!hasProgressed || completeBy_.hasPassed(now))
+            return abort("no answer in time");
+        lastBodyBytes_ = response_.body.size();
+        scheduleCheck(thread, Deadline::after(now, progressTimeout));
     }
 
     std::string step_;
@@ -111,8 +111,8 @@
     std::shared_ptr<ClientConnection> connection_;
     std::unique_ptr<framework::Timer> timer_;
     Response response_;
-    std::size_t seenBytes_ = 0;
-    Deadline wholeBy_;
+    std::size_t lastBodyBytes_ = 0;
+    Deadline completeBy_;
 };
 
 } // namespace
@@ -122,7 +122,7 @@
     Implementation(framework::EventThread& thread, framework::Endpoint endpoint, const ClientOptions& options)
         : thread_(thread)
         , endpoint_(std::move(endpoint))
-        , pool_(thread.context(), endpoint_, options, mostConnections)
+        , pool_(thread.context(), endpoint_, options, maxConnections)
     {
     }
 
@@ -137,10 +137,11 @@
                     self->pool_.closeIdle();
                 handler(std::move(answer));
             });
-        const auto reuse = request.method == "GET" ? ConnectionPool::Reuse::Usual : ConnectionPool::Reuse::Careful;
+        const auto reuse
+            = request.method == "GET" ? ConnectionPool::Reuse::Normal : ConnectionPool::Reuse::Conservative;
         auto connection = pool_.take(reuse, std::chrono::steady_clock::now());
         if (!connection)
-            return call->end(call->error("too many calls at once", false));
+            return call->complete(call->error("too many calls at once", false));
         Request addressed = request;
         addressed.headers.set("Host", endpoint_.value());
         call->start(thread_, std::move(connection), addressed, deadline);
--- a/src/http/internal/callerconnection.cpp
+++ b/src/http/internal/callerconnection.cpp
@@ -15,24 +15,24 @@
 namespace beast = boost::beast;
 using framework::Milliseconds;
 
-constexpr std::size_t readBytes = 16 * 1024;
+constexpr std::size_t readBufferBytes = 16 * 1024;
 /// What a caller may send ahead of its next request before it isn't read any more.
-constexpr std::size_t earlyBytes = 64 * 1024;
+constexpr std::size_t maxPipelinedBytes = 64 * 1024;
 /// For a caller that is still sending when it is refused: closing at once would reset the connection, and the refusal
 /// could be lost on its way.
-constexpr Milliseconds lingerTime { 1000 };
+constexpr Milliseconds lingerTimeout { 1000 };
 /// A caller whose machine has vanished holds its request's work no longer than this.
-constexpr Milliseconds callerSilence { 10000 };
+constexpr Milliseconds callerUnresponsiveTimeout { 10000 };
 
 /// Guards against a request hidden in another one: a peer that reads the other framing than we do would see two
 /// requests where we saw one. Beast refuses a length beside chunks in most spellings, but takes one length twice.
-bool hasOneFraming(const Headers& headers)
+bool hasSingleFraming(const Headers& headers)
 {
     const std::size_t lengths = headers.count("Content-Length");
     const std::size_t codings = headers.count("Transfer-Encoding");
     if (lengths + codings > 1)
         return false;
-    return codings == 0 || isSameIgnoringCase(*headers.find("Transfer-Encoding"), "chunked");
+    return codings == 0 || equalsIgnoringCase(*headers.find("Transfer-Encoding"), "chunked");
 }
 
 } // namespace
@@ -48,8 +48,8 @@
 
 void CallerConnection::start()
 {
-    setLivenessOptions(socket_, callerSilence);
-    armTimer(context_->limits.idleTimeout, &CallerConnection::didIdleTooLong);
+    setLivenessOptions(socket_, callerUnresponsiveTimeout);
+    armTimer(context_->limits.idleTimeout, &CallerConnection::handleIdleTimeout);
     read();
 }
 
@@ -57,10 +57,10 @@
 {
     if (isReading_ || stage_ == Stage::Closed)
         return;
-    if (stage_ == Stage::Working && buffer_.size() >= earlyBytes)
+    if (stage_ == Stage::Handling && buffer_.size() >= maxPipelinedBytes)
         return;
     isReading_ = true;
-    socket_.async_read_some(buffer_.prepare(readBytes),
+    socket_.async_read_some(buffer_.prepare(readBufferBytes),
         [self = shared_from_this()](const boost::system::error_code& error, std::size_t bytes) {
             self->isReading_ = false;
             self->didRead(error, bytes);
@@ -73,13 +73,13 @@
         return;
     const bool wasClosing = std::exchange(isClosingIdle_, false);
     if (wasClosing && error == boost::asio::error::operation_aborted)
-        return isFree() ? close() : read();
+        return isIdle() ? close() : read();
     if (error)
-        return callerLeft();
+        return handleDisconnect();
     if (stage_ == Stage::Closing)
         return read();
     buffer_.commit(bytes);
-    if (stage_ != Stage::Working)
+    if (stage_ != Stage::Handling)
         parse();
     read();
 }
@@ -100,12 +100,12 @@
 void CallerConnection::beginRequest()
 {
     stage_ = Stage::Reading;
-    hasHeadOfRequest_ = false;
+    hasRequestHead_ = false;
     parser_.emplace();
     parser_->eager(true);
     parser_->header_limit(context_->limits.headerBytes);
     parser_->body_limit(context_->limits.bodyBytes);
-    armTimer(context_->limits.headerTimeout, &CallerConnection::didSendHeadersTooSlowly);
+    armTimer(context_->limits.headerTimeout, &CallerConnection::handleHeaderTimeout);
 }
 
 void CallerConnection::didParse(const boost::system::error_code& error)
@@ -115,7 +115,7 @@
             return refuse({ 431, {}, {} });
         return refuse({ error == beast::http::error::body_limit ? 413U : 400U, {}, {} });
     }
-    if (parser_->is_header_done() && !std::exchange(hasHeadOfRequest_, true) && didRefuseHead())
+    if (parser_->is_header_done() && !std::exchange(hasRequestHead_, true) && didRefuseHead())
         return;
     if (parser_->is_done())
         handOver();
@@ -126,7 +126,7 @@
 {
     timer_.cancel();
     const Headers headers = headersOf(parser_->get());
-    if (!hasOneFraming(headers) || (parser_->get().version() >= 11 && headers.count("Host") != 1)) {
+    if (!hasSingleFraming(headers) || (parser_->get().version() >= 11 && headers.count("Host") != 1)) {
         refuse({ 400, {}, {} });
         return true;
     }
@@ -137,7 +137,7 @@
 
 void CallerConnection::handOver()
 {
-    stage_ = Stage::Working;
+    stage_ = Stage::Handling;
     hasBegunAnswer_ = false;
     timer_.cancel();
     auto message = parser_->release();
@@ -156,7 +156,7 @@
 {
     parser_.reset();
     endsAfterAnswer_ = true;
-    stage_ = Stage::Working;
+    stage_ = Stage::Handling;
     answer(head, {});
 }
 
@@ -177,7 +177,7 @@
 
 void CallerConnection::answer(ResponseHead head, std::string body)
 {
-    if (stage_ != Stage::Working)
+    if (stage_ != Stage::Handling)
         return;
     addFraming(head, body.size());
     send(headText(head).append(body));
@@ -187,24 +187,24 @@
 void CallerConnection::beginAnswer(ResponseHead head)
 {
     addFraming(head, std::nullopt);
-    heldHead_ = headText(head);
+    pendingHead_ = headText(head);
 }
 
 void CallerConnection::sendPiece(std::string_view piece)
 {
-    if (stage_ != Stage::Working)
+    if (stage_ != Stage::Handling)
         return;
     hasBegunAnswer_ = true;
-    std::string text = std::exchange(heldHead_, {});
+    std::string text = std::exchange(pendingHead_, {});
     text += isChunked_ ? chunkText(piece) : std::string(piece);
     send(std::move(text));
 }
 
 void CallerConnection::endAnswer()
 {
-    if (stage_ != Stage::Working)
+    if (stage_ != Stage::Handling)
         return;
-    std::string text = std::exchange(heldHead_, {});
+    std::string text = std::exchange(pendingHead_, {});
     if (isChunked_)
         text += lastChunk;
     send(std::move(text));
@@ -214,9 +214,9 @@
 void CallerConnection::breakOff()
 {
     // What was handed over still leaves: the caller has a use for the whole pieces that it has.
-    if (stage_ != Stage::Working)
+    if (stage_ != Stage::Handling)
         return;
-    heldHead_.clear();
+    pendingHead_.clear();
     if (!isChunked_)
         return reset();
     stage_ = Stage::Closing;
@@ -226,7 +226,7 @@
 
 /// Guards against a caller that learns nothing since the handler of its request failed: as long as no byte of an answer
 /// has left, there is a whole one to give.
-void CallerConnection::drop()
+void CallerConnection::failDropped()
 {
     if (hasBegunAnswer_)
         return breakOff();
@@ -257,7 +257,7 @@
     }
     stage_ = Stage::Idle;
     if (unsent_.empty())
-        beIdle();
+        becomeIdle();
     if (stage_ == Stage::Closed)
         return;
     // Not from here: the handler that answers may still be on the stack.
@@ -290,7 +290,7 @@
     if (stage_ == Stage::Closed)
         return;
     if (error)
-        return callerLeft();
+        return handleDisconnect();
     unsentBytes_ -= unsent_.front().size();
     unsent_.pop_front();
     if (!unsent_.empty())
@@ -298,7 +298,7 @@
     if (stage_ == Stage::Closing)
         return endsAfterAnswer_ ? linger() : close();
     if (stage_ == Stage::Idle)
-        return beIdle();
+        return becomeIdle();
     if (const auto exchange = exchange_.lock())
         exchange->didDrain();
 }
@@ -313,11 +313,11 @@
     });
 }
 
-void CallerConnection::didIdleTooLong() { closeIfIdle(); }
+void CallerConnection::handleIdleTimeout() { closeIfIdle(); }
 
-void CallerConnection::didSendHeadersTooSlowly()
+void CallerConnection::handleHeaderTimeout()
 {
-    if (stage_ == Stage::Reading && !hasHeadOfRequest_)
+    if (stage_ == Stage::Reading && !hasRequestHead_)
         refuse({ 408, {}, {} });
 }
 
@@ -326,12 +326,12 @@
 {
     boost::system::error_code ignored;
     socket_.shutdown(boost::asio::ip::tcp::socket::shutdown_send, ignored);
-    armTimer(lingerTime, &CallerConnection::close);
+    armTimer(lingerTimeout, &CallerConnection::close);
     read();
 }
 
 /// What was sent ahead hides an end behind it.
-bool CallerConnection::hasCallerLeft()
+bool CallerConnection::hasCallerDisconnected()
 {
     if (stage_ == Stage::Closed)
         return true;
@@ -339,31 +339,31 @@
     return ::recv(socket_.native_handle(), &byte, sizeof(byte), MSG_PEEK | MSG_DONTWAIT) == 0;
 }
 
-void CallerConnection::callerLeft()
+void CallerConnection::handleDisconnect()
 {
     const auto exchange = exchange_.lock();
     close();
     if (exchange)
-        exchange->callerLeft();
+        exchange->handleDisconnect();
 }
 
 /// Guards against an answer that is cut by the timer for idle connections while it still leaves: that one begins here,
 /// when all of it has been taken. While draining, the connection of an answer that couldn't say that it is the last one
 /// ends here, unless the caller has sent its next request already: that one is answered first.
-void CallerConnection::beIdle()
+void CallerConnection::becomeIdle()
 {
     if (context_->isDraining)
         closeIfIdle();
     if (stage_ == Stage::Closed)
         return;
-    armTimer(context_->limits.idleTimeout, &CallerConnection::didIdleTooLong);
+    armTimer(context_->limits.idleTimeout, &CallerConnection::handleIdleTimeout);
 }
 
-bool CallerConnection::isBusy() const { return stage_ != Stage::Closed && (isClosingIdle_ || !isFree()); }
+bool CallerConnection::isBusy() const { return stage_ != Stage::Closed && (isClosingIdle_ || !isIdle()); }
 
 /// Whether neither a request nor an answer is on it. Guards against a request that has come and hasn't been read yet:
 /// closing over it would reset the connection.
-bool CallerConnection::isFree() const
+bool CallerConnection::isIdle() const
 {
     boost::system::error_code ignored;
     return stage_ == Stage::Idle && unsent_.empty() && buffer_.size() == 0 && socket_.available(ignored) == 0;
@@ -373,7 +373,7 @@
 /// cancelled, and the connection closes only if that brought nothing.
 void CallerConnection::closeIfIdle()
 {
-    if (!isFree())
+    if (!isIdle())
         return;
     if (!isReading_)
         return close();
@@ -382,7 +382,7 @@
     socket_.cancel(ignored);
 }
 
-void CallerConnection::refuseComing(const ResponseHead& head)
+void CallerConnection::refuseIncomplete(const ResponseHead& head)
 {
     if (stage_ == Stage::Reading)
         refuse(head);
@@ -390,10 +390,10 @@
 
 void CallerConnection::closeNow()
 {
-    const bool isCut = (stage_ == Stage::Working && hasBegunAnswer_) || !unsent_.empty();
+    const bool isCut = (stage_ == Stage::Handling && hasBegunAnswer_) || !unsent_.empty();
     if (isCut && !isChunked_)
         setReset();
-    callerLeft();
+    handleDisconnect();
 }
 
 void CallerConnection::close()
@@ -418,7 +418,7 @@
 CallerExchange::~CallerExchange()
 {
     if (connection_)
-        connection_->drop();
+        connection_->failDropped();
 }
 
 std::shared_ptr<CallerConnection> CallerExchange::release()
@@ -458,11 +458,11 @@
         connection->breakOff();
 }
 
-void CallerExchange::setGoneHandler(std::function<void()> handler) { onGone_ = std::move(handler); }
+void CallerExchange::setDisconnectHandler(std::function<void()> handler) { onGone_ = std::move(handler); }
 
 void CallerExchange::setDrainedHandler(std::function<void()> handler) { onDrained_ = std::move(handler); }
 
-void CallerExchange::callerLeft()
+void CallerExchange::handleDisconnect()
 {
     connection_ = nullptr;
     onDrained_ = nullptr;
--- a/src/http/internal/callerconnection.h
+++ b/src/http/internal/callerconnection.h
@@ -40,7 +40,7 @@
     /// Closes if no request has come, and none is under way.
     void closeIfIdle();
     /// Answers a request of which a part has come with this head, and reads no more of it.
-    void refuseComing(const ResponseHead&);
+    void refuseIncomplete(const ResponseHead&);
     /// Whatever is under way; its handler hears that the caller has gone.
     void closeNow();
 
@@ -51,9 +51,9 @@
     void endAnswer();
     void breakOff();
     /// The handler has given the request up without a word.
-    void drop();
+    void failDropped();
     std::size_t unsentBytes() const { return unsentBytes_; }
-    bool hasCallerLeft();
+    bool hasCallerDisconnected();
 
 private:
     using Parser = boost::beast::http::request_parser<boost::beast::http::string_body>;
@@ -61,7 +61,7 @@
     enum class Stage : std::uint8_t {
         Idle, ///< between requests
         Reading, ///< a request has begun to come
-        Working, ///< handed over and not answered wholly
+        Handling, ///< handed over and not answered wholly
         Closing, ///< the answer is on its way out, then the connection ends
         Closed,
     };
@@ -79,15 +79,15 @@
     void write();
     void didWrite(const boost::system::error_code&);
     void finishAnswer();
-    void beIdle();
-    bool isFree() const;
+    void becomeIdle();
+    bool isIdle() const;
     void setReset();
     void armTimer(framework::Milliseconds, void (CallerConnection::*onExpired)());
-    void didIdleTooLong();
-    void didSendHeadersTooSlowly();
+    void handleIdleTimeout();
+    void handleHeaderTimeout();
     void linger();
     void reset();
-    void callerLeft();
+    void handleDisconnect();
     void close();
 
     boost::asio::ip::tcp::socket socket_;
@@ -100,14 +100,14 @@
     bool isWriting_ = false;
     bool endsAfterAnswer_ = false;
     bool isChunked_ = false;
-    bool hasHeadOfRequest_ = false;
+    bool hasRequestHead_ = false;
     /// The caller may have got a part of the answer.
     bool hasBegunAnswer_ = false;
     boost::beast::flat_buffer buffer_;
     std::optional<Parser> parser_;
     std::weak_ptr<CallerExchange> exchange_;
     /// The head of a begun answer, kept until its first piece.
-    std::string heldHead_;
+    std::string pendingHead_;
     std::deque<std::string> unsent_;
     std::size_t unsentBytes_ = 0;
 };
@@ -127,13 +127,13 @@
     void sendPiece(std::string_view) override;
     void endAnswer() override;
     void breakOff() override;
-    bool hasCallerLeft() const override { return !connection_ || connection_->hasCallerLeft(); }
-    void setGoneHandler(std::function<void()>) override;
+    bool hasCallerDisconnected() const override { return !connection_ || connection_->hasCallerDisconnected(); }
+    void setDisconnectHandler(std::function<void()>) override;
     std::size_t unsentBytes() const override { return connection_ ? connection_->unsentBytes() : 0; }
     void setDrainedHandler(std::function<void()>) override;
 
     /// From the connection.
-    void callerLeft();
+    void handleDisconnect();
     void didDrain();
 
 private:
--- a/src/http/internal/connectionpool.cpp
+++ b/src/http/internal/connectionpool.cpp
@@ -12,28 +12,29 @@
 
 /// A connection whose server doesn't say how long it keeps it is used again only this soon: servers that keep theirs
 /// for less than a second can't say so, as the field counts whole seconds.
-constexpr Milliseconds keptWhenUnsaid { 400 };
+constexpr Milliseconds defaultKeepAliveTimeout { 400 };
 /// Parts of the kept time after which a connection isn't used again: what travels takes time, and clocks differ.
-constexpr double usualShare = 0.75;
-constexpr double carefulShare = 0.4;
+constexpr double normalIdleShare = 0.75;
+constexpr double conservativeIdleShare = 0.4;
 
-Milliseconds longestIdle(const ClientConnection& connection, ConnectionPool::Reuse reuse)
+Milliseconds maxIdleTime(const ClientConnection& connection, ConnectionPool::Reuse reuse)
 {
-    const double share = reuse == ConnectionPool::Reuse::Careful ? carefulShare : usualShare;
-    const double kept = static_cast<double>(connection.keptFor().value_or(keptWhenUnsaid).count());
-    return Milliseconds(static_cast<std::int64_t>(kept * share));
+    const double share = reuse == ConnectionPool::Reuse::Conservative ? conservativeIdleShare : normalIdleShare;
+    const double keepAlive
+        = static_cast<double>(connection.keepAliveTimeout().value_or(defaultKeepAliveTimeout).count());
+    return Milliseconds(static_cast<std::int64_t>(keepAlive * share));
 }
 
 } // namespace
 
 class ConnectionPool::Implementation : public std::enable_shared_from_this<Implementation> {
 public:
-    Implementation(
-        boost::asio::io_context& context, framework::Endpoint endpoint, const ClientOptions& options, std::size_t most)
+    Implementation(boost::asio::io_context& context, framework::Endpoint endpoint, const ClientOptions& options,
+        std::size_t maxConnections)
         : context_(context)
         , endpoint_(std::move(endpoint))
         , options_(options)
-        , most_(most)
+        , maxConnections_(maxConnections)
     {
     }
 
@@ -42,26 +43,26 @@
         closeStale(now);
         // The one used last has the most time left.
         if (reuse != Reuse::Never && !idle_.empty()
-            && now - idle_.back()->idleSince() <= longestIdle(*idle_.back(), reuse)) {
+            && now - idle_.back()->idleSince() <= maxIdleTime(*idle_.back(), reuse)) {
             auto connection = idle_.back();
             idle_.pop_back();
             return connection;
         }
-        if (open_ >= most_ && !idle_.empty()) {
+        if (open_ >= maxConnections_ && !idle_.empty()) {
             const auto oldest = idle_.front();
             oldest->abandon();
         }
-        return open_ < most_ ? add() : nullptr;
+        return open_ < maxConnections_ ? add() : nullptr;
     }
 
-    void setMost(std::size_t most) { most_ = most; }
+    void setMaxConnections(std::size_t maxConnections) { maxConnections_ = maxConnections; }
     std::size_t open() const { return open_; }
 
     void closeStale(SteadyTime now)
     {
         const auto idle = idle_;
         for (const auto& connection : idle) {
-            if (now - connection->idleSince() > longestIdle(*connection, Reuse::Usual))
+            if (now - connection->idleSince() > maxIdleTime(*connection, Reuse::Normal))
                 connection->abandon();
         }
     }
@@ -97,14 +98,14 @@
     boost::asio::io_context& context_;
     framework::Endpoint endpoint_;
     ClientOptions options_;
-    std::size_t most_;
+    std::size_t maxConnections_;
     std::size_t open_ = 0;
     std::vector<std::shared_ptr<ClientConnection>> idle_;
 };
 
 ConnectionPool::ConnectionPool(boost::asio::io_context& context, const framework::Endpoint& endpoint,
-    const ClientOptions& options, std::size_t most)
-    : implementation_(std::make_shared<Implementation>(context, endpoint, options, most))
+    const ClientOptions& options, std::size_t maxConnections)
+    : implementation_(std::make_shared<Implementation>(context, endpoint, options, maxConnections))
 {
 }
 
@@ -115,7 +116,10 @@
     return implementation_->take(reuse, now);
 }
 
-void ConnectionPool::setMost(std::size_t most) { implementation_->setMost(most); }
+void ConnectionPool::setMaxConnections(std::size_t maxConnections)
+{
+    implementation_->setMaxConnections(maxConnections);
+}
 
 std::size_t ConnectionPool::open() const { return implementation_->open(); }
 
--- a/src/http/internal/exchangeserver.cpp
+++ b/src/http/internal/exchangeserver.cpp
@@ -19,7 +19,7 @@
 using framework::Milliseconds;
 
 /// When accepting fails, mostly since descriptors have run out: some connections will have ended by then.
-constexpr Milliseconds acceptAgainAfter { 50 };
+constexpr Milliseconds acceptRetryDelay { 50 };
 
 } // namespace
 
@@ -55,7 +55,7 @@
 
     void closeIdle()
     {
-        acceptWaiting();
+        acceptPending();
         boost::system::error_code ignored;
         acceptor_.close(ignored);
         const auto connections = connections_;
@@ -63,11 +63,11 @@
             connection->closeIfIdle();
     }
 
-    void refuseComing(const ResponseHead& head)
+    void refuseIncomplete(const ResponseHead& head)
     {
         const auto connections = connections_;
         for (const auto& [key, connection] : connections)
-            connection->refuseComing(head);
+            connection->refuseIncomplete(head);
     }
 
     void closeAll()
@@ -104,7 +104,7 @@
 
     /// Guards against requests that are reset with the listening socket while the event loop is behind: their callers
     /// have sent them to a server that still took requests.
-    void acceptWaiting()
+    void acceptPending()
     {
         if (!acceptor_.is_open())
             return;
@@ -120,7 +120,7 @@
 
     void acceptLater()
     {
-        acceptTimer_.expires_after(acceptAgainAfter);
+        acceptTimer_.expires_after(acceptRetryDelay);
         acceptTimer_.async_wait([self = shared_from_this()](const boost::system::error_code& error) {
             if (!error && self->acceptor_.is_open())
                 self->accept();
@@ -163,7 +163,7 @@
 
 void ExchangeServer::closeIdle() { implementation_->closeIdle(); }
 
-void ExchangeServer::refuseComing(const ResponseHead& head) { implementation_->refuseComing(head); }
+void ExchangeServer::refuseIncomplete(const ResponseHead& head) { implementation_->refuseIncomplete(head); }
 
 void ExchangeServer::closeAll() { implementation_->closeAll(); }
 
--- a/src/http/internal/listener.cpp
+++ b/src/http/internal/listener.cpp
@@ -13,7 +13,7 @@
 using framework::ErrorCode;
 using web::http::experimental::listener::http_listener;
 
-constexpr int portTries = 20;
+constexpr int maxPortAttempts = 20;
 
 framework::Result<unsigned short> freePort(const std::string& address)
 {
@@ -43,7 +43,7 @@
     const std::string address = text.substr(0, colon);
     const bool isAnyPort = text.substr(colon + 1) == "0";
     std::string detail;
-    for (int tries = 0; tries < (isAnyPort ? portTries : 1); ++tries) {
+    for (int attempt = 0; attempt < (isAnyPort ? maxPortAttempts : 1); ++attempt) {
         std::string bound = text;
         if (isAnyPort) {
             BOOST_OUTCOME_TRY(port, freePort(address));
--- a/src/http/internal/message.cpp
+++ b/src/http/internal/message.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-char lowered(char character)
+char toLower(char character)
 {
     return character >= 'A' && character <= 'Z' ? static_cast<char>(character - 'A' + 'a') : character;
 }
@@ -41,10 +41,10 @@
 
 } // namespace
 
-bool isSameIgnoringCase(std::string_view left, std::string_view right)
+bool equalsIgnoringCase(std::string_view left, std::string_view right)
 {
     return std::equal(left.begin(), left.end(), right.begin(), right.end(),
-        [](char one, char other) { return lowered(one) == lowered(other); });
+        [](char one, char other) { return toLower(one) == toLower(other); });
 }
 
 void Headers::add(std::string name, std::string value) { fields_.push_back({ std::move(name), std::move(value) }); }
@@ -57,13 +57,13 @@
 
 void Headers::remove(std::string_view name)
 {
-    std::erase_if(fields_, [name](const HeaderField& field) { return isSameIgnoringCase(field.name, name); });
+    std::erase_if(fields_, [name](const HeaderField& field) { return equalsIgnoringCase(field.name, name); });
 }
 
 std::optional<std::string_view> Headers::find(std::string_view name) const
 {
     for (const HeaderField& field : fields_) {
-        if (isSameIgnoringCase(field.name, name))
+        if (equalsIgnoringCase(field.name, name))
             return field.value;
     }
     return std::nullopt;
@@ -72,16 +72,16 @@
 std::size_t Headers::count(std::string_view name) const
 {
     return static_cast<std::size_t>(std::count_if(fields_.begin(), fields_.end(),
-        [name](const HeaderField& field) { return isSameIgnoringCase(field.name, name); }));
+        [name](const HeaderField& field) { return equalsIgnoringCase(field.name, name); }));
 }
 
 bool Headers::hasToken(std::string_view name, std::string_view token) const
 {
     for (const HeaderField& field : fields_) {
-        if (!isSameIgnoringCase(field.name, name))
+        if (!equalsIgnoringCase(field.name, name))
             continue;
         for (const std::string& listed : listTokens(field.value)) {
-            if (isSameIgnoringCase(listed, token))
+            if (equalsIgnoringCase(listed, token))
                 return true;
         }
     }
@@ -91,14 +91,14 @@
 bool isConnectionField(std::string_view name)
 {
     return std::any_of(connectionFields.begin(), connectionFields.end(),
-        [name](std::string_view listed) { return isSameIgnoringCase(listed, name); });
+        [name](std::string_view listed) { return equalsIgnoringCase(listed, name); });
 }
 
 void removeConnectionFields(Headers& headers)
 {
     std::vector<std::string> named;
     for (const HeaderField& field : headers.fields()) {
-        if (!isSameIgnoringCase(field.name, "Connection"))
+        if (!equalsIgnoringCase(field.name, "Connection"))
             continue;
         for (std::string& token : listTokens(field.value))
             named.push_back(std::move(token));
--- a/src/http/internal/socketoptions.cpp
+++ b/src/http/internal/socketoptions.cpp
@@ -8,13 +8,13 @@
 
 using boost::asio::ip::tcp;
 
-void setLivenessOptions(tcp::socket& socket, framework::Milliseconds silence)
+void setLivenessOptions(tcp::socket& socket, framework::Milliseconds unresponsiveTimeout)
 {
     boost::system::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
     socket.set_option(boost::asio::socket_base::keep_alive(true), ignored);
     const int handle = socket.native_handle();
-    const int milliseconds = static_cast<int>(silence.count());
+    const int milliseconds = static_cast<int>(unresponsiveTimeout.count());
     const int probeSeconds = 1;
     const int probes = std::max(1, milliseconds / 1000 - 1);
     // A kernel that knows none of these goes on without them: then only the caller's own deadlines hold.
--- a/src/http/internal/tcpclientconnection.cpp
+++ b/src/http/internal/tcpclientconnection.cpp
@@ -17,17 +17,17 @@
 namespace beast = boost::beast;
 using framework::Milliseconds;
 
-constexpr std::size_t readBytes = 16 * 1024;
+constexpr std::size_t readBufferBytes = 16 * 1024;
 /// Heads of servers are small; one beyond this isn't an answer.
-constexpr std::uint32_t headBytes = 64 * 1024;
+constexpr std::uint32_t maxHeadBytes = 64 * 1024;
 /// Bodies are passed on piece by piece, so their length needs no limit here. A number, since Beast 1.74 refuses every
 /// answer that has a length when the limit is switched off.
-constexpr std::uint64_t bodyBytes = 1ULL << 40;
+constexpr std::uint64_t maxBodyBytes = 1ULL << 40;
 /// Answers to earlier requests that are dropped before the connection is given up.
-constexpr unsigned mostDropped = 2;
+constexpr unsigned maxMismatchedAnswers = 2;
 
 /// Of `timeout=5, max=100`.
-std::optional<Milliseconds> keepAliveTimeout(const Headers& headers)
+std::optional<Milliseconds> parseKeepAliveTimeout(const Headers& headers)
 {
     const auto value = headers.find("Keep-Alive");
     const std::string_view key = "timeout=";
@@ -91,11 +91,11 @@
         framed.headers.add("Content-Length", std::to_string(request.body.size()));
     outgoing_ = { headText(framed), request.body };
     expectsNoBody_ = request.method == "HEAD";
-    hasSentAny_ = false;
+    mayHaveSentBytes_ = false;
     isSent_ = false;
     isPaused_ = false;
-    dropped_ = 0;
-    keptFor_.reset();
+    mismatchedAnswers_ = 0;
+    keepAliveTimeout_.reset();
     beginAnswer();
     if (isConnected_)
         write();
@@ -110,7 +110,7 @@
         boost::asio::post(context_, [self = self()] { self->fail(ClientStep::Connect, "not an address"); });
         return;
     }
-    connectTimer_.expires_after(options_.connectWithin);
+    connectTimer_.expires_after(options_.connectTimeout);
     connectTimer_.async_wait([self = self()](const boost::system::error_code& error) {
         if (!error && !self->isConnected_)
             self->fail(ClientStep::Connect, "no connection in time");
@@ -127,7 +127,7 @@
     if (error)
         return fail(ClientStep::Connect, error.message());
     isConnected_ = true;
-    setLivenessOptions(socket_, options_.silence);
+    setLivenessOptions(socket_, options_.unresponsiveTimeout);
     const auto sink = sink_;
     sink->willSend();
     if (isClosed_)
@@ -138,7 +138,7 @@
 
 void TcpClientConnection::write()
 {
-    hasSentAny_ = true;
+    mayHaveSentBytes_ = true;
     const std::array<boost::asio::const_buffer, 2> buffers { boost::asio::buffer(outgoing_[0]),
         boost::asio::buffer(outgoing_[1]) };
     boost::asio::async_write(socket_, buffers, [self = self()](const boost::system::error_code& error, std::size_t) {
@@ -157,7 +157,7 @@
         return;
     isReading_ = true;
     socket_.async_read_some(
-        buffer_.prepare(readBytes), [self = self()](const boost::system::error_code& error, std::size_t bytes) {
+        buffer_.prepare(readBufferBytes), [self = self()](const boost::system::error_code& error, std::size_t bytes) {
             self->isReading_ = false;
             self->didRead(error, bytes);
         });
@@ -181,11 +181,11 @@
 {
     parser_.emplace();
     parser_->eager(true);
-    parser_->header_limit(headBytes);
-    parser_->body_limit(bodyBytes);
+    parser_->header_limit(maxHeadBytes);
+    parser_->body_limit(maxBodyBytes);
     parser_->skip(expectsNoBody_);
     isHeadDelivered_ = false;
-    isTaken_ = false;
+    isAccepted_ = false;
 }
 
 void TcpClientConnection::parse()
@@ -217,15 +217,15 @@
     const ResponseHead head { header.result_int(), std::string(header.reason()), headersOf(header) };
     if (isInterim(head.status))
         return;
-    keptFor_ = keepAliveTimeout(head.headers);
+    keepAliveTimeout_ = parseKeepAliveTimeout(head.headers);
     const auto sink = sink_;
-    isTaken_ = sink->didReceiveHead(head);
+    isAccepted_ = sink->didReceiveHead(head);
 }
 
 void TcpClientConnection::deliverBody()
 {
     std::string piece = std::exchange(parser_->get().body(), {});
-    if (piece.empty() || !isTaken_)
+    if (piece.empty() || !isAccepted_)
         return;
     const auto sink = sink_;
     sink->didReceiveBody(piece);
@@ -233,26 +233,26 @@
 
 void TcpClientConnection::finishAnswer()
 {
-    if (isTaken_)
-        return finishTaken();
+    if (isAccepted_)
+        return finishAcceptedAnswer();
     if (isInterim(parser_->get().result_int()))
         return beginAnswer();
-    if (++dropped_ > mostDropped)
+    if (++mismatchedAnswers_ > maxMismatchedAnswers)
         return fail(ClientStep::AwaitHead, "answers to other requests");
     beginAnswer();
 }
 
-void TcpClientConnection::finishTaken()
+void TcpClientConnection::finishAcceptedAnswer()
 {
-    const bool canStay = parser_->get().keep_alive() && isSent_ && buffer_.size() == 0;
+    const bool canReuse = parser_->get().keep_alive() && isSent_ && buffer_.size() == 0;
     const auto sink = std::exchange(sink_, nullptr);
     parser_.reset();
-    if (canStay)
+    if (canReuse)
         idleSince_ = std::chrono::steady_clock::now();
     else
         close();
     sink->didFinish();
-    if (canStay && !isClosed_ && !sink_) {
+    if (canReuse && !isClosed_ && !sink_) {
         isPaused_ = false;
         read();
         observers_.didBecomeIdle(shared_from_this());
@@ -267,7 +267,7 @@
     // Only an orderly end can complete an answer that has neither length nor chunks; a reset never does.
     if (error == boost::asio::error::eof && isHeadDelivered_ && parser_->need_eof()) {
         parser_->put_eof(atEnd);
-        if (!atEnd && isTaken_) {
+        if (!atEnd && isAccepted_) {
             const auto sink = std::exchange(sink_, nullptr);
             close();
             return sink->didFinish();
@@ -283,7 +283,7 @@
     const auto sink = std::exchange(sink_, nullptr);
     close();
     if (sink)
-        sink->didFail(ClientFailure { step, hasSentAny_, std::move(detail) });
+        sink->didFail(ClientFailure { step, mayHaveSentBytes_, std::move(detail) });
 }
 
 void TcpClientConnection::abandon()
--- a/src/http/internal/tcpclientconnection.h
+++ b/src/http/internal/tcpclientconnection.h
@@ -20,7 +20,7 @@
     void pause() override { isPaused_ = true; }
     void resume() override;
     framework::SteadyTime idleSince() const override { return idleSince_; }
-    std::optional<framework::Milliseconds> keptFor() const override { return keptFor_; }
+    std::optional<framework::Milliseconds> keepAliveTimeout() const override { return keepAliveTimeout_; }
 
 private:
     using Parser = boost::beast::http::response_parser<boost::beast::http::string_body>;
@@ -37,7 +37,7 @@
     void deliverHead();
     void deliverBody();
     void finishAnswer();
-    void finishTaken();
+    void finishAcceptedAnswer();
     void didEnd(const boost::system::error_code&);
     void fail(ClientStep, std::string detail);
     void close();
@@ -52,18 +52,18 @@
     bool isClosed_ = false;
     bool isReading_ = false;
     bool isPaused_ = false;
-    bool hasSentAny_ = false;
+    bool mayHaveSentBytes_ = false;
     bool isSent_ = false;
     bool isHeadDelivered_ = false;
-    bool isTaken_ = false;
+    bool isAccepted_ = false;
     bool expectsNoBody_ = false;
-    unsigned dropped_ = 0;
+    unsigned mismatchedAnswers_ = 0;
     std::array<std::string, 2> outgoing_;
     boost::beast::flat_buffer buffer_;
     std::optional<Parser> parser_;
     std::shared_ptr<IAnswerSink> sink_;
     framework::SteadyTime idleSince_ {};
-    std::optional<framework::Milliseconds> keptFor_;
+    std::optional<framework::Milliseconds> keepAliveTimeout_;
 };
 
 } // namespace lagoon::http
--- a/src/http/testing/rawcaller.h
+++ b/src/http/testing/rawcaller.h
@@ -51,8 +51,8 @@
     /// Whether the other side ended the connection in a way that can't be taken for an answer's end.
     bool wasReset() const { return end_ == boost::asio::error::connection_reset; }
     const std::string& received() const { return received_; }
-    void forget() { received_.clear(); }
-    void hangUp() { socket_.close(); }
+    void clearReceived() { received_.clear(); }
+    void disconnect() { socket_.close(); }
 
 private:
     bool readSome()
--- a/src/http/tests/clientconnection_test.cpp
+++ b/src/http/tests/clientconnection_test.cpp
@@ -53,17 +53,17 @@
 };
 
 /// Keeps what becomes of a request. Takes answers whose `X-Id` is the wanted one, or that have none.
-class KeptAnswer final : public IAnswerSink {
+class RecordedAnswer final : public IAnswerSink {
 public:
-    explicit KeptAnswer(std::string wanted = {})
-        : wanted_(std::move(wanted))
+    explicit RecordedAnswer(std::string expectedId = {})
+        : expectedId_(std::move(expectedId))
     {
     }
 
     bool didReceiveHead(const ResponseHead& head) override
     {
         this->head = head;
-        return wanted_.empty() || head.headers.find("X-Id").value_or(wanted_) == wanted_;
+        return expectedId_.empty() || head.headers.find("X-Id").value_or(expectedId_) == expectedId_;
     }
     void willSend() override
     {
@@ -87,23 +87,23 @@
     std::function<void()> onWillSend;
 
 private:
-    std::string wanted_;
+    std::string expectedId_;
 };
 
-struct Fixture {
-    Fixture()
+struct ClientFixture {
+    ClientFixture()
         : pool(thread.context(), server.endpoint(), ClientOptions {}, 4)
         , client(thread, server.endpoint())
     {
     }
-    ~Fixture() { thread.stop(); }
+    ~ClientFixture() { thread.stop(); }
 
-    std::shared_ptr<KeptAnswer> send(const Request& request, const std::string& wanted = {})
+    std::shared_ptr<RecordedAnswer> send(const Request& request, const std::string& expectedId = {})
     {
-        auto answer = std::make_shared<KeptAnswer>(wanted);
+        auto answer = std::make_shared<RecordedAnswer>(expectedId);
         std::promise<void> sent;
         thread.post([&] {
-            pool.take(ConnectionPool::Reuse::Usual, std::chrono::steady_clock::now())->send(request, answer);
+            pool.take(ConnectionPool::Reuse::Normal, std::chrono::steady_clock::now())->send(request, answer);
             sent.set_value();
         });
         sent.get_future().wait();
@@ -144,22 +144,22 @@
     CallClient client;
 };
 
-const std::string kept = "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=30\r\nContent-Length: 2\r\n\r\nok";
+const std::string keepAliveResponse = "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=30\r\nContent-Length: 2\r\n\r\nok";
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(ClientConnections, Fixture)
+BOOST_FIXTURE_TEST_SUITE(ClientConnections, ClientFixture)
 
-BOOST_AUTO_TEST_CASE(aConnectionIsUsedAgain)
+BOOST_AUTO_TEST_CASE(aConnectionIsReused)
 {
     const auto first = send(post);
     server.accept();
     BOOST_TEST(server.request().find("Content-Length: 4") != std::string::npos);
-    server.send(kept);
+    server.send(keepAliveResponse);
     BOOST_TEST(first->wait());
     const auto second = send(post);
     (void)server.request();
-    server.send(kept);
+    server.send(keepAliveResponse);
     BOOST_TEST(second->wait());
     BOOST_TEST(second->body == "ok");
     BOOST_TEST(openConnections() == 1U);
@@ -187,7 +187,7 @@
     BOOST_TEST(!answer->wait());
 }
 
-BOOST_AUTO_TEST_CASE(anAnswerWithoutFramingIsWholeOnlyIfItsConnectionEndsInOrder)
+BOOST_AUTO_TEST_CASE(anAnswerWithoutFramingIsCompleteOnlyAfterAnOrderlyClose)
 {
     const auto whole = send(post);
     server.accept();
@@ -196,19 +196,19 @@
     server.close();
     BOOST_TEST(whole->wait());
     BOOST_TEST(whole->body == "all");
-    const auto cut = send(post);
+    const auto truncated = send(post);
     server.accept();
     (void)server.request();
     server.send("HTTP/1.1 200 OK\r\n\r\npart");
-    while (cut->body.empty())
+    while (truncated->body.empty())
         std::this_thread::yield();
     server.reset();
-    BOOST_TEST(!cut->wait());
+    BOOST_TEST(!truncated->wait());
 }
 
 // One caller got the answer to another one's request: a server had answered twice, and the second answer was taken for
 // that to the next request on the connection.
-BOOST_AUTO_TEST_CASE(aSecondAnswerIsNotTakenForTheNextOne)
+BOOST_AUTO_TEST_CASE(aDuplicateAnswerIsNotMatchedToTheNextRequest)
 {
     const auto first = send(post, "1");
     server.accept();
@@ -223,42 +223,42 @@
     BOOST_TEST(second->body == "two");
 }
 
-BOOST_AUTO_TEST_CASE(bytesBehindAnAnswerEndItsConnection)
+BOOST_AUTO_TEST_CASE(bytesAfterAnAnswerCloseItsConnection)
 {
     const auto first = send(post);
     server.accept();
     (void)server.request();
-    server.send(kept + "surplus");
+    server.send(keepAliveResponse + "surplus");
     BOOST_TEST(first->wait());
     const auto second = send(post);
     server.accept();
     (void)server.request();
-    server.send(kept);
+    server.send(keepAliveResponse);
     BOOST_TEST(second->wait());
 }
 
 // A server refused a long request before it had read it all, and kept the connection. The next request on it was read
 // as the rest of that body.
-BOOST_AUTO_TEST_CASE(anAnswerBeforeTheRequestHasLeftEndsItsConnection)
+BOOST_AUTO_TEST_CASE(anAnswerBeforeTheRequestWasSentClosesItsConnection)
 {
     const auto first = send(Request { "POST", "/long", {}, std::string(64 * 1024 * 1024, 'x') });
     server.accept();
     (void)server.request();
-    server.send(kept);
+    server.send(keepAliveResponse);
     BOOST_TEST(first->wait());
     const auto second = send(post);
     server.accept();
     BOOST_TEST(server.request().starts_with("POST /x"));
-    server.send(kept);
+    server.send(keepAliveResponse);
     BOOST_TEST(second->wait());
 }
 
-BOOST_AUTO_TEST_CASE(aServerThatClosesAnIdleConnectionIsConnectedToAnew)
+BOOST_AUTO_TEST_CASE(aClosedIdleConnectionIsReplaced)
 {
     const auto first = send(post);
     server.accept();
     (void)server.request();
-    server.send(kept);
+    server.send(keepAliveResponse);
     BOOST_TEST(first->wait());
     server.close();
     while (openConnections() > 0)
@@ -266,18 +266,18 @@
     const auto second = send(post);
     server.accept();
     (void)server.request();
-    server.send(kept);
+    server.send(keepAliveResponse);
     BOOST_TEST(second->wait());
 }
 
 // A hold was booked twice: the server had run the request and then closed the connection, and the client sent it again
 // by itself.
-BOOST_AUTO_TEST_CASE(aRequestIsSentOnce)
+BOOST_AUTO_TEST_CASE(aRequestIsNeverResent)
 {
     const auto first = send(post);
     server.accept();
     (void)server.request();
-    server.send(kept);
+    server.send(keepAliveResponse);
     BOOST_TEST(first->wait());
     const auto second = send(post);
     (void)server.request();
@@ -287,34 +287,34 @@
     BOOST_TEST(openConnections() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(aRefusedConnectionSurelyBroughtNothing)
+BOOST_AUTO_TEST_CASE(aRefusedConnectionReportsThatNothingArrived)
 {
-    const framework::Endpoint nobody = [] {
-        RawServer gone;
-        return gone.endpoint();
+    const framework::Endpoint closedEndpoint = [] {
+        RawServer closedServer;
+        return closedServer.endpoint();
     }();
-    ConnectionPool other(thread.context(), nobody, ClientOptions {}, 1);
-    auto answer = std::make_shared<KeptAnswer>();
+    ConnectionPool other(thread.context(), closedEndpoint, ClientOptions {}, 1);
+    auto answer = std::make_shared<RecordedAnswer>();
     thread.post(
-        [&] { other.take(ConnectionPool::Reuse::Usual, std::chrono::steady_clock::now())->send(post, answer); });
+        [&] { other.take(ConnectionPool::Reuse::Normal, std::chrono::steady_clock::now())->send(post, answer); });
     BOOST_TEST(!answer->wait());
     BOOST_TEST(!answer->failure.mayHaveArrived);
     BOOST_TEST(clientStepText(answer->failure.step) == "connect");
 }
 
-BOOST_AUTO_TEST_CASE(interimAnswersArePassedOver)
+BOOST_AUTO_TEST_CASE(interimResponsesAreSkipped)
 {
     const auto answer = send(post);
     server.accept();
     (void)server.request();
-    server.send("HTTP/1.1 100 Continue\r\n\r\n" + kept);
+    server.send("HTTP/1.1 100 Continue\r\n\r\n" + keepAliveResponse);
     BOOST_TEST(answer->wait());
     BOOST_TEST(answer->head.status == 200U);
 }
 
 // A router with a slow link was 19 seconds behind with its configuration. The store told it four large versions in one
 // answer, which took longer than a call may; each try was broken off, and the next one began at the first byte.
-BOOST_AUTO_TEST_CASE(aLargeAnswerThatGoesOnComingIsWaitedFor)
+BOOST_AUTO_TEST_CASE(aLargeAnswerThatMakesProgressIsNotTimedOut)
 {
     auto answered = call("/slow");
     server.send("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n");
@@ -327,7 +327,7 @@
     BOOST_TEST(answer.value().body == "abcde");
 }
 
-BOOST_AUTO_TEST_CASE(anAnswerThatStopsComingIsGivenUp)
+BOOST_AUTO_TEST_CASE(aStalledAnswerTimesOut)
 {
     auto answered = call("/stuck");
     server.send("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab");
@@ -337,31 +337,31 @@
 }
 
 // Guards against asking a server that is back over a connection that broke without a word: each such call is lost.
-BOOST_AUTO_TEST_CASE(afterAFailedCallNoIdleConnectionIsUsedAgain)
+BOOST_AUTO_TEST_CASE(noIdleConnectionIsReusedAfterAFailedCall)
 {
     const auto isAnswered = [](std::future<framework::Result<Response>>& answer) { return answer.get().has_value(); };
     auto first = call("/first");
-    server.send(kept);
+    server.send(keepAliveResponse);
     BOOST_TEST(isAnswered(first));
     auto lost = callWithoutAccept("/lost");
     server.request();
     const auto lostConnection = server.release();
     auto beside = call("/beside");
-    server.send(kept);
+    server.send(keepAliveResponse);
     BOOST_TEST(isAnswered(beside));
     BOOST_TEST(!isAnswered(lost));
     // Accepts another connection.
     auto next = call("/next");
-    server.send(kept);
+    server.send(keepAliveResponse);
     BOOST_TEST(isAnswered(next));
 }
 
 // Guards against sending a request that nobody waits for any more once its connection stands.
-BOOST_AUTO_TEST_CASE(aRequestThatIsAbandonedAsItsConnectionStandsIsNotSent)
+BOOST_AUTO_TEST_CASE(aRequestAbandonedOnConnectIsNotSent)
 {
-    const auto answer = std::make_shared<KeptAnswer>();
+    const auto answer = std::make_shared<RecordedAnswer>();
     thread.post([&] {
-        const auto connection = pool.take(ConnectionPool::Reuse::Usual, std::chrono::steady_clock::now());
+        const auto connection = pool.take(ConnectionPool::Reuse::Normal, std::chrono::steady_clock::now());
         answer->onWillSend = [connection] { connection->abandon(); };
         connection->send(post, answer);
     });
--- a/src/http/tests/exchangefixture.h
+++ b/src/http/tests/exchangefixture.h
@@ -34,11 +34,11 @@
         done.get_future().wait();
     }
 
-    /// Requests are answered with a stream whose first piece is "first"; `kept` is the last one's.
-    void beginStreams(std::shared_ptr<IExchange>& kept)
+    /// Requests are answered with a stream whose first piece is "first"; `lastExchange` is the last one's.
+    void beginStreams(std::shared_ptr<IExchange>& lastExchange)
     {
-        onRequest = [&kept](const std::shared_ptr<IExchange>& exchange) {
-            kept = exchange;
+        onRequest = [&lastExchange](const std::shared_ptr<IExchange>& exchange) {
+            lastExchange = exchange;
             exchange->beginAnswer(ok());
             exchange->sendPiece("first");
         };
--- a/src/http/tests/exchangeserver_test.cpp
+++ b/src/http/tests/exchangeserver_test.cpp
@@ -12,38 +12,38 @@
 std::string statusLine(const std::string& answer) { return answer.substr(0, answer.find("\r\n")); }
 
 /// A request that has been taken and isn't answered.
-struct KeptRequest {
-    explicit KeptRequest(ExchangeFixture& server)
+struct PendingRequest {
+    explicit PendingRequest(ExchangeFixture& server)
         : server(server)
         , caller(server.endpoint)
     {
         std::promise<void> taken;
         server.onRequest = [&](const std::shared_ptr<IExchange>& request) {
             exchange = request;
-            exchange->setGoneHandler([this] { gone.set_value(); });
+            exchange->setDisconnectHandler([this] { disconnected.set_value(); });
             taken.set_value();
         };
         caller.send(ExchangeFixture::get("/"));
         taken.get_future().wait();
     }
-    ~KeptRequest()
+    ~PendingRequest()
     {
         server.onThread([this] { exchange.reset(); });
     }
-    KeptRequest(const KeptRequest&) = delete;
-    KeptRequest& operator=(const KeptRequest&) = delete;
+    PendingRequest(const PendingRequest&) = delete;
+    PendingRequest& operator=(const PendingRequest&) = delete;
 
     ExchangeFixture& server;
     RawCaller caller;
     std::shared_ptr<IExchange> exchange;
-    std::promise<void> gone;
+    std::promise<void> disconnected;
 };
 
 } // namespace
 
 BOOST_FIXTURE_TEST_SUITE(ExchangeServers, ExchangeFixture)
 
-BOOST_AUTO_TEST_CASE(aConnectionServesOneRequestAfterTheOther)
+BOOST_AUTO_TEST_CASE(aConnectionServesSeveralRequests)
 {
     RawCaller caller(endpoint);
     caller.send(get("/one"));
@@ -55,7 +55,7 @@
     BOOST_TEST(caller.readUntil("GET /four "));
 }
 
-BOOST_AUTO_TEST_CASE(aBodyMayComeInParts)
+BOOST_AUTO_TEST_CASE(aBodyMayArriveInParts)
 {
     RawCaller caller(endpoint);
     caller.send("POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 6\r\n\r\nab");
@@ -63,7 +63,7 @@
     BOOST_TEST(caller.readUntil("POST /x abcdef"));
 }
 
-BOOST_AUTO_TEST_CASE(whatPassesALimitIsRefused)
+BOOST_AUTO_TEST_CASE(requestsAboveALimitAreRefused)
 {
     onThread([&] {
         ExchangeLimits limits;
@@ -82,7 +82,7 @@
     BOOST_TEST(statusLine(chunked.readToEnd()) == "HTTP/1.1 413 Payload Too Large");
 }
 
-BOOST_AUTO_TEST_CASE(headersThatComeTooSlowlyAreRefused)
+BOOST_AUTO_TEST_CASE(slowHeadersAreRefused)
 {
     onThread([&] {
         ExchangeLimits limits;
@@ -96,7 +96,7 @@
 
 // One member's request for a decision carried another one in its body: the server behind counted the length, the router
 // the chunks, and so a request that nobody had sent was run in the member's name.
-BOOST_AUTO_TEST_CASE(twoFramingsAreRefused)
+BOOST_AUTO_TEST_CASE(ambiguousFramingIsRefused)
 {
     for (const std::string framing :
         { "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n", "Content-Length: 4\r\nContent-Length: 5\r\n",
@@ -114,7 +114,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aCallerThatIsStillSendingSeesItsRefusal)
+BOOST_AUTO_TEST_CASE(aCallerThatIsStillSendingReceivesItsRefusal)
 {
     onThread([&] {
         ExchangeLimits limits;
@@ -129,57 +129,57 @@
 
 // A hostmaster closed the page, and the review went on for its whole ten seconds at a model that others waited for: the
 // caller's end of the connection was only looked at when there was something to write.
-BOOST_AUTO_TEST_CASE(aCallerThatLeavesIsNoticedWhileItsRequestIsWorkedOn)
+BOOST_AUTO_TEST_CASE(aDisconnectIsNoticedWhileTheRequestIsHandled)
 {
-    KeptRequest kept(*this);
-    kept.caller.hangUp();
-    kept.gone.get_future().wait();
+    PendingRequest pending(*this);
+    pending.caller.disconnect();
+    pending.disconnected.get_future().wait();
 }
 
 // Guards against passing on a request whose caller left while the event loop was behind.
-BOOST_AUTO_TEST_CASE(aCallerThatLeftIsNoticedBeforeTheEventLoopComesToIt)
+BOOST_AUTO_TEST_CASE(aDisconnectIsNoticedBeforeTheEventLoopHandlesIt)
 {
-    std::promise<bool> hasLeft;
+    std::promise<bool> hasDisconnected;
     onRequest = [&](const std::shared_ptr<IExchange>& exchange) {
-        hasLeft.set_value(exchange->hasCallerLeft());
+        hasDisconnected.set_value(exchange->hasCallerDisconnected());
         exchange->answer(ok(), {});
     };
     onThread([&] {
         RawCaller caller(endpoint);
         BOOST_TEST(caller.send(get("/left")));
-        caller.hangUp();
+        caller.disconnect();
     });
-    BOOST_TEST(hasLeft.get_future().get());
+    BOOST_TEST(hasDisconnected.get_future().get());
 }
 
-BOOST_AUTO_TEST_CASE(aCallerThatWaitsHasNotLeft)
+BOOST_AUTO_TEST_CASE(aWaitingCallerHasNotDisconnected)
 {
-    std::promise<bool> hasLeft;
+    std::promise<bool> hasDisconnected;
     onRequest = [&](const std::shared_ptr<IExchange>& exchange) {
-        hasLeft.set_value(exchange->hasCallerLeft());
+        hasDisconnected.set_value(exchange->hasCallerDisconnected());
         exchange->answer(ok(), {});
     };
     RawCaller caller(endpoint);
     BOOST_TEST(caller.send(get("/waits")));
-    BOOST_TEST(!hasLeft.get_future().get());
+    BOOST_TEST(!hasDisconnected.get_future().get());
 }
 
-BOOST_AUTO_TEST_CASE(aStreamLeavesPieceByPieceAndEndsWithItsLastChunk)
+BOOST_AUTO_TEST_CASE(aStreamIsSentPieceByPieceAndEndsWithItsLastChunk)
 {
-    std::shared_ptr<IExchange> kept;
-    beginStreams(kept);
+    std::shared_ptr<IExchange> pending;
+    beginStreams(pending);
     RawCaller caller(endpoint);
     caller.send(get("/"));
     BOOST_TEST(caller.readUntil("5\r\nfirst\r\n"));
     onThread([&] {
-        kept->sendPiece("second");
-        kept->endAnswer();
+        pending->sendPiece("second");
+        pending->endAnswer();
     });
     BOOST_TEST(caller.readUntil("6\r\nsecond\r\n0\r\n\r\n"));
 }
 
 // A review broke off when its server crashed, and its caller took the half for the whole.
-BOOST_AUTO_TEST_CASE(aStreamThatIsBrokenOffDoesNotLookWhole)
+BOOST_AUTO_TEST_CASE(aBrokenOffStreamDoesNotLookComplete)
 {
     onRequest = [&](const std::shared_ptr<IExchange>& exchange) {
         exchange->beginAnswer(ok());
@@ -195,7 +195,7 @@
 
 // A request's handler failed and let it go, and its caller found its connection closed: neither an answer nor a
 // refusal.
-BOOST_AUTO_TEST_CASE(anExchangeThatIsDroppedIsAnsweredAsFailed)
+BOOST_AUTO_TEST_CASE(aDroppedExchangeIsAnsweredWith500)
 {
     onRequest = [](const std::shared_ptr<IExchange>&) {};
     RawCaller caller(endpoint);
@@ -205,7 +205,7 @@
     BOOST_TEST(all.find("Content-Length: 0\r\n") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(anExchangeWhoseHandlerThrowsIsAnsweredAsFailed)
+BOOST_AUTO_TEST_CASE(anExchangeWhoseHandlerThrowsIsAnsweredWith500)
 {
     onRequest = [](const std::shared_ptr<IExchange>&) { throw std::runtime_error("handler"); };
     RawCaller caller(endpoint);
@@ -217,7 +217,7 @@
     BOOST_TEST(next.readUntil("next"));
 }
 
-BOOST_AUTO_TEST_CASE(anExchangeThatIsDroppedInItsAnswerBreaksItsConnectionOff)
+BOOST_AUTO_TEST_CASE(anExchangeDroppedDuringItsAnswerClosesItsConnection)
 {
     onRequest = [](const std::shared_ptr<IExchange>& exchange) {
         exchange->beginAnswer(ok());
@@ -230,7 +230,7 @@
     BOOST_TEST(all.find("0\r\n\r\n") == std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(whileDrainingAnswersEndTheirConnections)
+BOOST_AUTO_TEST_CASE(answersCloseTheirConnectionsWhileDraining)
 {
     onThread([&] { server.beginDraining(); });
     RawCaller caller(endpoint);
@@ -242,27 +242,27 @@
 
 // A router that was being stopped finished a stream on a kept connection and took the next request on it, four seconds
 // into its end; that one was cut when the time was up.
-BOOST_AUTO_TEST_CASE(aStreamThatBeganBeforeDrainingEndsItsConnectionToo)
+BOOST_AUTO_TEST_CASE(aStreamStartedBeforeDrainingClosesItsConnection)
 {
-    std::shared_ptr<IExchange> kept;
-    beginStreams(kept);
+    std::shared_ptr<IExchange> pending;
+    beginStreams(pending);
     RawCaller caller(endpoint);
     caller.send(get("/"));
     BOOST_TEST(caller.readUntil("first"));
     onThread([&] {
         server.beginDraining();
         server.closeIdle();
-        kept->endAnswer();
+        pending->endAnswer();
     });
     BOOST_TEST(caller.readToEnd().ends_with("0\r\n\r\n"));
 }
 
 // A caller sent its next request as soon as the answer before had come, and a router that was being stopped had read
 // it when it closed the connection: the request was neither answered nor free to be sent elsewhere.
-BOOST_AUTO_TEST_CASE(aRequestThatWasReadIsAnsweredBeforeItsConnectionEnds)
+BOOST_AUTO_TEST_CASE(aReceivedRequestIsAnsweredBeforeItsConnectionCloses)
 {
-    std::shared_ptr<IExchange> kept;
-    beginStreams(kept);
+    std::shared_ptr<IExchange> pending;
+    beginStreams(pending);
     RawCaller caller(endpoint);
     caller.send(get("/") + get("/next"));
     BOOST_TEST(caller.readUntil("first"));
@@ -271,7 +271,7 @@
         server.closeIdle();
         onRequest
             = [](const std::shared_ptr<IExchange>& exchange) { exchange->answer(ok(), exchange->request().target); };
-        kept->endAnswer();
+        pending->endAnswer();
         server.closeIdle();
     });
     const std::string all = caller.readToEnd();
@@ -281,18 +281,18 @@
 }
 
 // At the end nothing is read any more, and whoever worked on a request hears that its caller can't be reached.
-BOOST_AUTO_TEST_CASE(closingAllEndsTheBusyOnesToo)
+BOOST_AUTO_TEST_CASE(closeAllAlsoClosesBusyConnections)
 {
-    KeptRequest kept(*this);
+    PendingRequest pending(*this);
     onThread([&] { server.closeAll(); });
-    kept.gone.get_future().wait();
-    BOOST_TEST(kept.caller.readToEnd().empty());
+    pending.disconnected.get_future().wait();
+    BOOST_TEST(pending.caller.readToEnd().empty());
     onThread([&] { BOOST_TEST(server.connections() == 0u); });
 }
 
 // A member read a long report over a slow line. The router had handed all of it to the connection, counted it as idle
 // from then on, and closed it when the time for idle ones was up: the report ended in the middle.
-BOOST_AUTO_TEST_CASE(anAnswerThatStillLeavesIsNotIdle)
+BOOST_AUTO_TEST_CASE(aConnectionWithUnsentBytesIsNotIdle)
 {
     const std::string report(32 * 1024 * 1024, 'x');
     onRequest = [&](const std::shared_ptr<IExchange>& exchange) { exchange->answer(ok(), report); };
@@ -315,44 +315,44 @@
 
 // An old client without chunks had read the first half of its stream when the router's time was up. The connection
 // ended in the ordinary way, which for it is the mark of a whole answer.
-BOOST_AUTO_TEST_CASE(aStreamWithoutChunksThatIsCutAtTheEndDoesNotLookWhole)
+BOOST_AUTO_TEST_CASE(aTruncatedStreamWithoutChunksDoesNotLookComplete)
 {
-    std::shared_ptr<IExchange> kept;
-    beginStreams(kept);
+    std::shared_ptr<IExchange> pending;
+    beginStreams(pending);
     RawCaller caller(endpoint);
     caller.send("GET / HTTP/1.0\r\n\r\n");
     BOOST_TEST(caller.readUntil("first"));
     onThread([&] { server.closeAll(); });
     caller.readToEnd();
     BOOST_TEST(caller.wasReset());
-    onThread([&] { kept.reset(); });
+    onThread([&] { pending.reset(); });
 }
 
 // A router with little processor time was about to close what was idle, and a member's next request had come whole but
 // hadn't been looked at yet. It was closed over.
-BOOST_AUTO_TEST_CASE(aConnectionWithARequestThatWaitsToBeReadIsNotIdle)
+BOOST_AUTO_TEST_CASE(aConnectionWithAnUnreadRequestIsNotIdle)
 {
     RawCaller caller(endpoint);
     caller.send(get("/one"));
     BOOST_TEST(caller.readUntil("GET /one "));
-    std::promise<void> isHeld;
-    std::promise<void> goOn;
+    std::promise<void> isBlocked;
+    std::promise<void> unblock;
     thread.post([&] {
-        isHeld.set_value();
-        goOn.get_future().wait();
+        isBlocked.set_value();
+        unblock.get_future().wait();
     });
-    isHeld.get_future().wait();
+    isBlocked.get_future().wait();
     thread.post([&] {
         server.beginDraining();
         server.closeIdle();
     });
     caller.send(get("/two"));
-    goOn.set_value();
+    unblock.set_value();
     BOOST_TEST(caller.readToEnd().find("GET /two ") != std::string::npos);
 }
 
 // Guards against a request that is lost in the listening socket's queue when a busy process stops accepting.
-BOOST_AUTO_TEST_CASE(aRequestThatWaitsToBeAcceptedIsAnswered)
+BOOST_AUTO_TEST_CASE(aRequestInTheAcceptQueueIsAnswered)
 {
     std::optional<RawCaller> caller;
     onThread([&] {
@@ -365,7 +365,7 @@
 }
 
 // A router was to end as soon as nothing was under way, and went while callers had yet to receive what it had answered.
-BOOST_AUTO_TEST_CASE(aConnectionIsBusyUntilItsAnswerHasLeft)
+BOOST_AUTO_TEST_CASE(aConnectionIsBusyUntilItsAnswerIsSent)
 {
     const std::string report(32 * 1024 * 1024, 'x');
     onRequest = [&](const std::shared_ptr<IExchange>& exchange) { exchange->answer(ok(), report); };
@@ -377,12 +377,12 @@
     BOOST_TEST(staying.readUntil(report));
 }
 
-BOOST_AUTO_TEST_CASE(idleConnectionsAreClosedAndBusyOnesFinish)
+BOOST_AUTO_TEST_CASE(closeIdleLetsBusyConnectionsFinish)
 {
     std::promise<void> taken;
-    std::shared_ptr<IExchange> kept;
+    std::shared_ptr<IExchange> pending;
     onRequest = [&](const std::shared_ptr<IExchange>& exchange) {
-        kept = exchange;
+        pending = exchange;
         taken.set_value();
     };
     RawCaller idle(endpoint);
@@ -394,7 +394,7 @@
         server.closeIdle();
     });
     BOOST_TEST(idle.readToEnd().empty());
-    onThread([&] { kept->answer(ok(), "done"); });
+    onThread([&] { pending->answer(ok(), "done"); });
     BOOST_TEST(busy.readToEnd().find("done") != std::string::npos);
 }
 
--- a/src/http/tests/fuzz_test.cpp
+++ b/src/http/tests/fuzz_test.cpp
@@ -14,7 +14,7 @@
     = "POST /x?y=1 HTTP/1.1\r\nHost: a\r\nX-Request-Attempt: 1\r\nTransfer-Encoding: chunked\r\n"
       "\r\n3\r\nabc\r\n5;ext=1\r\nfghij\r\n0\r\nTrailer: x\r\n\r\n";
 
-std::string damaged(std::mt19937& random)
+std::string corruptedRequest(std::mt19937& random)
 {
     std::string text = requestText;
     const std::size_t changes = 1 + random() % 4;
@@ -33,7 +33,7 @@
 } // namespace
 
 // Whatever a caller sends, the server answers or closes, and serves the next caller.
-BOOST_FIXTURE_TEST_CASE(damagedRequestsDontStopTheServer, ExchangeFixture)
+BOOST_FIXTURE_TEST_CASE(corruptedRequestsDoNotStopTheServer, ExchangeFixture)
 {
     std::mt19937 random(20261202);
     onThread([&] {
@@ -44,8 +44,8 @@
     });
     for (int index = 0; index < 600; ++index) {
         RawCaller caller(endpoint);
-        caller.send(damaged(random) + "GET /next HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
-        caller.hangUp();
+        caller.send(corruptedRequest(random) + "GET /next HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+        caller.disconnect();
     }
     RawCaller caller(endpoint);
     caller.send(get("/sound"));
--- a/src/http/types/message.h
+++ b/src/http/types/message.h
@@ -33,7 +33,7 @@
 };
 
 /// Whether two texts are equal but for the case of ASCII letters.
-bool isSameIgnoringCase(std::string_view left, std::string_view right);
+bool equalsIgnoringCase(std::string_view left, std::string_view right);
 
 struct Request {
     std::string method;
--- a/src/router/internal/router.cpp
+++ b/src/router/internal/router.cpp
@@ -304,7 +304,7 @@
         std::this_thread::sleep_until(end.noticedBy.at());
     const bool isIdle = callerServer_.waitUntilIdle(end.exitBy);
     // Some of these bodies never come, so they aren't waited for as long as the grace period lasts.
-    callerServer_.waitUntilAllLeft(std::min(end.exitBy, Deadline::after(clock_.now(), bodyPatience)));
+    callerServer_.waitUntilAllSent(std::min(end.exitBy, Deadline::after(clock_.now(), bodyPatience)));
     keys_.waitUntilSettled(end.exitBy);
     if (isIdle)
         framework::logInfo("router", "drained");
--- a/src/wire/internal/message.cpp
+++ b/src/wire/internal/message.cpp
@@ -10,8 +10,8 @@
 using framework::Error;
 using framework::ErrorCode;
 
-constexpr unsigned maximumDepth = 8;
-constexpr unsigned maximumTables = 100000;
+constexpr unsigned maxDepth = 8;
+constexpr unsigned maxTables = 100000;
 
 Error badFrame(std::string detail) { return Error { ErrorCode::BadFrame, "decode frame", "", std::move(detail) }; }
 
@@ -22,12 +22,12 @@
 
 template <typename Table> bool hasId(const Table* table) { return table && table->id; }
 
-template <typename Table> bool areSet(const std::vector<std::unique_ptr<Table>>& tables)
+template <typename Table> bool areNonNull(const std::vector<std::unique_ptr<Table>>& tables)
 {
     return std::all_of(tables.begin(), tables.end(), [](const auto& table) { return table != nullptr; });
 }
 
-bool hasAllParts(const fb::EngineStateT& state) { return areSet(state.held) && areSet(state.expected); }
+bool hasAllParts(const fb::EngineStateT& state) { return areNonNull(state.held) && areNonNull(state.expected); }
 
 /// Handlers dereference ids and targets without asking, so a frame that lacks them ends here.
 bool isComplete(const fb::BodyUnion& body)
@@ -63,7 +63,7 @@
     case fb::Body::EngineState:
         return hasAllParts(*body.AsEngineState());
     case fb::Body::Wanted:
-        return areSet(body.AsWanted()->models);
+        return areNonNull(body.AsWanted()->models);
     case fb::Body::Hello:
     case fb::Body::HelloAck:
     case fb::Body::Ping:
@@ -94,7 +94,7 @@
 
 framework::Result<Message> decode(const std::uint8_t* bytes, std::size_t size)
 {
-    flatbuffers::Verifier verifier(bytes, size, maximumDepth, maximumTables);
+    flatbuffers::Verifier verifier(bytes, size, maxDepth, maxTables);
     if (!fb::VerifyFrameBuffer(verifier))
         return badFrame("not a well-formed FlatBuffer");
     Message message;
--- a/src/wire/internal/tcplink.cpp
+++ b/src/wire/internal/tcplink.cpp
@@ -33,7 +33,7 @@
 
 void TcpLink::startConnecting(const boost::asio::ip::tcp::endpoint& endpoint)
 {
-    connectTimer_.expires_after(settings_.connectWithin);
+    connectTimer_.expires_after(settings_.connectTimeout);
     connectTimer_.async_wait([self = shared_from_this()](const boost::system::error_code& error) {
         if (!error && !self->isConnected_)
             self->fail(Error { ErrorCode::LinkLost, "connect", self->peer_.value(), "no answer in time" });
@@ -60,7 +60,7 @@
             return;
         self->queuedBytes_ += bytes.size();
         self->queue_.push_back(std::move(bytes));
-        if (self->queuedBytes_ > self->settings_.queuedBytes) {
+        if (self->queuedBytes_ > self->settings_.maxQueuedBytes) {
             self->metrics_->count("lagoon_links_closed_total", { { "reason", "slow_peer" } });
             self->fail(Error { ErrorCode::LinkLost, "send", self->peer_.value(), "the peer reads too slowly" });
             return;
@@ -85,7 +85,7 @@
             std::size_t length = 0;
             for (std::size_t index = 0; index < self->lengthBytes_.size(); ++index)
                 length |= static_cast<std::size_t>(self->lengthBytes_[index]) << (8 * index);
-            if (length == 0 || length > self->settings_.frameBytes) {
+            if (length == 0 || length > self->settings_.maxFrameBytes) {
                 self->metrics_->count("lagoon_bad_frames_total", { { "reason", "length" } });
                 return self->fail(Error { ErrorCode::BadFrame, "read", self->peer_.value(),
                     "frame of " + std::to_string(length) + " bytes" });
--- a/src/wire/internal/tcplinktransport.cpp
+++ b/src/wire/internal/tcplinktransport.cpp
@@ -92,12 +92,12 @@
             if (error)
                 framework::logWarning("wire", "accept: " + error.message());
             else
-                adopt(strand, std::move(socket));
+                addAcceptedLink(strand, std::move(socket));
             accept();
         });
     }
 
-    void adopt(const TcpLink::Strand& strand, tcp::socket socket)
+    void addAcceptedLink(const TcpLink::Strand& strand, tcp::socket socket)
     {
         boost::system::error_code error;
         const tcp::endpoint remote = socket.remote_endpoint(error);
--- a/src/wire/linktransport.h
+++ b/src/wire/linktransport.h
@@ -12,10 +12,10 @@
 struct LinkSettings {
     std::size_t threads = 2;
     /// A longer frame closes the link.
-    std::size_t frameBytes = 8 * 1024 * 1024;
+    std::size_t maxFrameBytes = 8 * 1024 * 1024;
     /// More waiting to be sent than this closes the link.
-    std::size_t queuedBytes = 64 * 1024 * 1024;
-    framework::Milliseconds connectWithin { 1000 };
+    std::size_t maxQueuedBytes = 64 * 1024 * 1024;
+    framework::Milliseconds connectTimeout { 1000 };
 };
 
 /// Links over TCP by Boost.Asio, with threads of their own.
--- a/src/wire/tests/link_test.cpp
+++ b/src/wire/tests/link_test.cpp
@@ -20,7 +20,7 @@
 }
 
 /// Writes bytes to an endpoint as a stranger would.
-boost::asio::ip::tcp::socket rawConnection(boost::asio::io_context& context, const Endpoint& to)
+boost::asio::ip::tcp::socket connectRaw(boost::asio::io_context& context, const Endpoint& to)
 {
     boost::asio::ip::tcp::socket socket(context);
     const auto port = static_cast<unsigned short>(std::stoi(to.value().substr(to.value().rfind(':') + 1)));
@@ -32,7 +32,7 @@
 
 BOOST_AUTO_TEST_SUITE(Links)
 
-BOOST_AUTO_TEST_CASE(aPingIsAnswered)
+BOOST_AUTO_TEST_CASE(aPingReceivesAPong)
 {
     auto transport = makeTcpLinkTransport({}, std::make_shared<Metrics>());
     const auto endpoint = transport->listen(anyPort, handlers([](const std::shared_ptr<ILink>& link, Message received) {
@@ -52,7 +52,7 @@
     transport->stop();
 }
 
-BOOST_AUTO_TEST_CASE(aRefusedConnectionIsSaid)
+BOOST_AUTO_TEST_CASE(aRefusedConnectionIsReported)
 {
     auto transport = makeTcpLinkTransport({}, std::make_shared<Metrics>());
     std::promise<Error> closed;
@@ -67,7 +67,7 @@
 
 // A stranger, or a defect, sends a frame that claims 4 GB. The link must be closed at once without taking the memory,
 // be counted, and the process must go on serving others.
-BOOST_AUTO_TEST_CASE(aFrameThatIsTooLongClosesOnlyItsLink)
+BOOST_AUTO_TEST_CASE(anOversizedFrameClosesOnlyItsLink)
 {
     auto metrics = std::make_shared<Metrics>();
     auto transport = makeTcpLinkTransport({}, metrics);
@@ -76,9 +76,9 @@
         handlers([](const std::shared_ptr<ILink>&, Message) {},
             [&](const std::shared_ptr<ILink>&, const Error& error) { closed.set_value(error); }));
     boost::asio::io_context context;
-    auto stranger = rawConnection(context, endpoint.value());
+    auto rawPeer = connectRaw(context, endpoint.value());
     const std::array<std::uint8_t, 4> length { 0xff, 0xff, 0xff, 0xff };
-    boost::asio::write(stranger, boost::asio::buffer(length));
+    boost::asio::write(rawPeer, boost::asio::buffer(length));
     BOOST_CHECK(closed.get_future().get().code == ErrorCode::BadFrame);
     BOOST_TEST(metrics->text().find("lagoon_bad_frames_total{reason=\"length\"} 1") != std::string::npos);
     transport->stop();
--- a/src/wire/tests/message_test.cpp
+++ b/src/wire/tests/message_test.cpp
@@ -27,7 +27,7 @@
 
 BOOST_AUTO_TEST_SUITE(Messages)
 
-BOOST_AUTO_TEST_CASE(aMessageComesBackAsItWas)
+BOOST_AUTO_TEST_CASE(aMessageSurvivesEncodingAndDecoding)
 {
     const auto decoded = decodeAll(encode(dispatch()));
     BOOST_REQUIRE(decoded.has_value());
@@ -47,13 +47,13 @@
 
 // A damaged frame reaches a process: each byte in turn, or several at once, have other values, or the end is missing.
 // Decoding must give an error or a message, and never read outside the frame.
-BOOST_AUTO_TEST_CASE(damagedFramesNeverHarm)
+BOOST_AUTO_TEST_CASE(corruptedFramesAreDecodedSafely)
 {
-    const std::vector<std::uint8_t> whole = encode(dispatch());
+    const std::vector<std::uint8_t> encodedFrame = encode(dispatch());
     std::mt19937 random(20261202);
     std::size_t refused = 0;
     for (int round = 0; round < 20000; ++round) {
-        std::vector<std::uint8_t> bytes(whole.begin() + lengthPrefixBytes, whole.end());
+        std::vector<std::uint8_t> bytes(encodedFrame.begin() + lengthPrefixBytes, encodedFrame.end());
         for (unsigned change = 0; change <= random() % 4; ++change)
             bytes[random() % bytes.size()] = static_cast<std::uint8_t>(random());
         if (random() % 4 == 0)
--- a/tests/integration/direct_test.cpp
+++ b/tests/integration/direct_test.cpp
@@ -180,7 +180,7 @@
     RawCaller caller { lagoon::framework::Endpoint(fleet.callers()) };
     caller.send(CallerRequest { .target = "/model/1", .attempt = "a1", .model = "warm" }.text());
     BOOST_TEST(caller.readUntil("word1"));
-    caller.hangUp();
+    caller.disconnect();
     waitFor("the engine to drop the work", [this] { return engine1.cancelled() == 1; });
 }
 
--- a/tests/integration/routerend_test.cpp
+++ b/tests/integration/routerend_test.cpp
@@ -247,7 +247,7 @@
     BOOST_TEST(idle.readToEnd().empty());
     // It ended when balancers had noticed, not with the requests that were still under way.
     BOOST_TEST(fleet.router().output().find("this router ends") == std::string::npos);
-    busy.hangUp();
+    busy.disconnect();
     checkEnded();
 }
 
--- a/tests/integration/shutdowngrace_test.cpp
+++ b/tests/integration/shutdowngrace_test.cpp
@@ -168,7 +168,7 @@
             std::make_unique<RawCaller>(lagoon::framework::Endpoint(deployment.router("entry-1").callers())));
         kept->send(request);
         BOOST_TEST(kept->readUntil("\r\n0\r\n\r\n"));
-        kept->forget();
+        kept->clearReceived();
     }
     ChildProcess& router = *deployment.router("entry-1").process;
     router.sendSignal(SIGTERM);
