--- a/src/callers/callerserver.h
+++ b/src/callers/callerserver.h
@@ -13,12 +13,13 @@
 
 namespace lagoon::callers {
 
-/// Gives the bundle in force, null before the first. Called from any thread.
+/// Returns the bundle in force, or null before the first one. Called from any thread.
 using BundleSource = std::function<bundle::BundlePointer()>;
 
-/// The callers' HTTP API (docs/API.md): checks each request and hands it to the dispatcher, or refuses it at once.
+/// The callers' HTTP API (docs/API.md): validates each request and passes it to the dispatcher, or refuses it at once.
 ///
-/// Graceful shutdown, since cpprest's `close` cuts answers in flight: `refuseNew`, `waitUntilIdle`, `stop`.
+/// cpprest's `close` truncates answers in flight, so a graceful shutdown calls `refuseNew`, `waitUntilIdle` and `stop`
+/// in this order.
 class CallerServer {
 public:
     CallerServer(CallerLimits, IRequestDispatcher&, BundleSource, framework::Incarnation router,
@@ -27,19 +28,20 @@
     CallerServer(const CallerServer&) = delete;
     CallerServer& operator=(const CallerServer&) = delete;
 
-    /// Listens on the endpoint (port 0: any free one) and returns the one in use.
+    /// Listens on the endpoint and returns the one in use; port 0 selects any free port.
     framework::Result<framework::Endpoint> start(const framework::Endpoint&);
-    /// From here on each new request is refused as `shutting_down`, not run, and connections end with their answers.
+    /// Refuses all new requests as `shutting_down` and not run, and closes each connection after its answer.
     void refuseNew();
-    /// Returns once the reply of each request taken so far has left or failed. Call `refuseNew` first.
+    /// Blocks until the reply to each accepted request has been sent or has failed. Call `refuseNew` first.
     void waitUntilIdle();
-    /// As `waitUntilIdle`, but gives up at the deadline; whether it is idle.
+    /// Blocks until the server is idle, at most until the deadline. Returns whether it is idle.
     bool waitUntilIdle(framework::Deadline);
-    /// Besides, the refusals have left that wait for the rest of their requests' bodies; gives up at the deadline, as
-    /// some of these never come.
+    /// Blocks until the server is idle and has also sent the refusals that can only be sent after the rest of their
+    /// requests' bodies has arrived. Returns false if the deadline passes first, since some of these bodies never
+    /// arrive.
     bool waitUntilAllSent(framework::Deadline);
-    /// Closes the listener, which cuts what is still in flight; cpprest 2.10.18 seldom crashes the process then, so
-    /// wait until idle before. No request is dispatched after it returns.
+    /// Closes the listener, which truncates answers still in flight. Call `waitUntilIdle` first, since closing a busy
+    /// listener occasionally crashes the process with cpprest 2.10.18. No request is dispatched after this returns.
     void stop();
 
 private:
--- a/src/callers/icaller.h
+++ b/src/callers/icaller.h
@@ -12,12 +12,12 @@
 #include <utility>
 #include <vector>
 
-/// Between the callers' HTTP and the dispatch of requests.
+/// The interface between the callers' HTTP server and the dispatch of requests.
 namespace lagoon::callers {
 
 using HttpHeaders = std::vector<std::pair<std::string, std::string>>;
 
-/// What a request is for: a model, maybe with an adapter, or a plain service.
+/// What a request addresses: a model, optionally with an adapter, or a plain service.
 struct RequestTarget {
     framework::ModelName model;
     framework::AdapterName adapter;
@@ -27,12 +27,12 @@
     friend auto operator<=>(const RequestTarget&, const RequestTarget&) = default;
 };
 
-/// A caller's request, checked, with the bundle's defaults filled in.
+/// A validated request, with the bundle's defaults filled in.
 struct CallerRequest {
     framework::RequestName name;
     RequestTarget target;
     std::string method;
-    /// Path and query as the upstream gets them.
+    /// Path and query as sent to the upstream.
     std::string path;
     HttpHeaders headers;
     std::string body;
@@ -40,34 +40,36 @@
     bool isRepeatable = false;
     std::uint8_t priority = 0;
     std::optional<std::string> idempotencyKey;
-    /// Hash of the prompt's beginning; 0 for none.
+    /// Hash of the beginning of the prompt; 0 if there is no prompt.
     std::uint64_t prefixHash = 0;
 };
 
-/// The one answer to a caller. Thread-safe. After the first of `refuse`, `finish` and `breakOff` nothing has an effect.
+/// The only answer to one request. Thread-safe. After the first call of `refuse`, `finish` or `breakOff`, further calls
+/// have no effect.
 class ICallerAnswer {
 public:
     virtual ~ICallerAnswer() = default;
-    /// Status, headers, and which attempt this is (from 1; 0 is said to nobody).
+    /// Starts the answer. Attempts count from 1; 0 is not reported to the caller.
     virtual void begin(unsigned short status, const HttpHeaders&, std::uint32_t attempt) = 0;
     virtual void write(std::string bytes) = 0;
-    /// The answer is whole.
+    /// Completes the answer.
     virtual void finish() = 0;
-    /// It isn't and won't be: the caller sees its connection break, never a short answer that looks whole.
+    /// Ends an answer that cannot be completed: the caller sees its connection break, never a truncated answer that
+    /// looks complete.
     virtual void breakOff(const framework::Error&) = 0;
-    /// In place of `begin`: a JSON refusal, at once.
+    /// Sends a JSON refusal at once. Called instead of `begin`.
     virtual void refuse(const framework::Error&, std::uint32_t attempt) = 0;
-    /// Called once, from any thread, if the caller hangs up before the answer is whole, or reads it too slowly. A
-    /// caller that hangs up before `begin` is noticed only with the first bytes (docs/API.md): until then the deadline
-    /// bounds what is done for nobody.
+    /// Sets a handler that is called once, from any thread, if the caller disconnects before the answer is complete or
+    /// reads it too slowly. A disconnect before `begin` is detected only when the first bytes are sent (docs/API.md);
+    /// until then, the deadline bounds the work that is done for the disconnected caller.
     virtual void onCallerGone(std::function<void()>) = 0;
 };
 
-/// Takes each request over and sees to its one final answer before its deadline.
+/// Executes requests, and completes or refuses the answer to each before its deadline.
 class IRequestDispatcher {
 public:
     virtual ~IRequestDispatcher() = default;
-    /// From any thread; returns at once.
+    /// Called from any thread; does not block.
     virtual void accept(CallerRequest, std::shared_ptr<ICallerAnswer>) = 0;
 };
 
--- a/src/callers/internal/bodybudget.h
+++ b/src/callers/internal/bodybudget.h
@@ -6,7 +6,7 @@
 
 namespace lagoon::callers {
 
-/// Bounds the bytes of all request bodies that are held at once. Thread-safe.
+/// Limits the total size of all request bodies held in memory. Thread-safe.
 class BodyBudget {
 public:
     explicit BodyBudget(std::size_t maxBytes)
@@ -14,7 +14,7 @@
     {
     }
 
-    /// False, and nothing is taken, if there isn't as much left.
+    /// Returns false, and acquires nothing, if fewer bytes are left.
     bool acquire(std::size_t bytes)
     {
         std::size_t used = used_.load();
@@ -31,7 +31,7 @@
     std::atomic<std::size_t> used_ = 0;
 };
 
-/// One request's part of the budget, given back with this object. Grown by one thread at a time.
+/// One request's share of the budget, released with this object. Only one thread may grow it at a time.
 class BodyReservation {
 public:
     explicit BodyReservation(std::shared_ptr<BodyBudget> budget)
--- a/src/callers/internal/bodyreader.cpp
+++ b/src/callers/internal/bodyreader.cpp
@@ -33,14 +33,15 @@
 
     void start()
     {
-        // Announced: refused before a byte of it is read.
+        // Refuses a body with a too large Content-Length before reading any of it.
         utility::size64_t announced = 0;
         const bool isAnnounced = request_.headers().match(web::http::header_names::content_length, announced);
         if (announced > limits_.bytes) {
             fail(tooLarge());
         }
         chunk_.resize(isAnnounced ? std::clamp<std::size_t>(announced, minChunkBytes, maxChunkBytes) : maxChunkBytes);
-        // A caller that announces a body and never sends it would hold its place for ever: cpprest waits without end.
+        // cpprest waits without a time limit, so a caller that announces a body and never sends it would occupy its
+        // slot forever.
         timer_.expires_at(limits_.deadline.at());
         timer_.async_wait([weak = weak_from_this()](const boost::system::error_code& error) {
             const auto self = weak.lock();
@@ -79,7 +80,8 @@
         received_ += size;
         if (!isDone_)
             appendChunk(size);
-        // What follows a refusal is read all the same, and dropped: unread, it would pile up in cpprest's buffer.
+        // The rest of a refused body is read and discarded too, since unread bytes would accumulate in cpprest's
+        // buffer.
         readChunk();
     }
 
--- a/src/callers/internal/calleranswer.cpp
+++ b/src/callers/internal/calleranswer.cpp
@@ -68,7 +68,7 @@
         const std::lock_guard lock(mutex_);
         if (phase_ != Phase::Streaming || bodylessResponse_ || bytes.empty())
             return;
-        // A caller that stops reading without hanging up would have its whole answer kept here.
+        // Limits the memory for a caller that stops reading without disconnecting.
         if (body_.in_avail() + bytes.size() > context_.backlogBytes) {
             onGone = std::move(onCallerGone_);
             breakOffLocked({ ErrorCode::CallerGone, "send answer", "", "the caller reads too slowly" }, "caller_slow");
@@ -169,7 +169,8 @@
         send(refusalResponse(error, context_.name, attempt_, std::nullopt));
         return;
     }
-    // A clean close would end the chunked body as if it were whole; with an exception the connection breaks.
+    // A normal close would end the chunked body as if it were complete; closing with an exception breaks the
+    // connection.
     body_.close(std::ios::out, std::make_exception_ptr(std::runtime_error(framework::describe(error))));
 }
 
--- a/src/callers/internal/calleranswer.h
+++ b/src/callers/internal/calleranswer.h
@@ -15,42 +15,42 @@
 /// Include in .cpp files only.
 namespace lagoon::callers {
 
-/// What the server hears of one answer, each once.
+/// Observes the progress of one answer. Each function is called at most once.
 class IAnswerObserver {
 public:
     virtual ~IAnswerObserver() = default;
-    /// The request doesn't wait any more: its answer began or it was refused.
+    /// The answer has started, or the request was refused.
     virtual void didEndWaiting() = 0;
-    /// The reply has left wholly or failed, or nobody waits for that; the last that happens.
+    /// The reply was sent completely or failed, or its sending is not waited for. This is the last event.
     virtual void didEndReply() = 0;
-    /// In place of `didEndReply`, for a refusal that leaves only with the rest of its request's body: its place is
-    /// free.
+    /// Called instead of `didEndReply` for a refusal that can only be sent after the rest of its request's body has
+    /// arrived. The request's slot is free from now on.
     virtual void didDeferReply() = 0;
-    /// Such a refusal has left or failed.
+    /// A deferred refusal was sent or failed.
     virtual void didEndDeferredReply() = 0;
 };
 
-/// What an answer is made of.
+/// Data of the request and the server that an answer uses.
 struct AnswerContext {
     framework::RequestName name;
     framework::SteadyTime receivedAt;
     std::size_t backlogBytes = 0;
-    /// Asked when the answer leaves: does its connection end with it?
+    /// Called when the answer is sent; returns whether its connection is closed afterwards.
     std::function<bool()> closesConnection;
-    /// Kept as long as the answer.
+    /// Held for the lifetime of the answer.
     std::shared_ptr<BodyReservation> body;
     std::shared_ptr<IAnswerObserver> observer;
     std::shared_ptr<framework::Metrics> metrics;
 };
 
-/// A cpprest reply as one answer with one outcome, counted once in `lagoon_answers_total{result}`. Lives until the
-/// reply has left or failed.
+/// An answer that is sent as a cpprest reply. Each answer has one outcome, which is counted once in
+/// `lagoon_answers_total{result}`. The object lives until the reply was sent or has failed.
 class CallerAnswer final : public ICallerAnswer, public std::enable_shared_from_this<CallerAnswer> {
 public:
     CallerAnswer(web::http::http_request, AnswerContext);
 
-    /// The answer for a dispatcher. Should it drop its last pointer without an outcome, which is a defect, the caller
-    /// is told at once that what happened is unknown, in place of waiting for nothing.
+    /// Returns the pointer for a dispatcher. If the dispatcher drops its last copy without an outcome, which is a
+    /// defect, the caller immediately receives an error with execution `unknown` and does not wait in vain.
     std::shared_ptr<ICallerAnswer> guarded();
 
     void begin(unsigned short status, const HttpHeaders&, std::uint32_t attempt) override;
@@ -60,15 +60,16 @@
     void refuse(const framework::Error&, std::uint32_t attempt) override;
     void onCallerGone(std::function<void()>) override;
 
-    /// `refuse` of a request that wasn't dispatched, with another HTTP status than the code's own.
+    /// Refuses a request that was not dispatched, with another HTTP status than the default of its error code.
     void refuseAs(unsigned short status, const framework::Error&);
-    /// The request's body isn't wanted any more: the connection ends with the answer, which leaves only
-    /// after the body (see `discardBody`). So its place is free as soon as it is refused; else callers that announce a
-    /// body and never send it would take all places, and a graceful shutdown would wait for them without end.
+    /// Marks the request's body as discarded: the connection is closed after the answer, which is sent only after the
+    /// whole body has arrived (see `discardBody`). The request's slot is therefore freed as soon as it is refused.
+    /// Otherwise callers that announce a body and never send it would occupy all slots, and a graceful shutdown would
+    /// never finish.
     void abandonConnection();
 
 private:
-    /// Waiting -> Streaming -> Settled, or Waiting -> Settled.
+    /// Transitions: Waiting -> Streaming -> Settled, or Waiting -> Settled.
     enum class Phase : std::uint8_t { Waiting, Streaming, Settled };
 
     void failDropped();
@@ -88,7 +89,7 @@
     std::function<void()> onCallerGone_;
     std::uint32_t attempt_ = 0;
     concurrency::streams::producer_consumer_buffer<std::uint8_t> body_;
-    /// An answer without a body (to HEAD, or by its status) leaves only once it is known to be whole.
+    /// An answer without a body, due to HEAD or its status, is sent only when it is known to be complete.
     std::optional<web::http::http_response> bodylessResponse_;
 };
 
--- a/src/callers/internal/callerserver.cpp
+++ b/src/callers/internal/callerserver.cpp
@@ -22,21 +22,22 @@
 
 namespace {
 
-/// When to come back after a refusal that says nothing about the system's load: another router may serve at once.
+/// `Retry-After` of refusals that do not depend on the system's load: another router may be able to serve at once.
 constexpr framework::Milliseconds retryDelay { 1000 };
 
-/// How long the body of a refused request is waited for, so that the caller reads its refusal in place of a reset.
+/// How long the body of a refused request is read, so that the caller receives its refusal instead of a reset.
 constexpr framework::Milliseconds bodyDrainTimeout { 2000 };
-/// How long `stop` waits for replies that are leaving.
+/// How long `stop` waits for replies that are being sent.
 constexpr framework::Milliseconds replyTimeout { 2000 };
+/// How long `stop` then lets connections return to waiting for their next request.
 constexpr framework::Milliseconds settlingDelay { 50 };
 
-/// One request on its way through the checks.
+/// A request that is being received and validated.
 struct IncomingRequest {
     http_request http;
     std::shared_ptr<CallerAnswer> answer;
-    /// Ends the answer if this is dropped before anyone did: cpprest, and the reading of the body, swallow whatever is
-    /// thrown on the way, and the request would wait, and count as in progress, for ever.
+    /// Completes the answer with an error if this object is destroyed before the answer has ended. cpprest and the body
+    /// reader swallow exceptions, so the request would otherwise wait, and count as in progress, forever.
     std::shared_ptr<ICallerAnswer> guard;
     std::shared_ptr<BodyReservation> body;
     framework::SteadyTime receivedAt;
@@ -45,7 +46,7 @@
     CallerRequest request;
 };
 
-/// `/services/<name>/<rest>?<query>`: the service and `/<rest>?<query>`.
+/// Splits `/services/<name>/<rest>?<query>` into the service's name and the path `/<rest>?<query>`.
 void splitServicePath(const std::string& path, const std::string& query, CallerRequest& request)
 {
     const std::string rest = path.substr(std::string(servicesPrefix).size());
@@ -97,10 +98,10 @@
         }
         if (!listener_)
             return;
-        // cpprest 2.10.18 closes its connections' sockets on this thread while its own threads may just begin to read
-        // or write there, and now and then crashes of it. Replies that are just leaving are waited for, and then a
-        // moment more, in which their connections settle into waiting for a next request. A process that ends anyway is
-        // safer without closing (routercommand.cpp).
+        // cpprest 2.10.18 closes the sockets of its connections on this thread while its own threads may start to read
+        // or write on them, which occasionally crashes the process. Therefore this waits for the replies that are being
+        // sent, and then `settlingDelay` more for their connections to return to waiting for a next request. A process
+        // that exits anyway is safer without closing (routercommand.cpp).
         occupancy_->waitUntilEmpty(Deadline::after(std::chrono::steady_clock::now(), replyTimeout));
         std::this_thread::sleep_for(settlingDelay);
         listener_->close().wait();
@@ -182,7 +183,7 @@
         context.name = incoming.request.name;
         context.receivedAt = incoming.receivedAt;
         context.backlogBytes = limits_.answerBacklogBytes;
-        // A caller's pool must not keep a connection to a router that leaves.
+        // A caller's connection pool must not keep a connection to a router that shuts down.
         context.closesConnection = [isRefusing = isRefusing_] { return isRefusing->load(); };
         context.body = incoming.body;
         context.observer = occupancy_;
@@ -207,7 +208,8 @@
             });
     }
 
-    /// Dispatcher and bundle source may be gone after `stop`, while a body still arrives.
+    /// Dispatches the request, or answers it directly. The dispatcher and the bundle source may no longer exist after
+    /// `stop`, while a body still arrives.
     void complete(IncomingRequest& incoming)
     {
         const std::shared_lock lock(dispatchMutex_);
--- a/src/callers/internal/callersettings.cpp
+++ b/src/callers/internal/callersettings.cpp
@@ -28,7 +28,7 @@
         = section.numberOr("answer_backlog_bytes", limits.answerBacklogBytes, 1024, 256 * mebibyte);
     limits.maxTimeout
         = framework::Milliseconds(section.numberOr("longest_timeout_ms", limits.maxTimeout.count(), 1, maxTimeoutMs));
-    // A part's unknown keys are its own to find.
+    // Reports unknown keys of this section; the error is kept in `settings`.
     (void)section.finish();
     return limits;
 }
--- a/src/callers/internal/headcheck.cpp
+++ b/src/callers/internal/headcheck.cpp
@@ -20,7 +20,7 @@
 constexpr unsigned short headersTooLarge = 431;
 constexpr const char* step = "check headers";
 
-/// Empty if any method will do.
+/// Returns an empty string if any method is allowed.
 std::string requiredMethod(RequestKind kind)
 {
     if (kind == RequestKind::Completion || kind == RequestKind::ChatCompletion)
@@ -34,9 +34,9 @@
         && std::all_of(text.begin(), text.end(), [](char digit) { return digit >= '0' && digit <= '9'; });
 }
 
-/// cpprest takes a Content-Length that it can't read for a body of 0 bytes, and one below 0 for a huge one: the request
-/// would run without its body, or wait for ever. Beside a Transfer-Encoding, a proxy before us may have counted by the
-/// other of the two.
+/// cpprest treats an unparsable Content-Length as 0 bytes and a negative one as a huge length, so the request would run
+/// without its body or wait forever. If there is a Transfer-Encoding too, a proxy in front of the router may have used
+/// the other of the two.
 bool isLengthAmbiguous(const web::http::http_headers& headers)
 {
     const auto length = headers.find(header_names::content_length);
@@ -98,7 +98,8 @@
         return EarlyRefusal { { ErrorCode::TooLarge, step, "",
                                   "the headers are larger than " + std::to_string(limits.headerBytes) + " bytes" },
             headersTooLarge, true };
-    // Answers are sent in chunks, which HTTP/1.0 doesn't know: it couldn't tell a whole answer from a cut one.
+    // Answers are sent in chunks. HTTP/1.0 does not support these, so its clients could not tell a complete answer from
+    // a truncated one.
     if (request.http_version() < web::http::http_versions::HTTP_1_1)
         return EarlyRefusal { { ErrorCode::BadRequest, step, "", "expected HTTP/1.1" },
             status_codes::HttpVersionNotSupported, true };
--- a/src/callers/internal/headcheck.h
+++ b/src/callers/internal/headcheck.h
@@ -11,25 +11,26 @@
 /// Include in .cpp files only.
 namespace lagoon::callers {
 
-/// What a request asks for, by its path.
+/// The kind of a request, determined by its path.
 enum class RequestKind : std::uint8_t { Completion, ChatCompletion, Service, Models, Other };
 
 inline constexpr const char* servicesPrefix = "/services/";
 
 RequestKind kindOf(const web::http::http_request&);
-/// For counters.
+/// The label value for metrics.
 std::string kindText(RequestKind);
 
-/// A refusal that is known before the body.
+/// A refusal that is decided before the body is read.
 struct EarlyRefusal {
     framework::Error error;
-    /// In place of the error code's own.
+    /// Replaces the default HTTP status of the error code.
     std::optional<unsigned short> status = std::nullopt;
-    /// What follows on this connection can't be trusted or isn't worth reading.
+    /// Whether the connection is closed because the bytes that follow cannot be interpreted reliably or need not be
+    /// read.
     bool endsConnection = false;
 };
 
-/// Checks all that can be known of a request before its body, but for the caller's statements.
+/// Validates the request's head, except for the options in its headers. Returns std::nullopt if it is valid.
 std::optional<EarlyRefusal> checkHead(const web::http::http_request&, RequestKind, const CallerLimits&);
 
 } // namespace lagoon::callers
--- a/src/callers/internal/occupancy.h
+++ b/src/callers/internal/occupancy.h
@@ -11,21 +11,22 @@
 /// Include in .cpp files only.
 namespace lagoon::callers {
 
-/// How many requests wait for their answer, and how many have an answer that hasn't left yet. Thread-safe.
+/// Counts the requests that wait for their answer, and those whose answer has not been sent completely. Thread-safe.
 class Occupancy final : public IAnswerObserver {
 public:
     Occupancy(const CallerLimits&, std::shared_ptr<framework::Metrics>);
 
-    /// Takes a request in; false if one of the limits is passed by it, and it has to be refused at once.
+    /// Counts a new request. Returns false if it exceeds one of the limits and has to be refused at once.
     bool enter();
     void didEndWaiting() override;
     void didEndReply() override;
     void didDeferReply() override;
     void didEndDeferredReply() override;
     void waitUntilEmpty();
-    /// Gives up at the deadline; whether it is empty.
+    /// Blocks until no request is in progress. Returns false if the deadline passes first.
     bool waitUntilEmpty(framework::Deadline);
-    /// The same, and the refusals that were put off have left as well.
+    /// Blocks until no request is in progress and all deferred refusals have been sent. Returns false if the deadline
+    /// passes first.
     bool waitUntilAllSent(framework::Deadline);
 
 private:
--- a/src/callers/internal/refusal.cpp
+++ b/src/callers/internal/refusal.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// 503 is what callers and balancers send again without being asked. The end of a process is refused with it only where
-/// the request surely didn't run.
+/// Callers and load balancers retry automatically after a 503. A request that is refused because its process shuts down
+/// therefore receives a 503 only if it is certain that it did not run.
 unsigned short statusFor(const Error& error)
 {
     const bool isProcessEnd = error.code == ErrorCode::ShuttingDown || error.code == ErrorCode::Draining;
--- a/src/callers/internal/refusal.h
+++ b/src/callers/internal/refusal.h
@@ -7,14 +7,14 @@
 #include <cstdint>
 #include <optional>
 
-/// Refusals as callers see them. Include in .cpp files only.
+/// HTTP responses for refused requests. Include in .cpp files only.
 namespace lagoon::callers {
 
-/// The HTTP status that fits an error; `UnknownModel` is 404 and so on.
+/// Maps an error code to its HTTP status, for example `UnknownModel` to 404.
 unsigned short statusOf(framework::ErrorCode);
 
-/// The whole refusal: status, JSON body and `Retry-After` in whole seconds, rounded up. An attempt of 0 says that
-/// nothing was dispatched.
+/// Builds the complete refusal: status, JSON body, and `Retry-After` in whole seconds, rounded up. An attempt of 0
+/// means that the request was not dispatched. `status` replaces the default status of the error.
 web::http::http_response refusalResponse(const framework::Error&, const framework::RequestName&, std::uint32_t attempt,
     std::optional<unsigned short> status);
 
--- a/src/callers/internal/requestheaders.cpp
+++ b/src/callers/internal/requestheaders.cpp
@@ -24,9 +24,9 @@
 constexpr std::uint64_t maxTimeoutMs = 1000ULL * 60 * 60 * 24 * 365;
 constexpr std::size_t maxIdempotencyKeyLength = 255;
 
-/// Answered by each hop for itself.
+/// Handled by each hop itself.
 constexpr std::string_view expectHeader = "Expect";
-/// Set by the agent; a caller's own would pretend to be another request.
+/// Set by the agent. A caller's own values could impersonate another request.
 constexpr std::array<std::string_view, 3> agentHeaders { "Host", "X-Request-Id", "X-Priority" };
 constexpr std::string_view internalHeaderPrefix = "X-Lagoon-";
 
@@ -41,7 +41,7 @@
     return { ErrorCode::BadRequest, "check headers", "", name + ": expected " + expected };
 }
 
-/// `unset` if the header isn't there.
+/// Returns std::nullopt if the header is absent.
 Result<std::optional<std::uint64_t>> readNumber(
     const web::http::http_headers& headers, const std::string& name, std::uint64_t min, std::uint64_t max)
 {
--- a/src/callers/internal/requestheaders.h
+++ b/src/callers/internal/requestheaders.h
@@ -10,7 +10,7 @@
 /// Include in .cpp files only.
 namespace lagoon::callers {
 
-/// What a caller states about its request; absent ones come from the bundle.
+/// Options that a caller sets in its request's headers. The bundle provides defaults for absent ones.
 struct RequestOptions {
     std::optional<framework::Milliseconds> timeout;
     std::optional<bool> isRepeatable;
@@ -18,15 +18,15 @@
     std::optional<std::string> idempotencyKey;
 };
 
-/// Reads `X-Lagoon-Timeout-Ms`, `X-Lagoon-Repeatable`, `X-Lagoon-Priority` and `Idempotency-Key`. A value that can't be
-/// read is refused: a caller that means "not repeatable" must not be served as if it had said nothing.
+/// Reads `X-Lagoon-Timeout-Ms`, `X-Lagoon-Repeatable`, `X-Lagoon-Priority` and `Idempotency-Key`. An invalid value is
+/// an error: a caller that means "not repeatable" must not be served with the default.
 framework::Result<RequestOptions> readRequestOptions(const web::http::http_headers&);
 
-/// False for what concerns one connection only, and for what each side sets itself.
+/// Returns false for headers that concern a single connection, and for those that each hop sets itself.
 bool isEndToEndHeader(const std::string& name);
-/// The headers that go on to the upstream.
+/// Returns the headers that are forwarded to the upstream.
 HttpHeaders upstreamHeaders(const web::http::http_headers&);
-/// Bytes of all names and values.
+/// Returns the total size of all names and values.
 std::size_t headerBytes(const web::http::http_headers&);
 
 } // namespace lagoon::callers
--- a/src/callers/internal/requesttarget.cpp
+++ b/src/callers/internal/requesttarget.cpp
@@ -44,7 +44,7 @@
     return prefix;
 }
 
-/// The router would read one of them and the engine maybe the other.
+/// A body with two "model" keys is refused, since the router and the engine could each use a different one.
 bool hasTwoModels(const web::json::object& body)
 {
     return std::count_if(body.begin(), body.end(), [](const auto& field) { return field.first == "model"; }) > 1;
--- a/src/callers/internal/requesttarget.h
+++ b/src/callers/internal/requesttarget.h
@@ -9,21 +9,22 @@
 
 namespace lagoon::callers {
 
-/// A completion's JSON as far as the router looks into it.
+/// The parts of a completion's JSON that the router uses.
 struct CompletionBody {
     framework::ModelName model;
     framework::AdapterName adapter;
-    /// FNV-1a of the prompt's first bytes, for prefix affinity; 0 for an empty prompt.
+    /// FNV-1a hash of the first bytes of the prompt, for prefix affinity; 0 if the prompt is empty.
     std::uint64_t prefixHash = 0;
 };
 
 /// Reads `"model": "<model>[/<adapter>]"` and the beginning of `prompt` or `messages`.
 framework::Result<CompletionBody> readCompletionBody(const std::string& body, std::size_t jsonDepth);
 
-/// What the bundle says for requests without statements of their own; an error if it doesn't serve the target.
+/// Returns the bundle's defaults for options that a request does not set, or an error if the bundle does not contain
+/// the target.
 framework::Result<bundle::RequestDefaults> findDefaults(const bundle::Bundle&, const RequestTarget&);
 
-/// The answer to `GET /v1/models`.
+/// Returns the JSON answer to `GET /v1/models`.
 std::string modelList(const bundle::Bundle&);
 
 } // namespace lagoon::callers
--- a/src/callers/tests/badinput_test.cpp
+++ b/src/callers/tests/badinput_test.cpp
@@ -75,8 +75,9 @@
     BOOST_TEST(dispatcher.count() == 0u);
 }
 
-// What a user sees: a caller sends a body without end, and all the others get slow or the router dies of memory.
-// cpprest takes any body, so each way to send one is bounded here: announced, in chunks, or announced and never sent.
+// Prevents a caller that sends an endless body from slowing all others down or exhausting the router's memory. cpprest
+// accepts bodies of any size, so the server limits each way to send one: with a Content-Length, in chunks, or announced
+// and never sent.
 BOOST_FIXTURE_TEST_CASE(largeBodiesAreRefusedWithoutAffectingOthers, SmallLimitsFixture)
 {
     checkRefused(completionText(std::string(1001, 'x')), "413", "too_large");
@@ -88,9 +89,9 @@
     checkServesOthers(*this);
 }
 
-// What a user sees: the router answers "too many requests" for ever although nobody asks anything.
-// A caller announces a body and sends a part of it. cpprest waits for the rest without end, and sends no reply before
-// the caller's next bytes; the place has to be free after the deadline all the same.
+// Prevents a router from refusing with "too many requests" forever: a caller announces a body and sends a part of it.
+// cpprest waits for the rest without a time limit, and sends no reply before the caller's next bytes, but the request's
+// slot has to be free after the deadline.
 BOOST_AUTO_TEST_CASE(aBodyThatNeverArrivesFreesItsSlot)
 {
     CallerLimits limits;
@@ -113,7 +114,7 @@
     const std::string line = "POST /services/s/ HTTP/1.1\r\nHost: x\r\n";
     checkRefused(line + "Content-Length: abc\r\n\r\nabc", "400", "length is unclear");
     checkRefused(line + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "400", "length is unclear");
-    // cpprest waits for 2^64 - 5 bytes before it sends the refusal.
+    // cpprest waits for 2^64 - 5 bytes of body before it sends the refusal.
     RawCaller caller(endpoint);
     caller.send(line + "Content-Length: -5\r\n\r\nabc");
     while (metricSum("lagoon_refusals_total{code=\"bad_request\",execution=\"not_run\"}") < 3)
--- a/src/callers/tests/callerfixture.h
+++ b/src/callers/tests/callerfixture.h
@@ -11,7 +11,7 @@
 
 using http::testing::RawCaller;
 
-/// A bundle with model `m` (adapter `a`) and service `s`.
+/// Returns a bundle with model `m`, its adapter `a`, and service `s`.
 inline bundle::BundlePointer smallBundle()
 {
     auto bundle = std::make_shared<bundle::Bundle>();
@@ -44,10 +44,10 @@
 
 inline bool contains(const std::string& text, const std::string& part) { return text.find(part) != std::string::npos; }
 
-/// What ends a chunked body; without it the body was cut.
+/// The end of a complete chunked body. A truncated body lacks it.
 inline constexpr const char* lastChunk = "\r\n0\r\n\r\n";
 
-/// A server on loopback before a fake dispatcher.
+/// A server on loopback with a fake dispatcher.
 struct CallerFixture {
     explicit CallerFixture(CallerLimits limits = {})
         : server(
@@ -56,7 +56,7 @@
         endpoint = server.start(framework::Endpoint("127.0.0.1:0")).value();
     }
 
-    /// One request over a connection of its own, answered before it is taken by the dispatcher.
+    /// Sends a request on its own connection and returns the refusal, for requests that do not reach the dispatcher.
     std::string exchange(const std::string& text) const
     {
         RawCaller caller(endpoint);
@@ -65,7 +65,7 @@
         return caller.received();
     }
 
-    /// The sum of all series that begin like this, as `/metrics` shows them.
+    /// Returns the sum of all series whose text in `/metrics` starts with `series`.
     double metricSum(const std::string& series) const
     {
         std::istringstream text(metrics->text());
--- a/src/callers/tests/callerserver_test.cpp
+++ b/src/callers/tests/callerserver_test.cpp
@@ -76,7 +76,8 @@
         R"("execution":"unknown","step":"find agent","peer":"gpu-1","request":"9-1","attempt":3,"retry_after_ms":1001)"));
 }
 
-// The router ends while an engine works on a request that may not run twice. A balancer sends what got a 503 again.
+// Prevents a request that must not run twice from being run again: a load balancer retries requests that receive a 503,
+// but an engine may still be running this one while the router shuts down.
 BOOST_FIXTURE_TEST_CASE(aRequestThatMayHaveRunAtShutdownIsNotRefusedWith503, CallerFixture)
 {
     for (const framework::ErrorCode code : { framework::ErrorCode::ShuttingDown, framework::ErrorCode::Draining }) {
--- a/src/callers/tests/clientresend_test.cpp
+++ b/src/callers/tests/clientresend_test.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// An upstream that answers each request but one, the first that is the `droppedPosition`th of its connection: this one
-/// it runs and then drops the connection.
+/// An upstream that answers every request except one: it executes the first request at position `droppedPosition` of a
+/// connection, counted from 1, and then closes the connection without an answer.
 class DroppingUpstream {
 public:
     explicit DroppingUpstream(int droppedPosition)
@@ -88,15 +88,15 @@
 
 BOOST_AUTO_TEST_SUITE(ClientResend)
 
-// What a user sees: two letters for one draft, although nobody asked twice.
-// An upstream runs a POST and closes the connection before its answer. cpprest's client takes a pooled connection for
-// stale then and sends the POST again by itself. If this fails, cpprest has changed; the guards may be loosened.
+// Shows why requests that must not run twice use a new client: if an upstream executes a POST and closes a pooled
+// connection before it answers, cpprest's client considers the connection stale and resends the POST. If this test
+// fails, cpprest has changed, and the precautions against resending may no longer be needed.
 BOOST_AUTO_TEST_CASE(aPooledClientResendsAPost)
 {
     DroppingUpstream upstream(2);
     web::http::client::http_client pooled(upstream.uri());
     int sent = 0;
-    // A connection is back in the pool a little after its answer, so not each request finds one there.
+    // A connection returns to the pool shortly after its answer, so not every request reuses one.
     while (!upstream.hasDropped()) {
         BOOST_TEST(pooled.request("POST", "/").get().status_code() == 200);
         ++sent;
--- a/src/callers/tests/fakedispatcher.h
+++ b/src/callers/tests/fakedispatcher.h
@@ -8,13 +8,13 @@
 
 namespace lagoon::callers::testing {
 
-/// A request as the server handed it over, with its answer.
+/// A request that the server passed to the dispatcher, with its answer.
 struct AcceptedRequest {
     CallerRequest request;
     std::shared_ptr<ICallerAnswer> answer;
 };
 
-/// Keeps what it is given until a test takes it.
+/// Queues accepted requests until a test takes them.
 class FakeDispatcher final : public IRequestDispatcher {
 public:
     void accept(CallerRequest request, std::shared_ptr<ICallerAnswer> answer) override
@@ -25,7 +25,7 @@
         isNotEmpty_.notify_all();
     }
 
-    /// Waits for the next one.
+    /// Blocks until there is a request, and removes it from the queue.
     AcceptedRequest take()
     {
         std::unique_lock lock(mutex_);
--- a/src/callers/tests/outcomes_test.cpp
+++ b/src/callers/tests/outcomes_test.cpp
@@ -15,7 +15,7 @@
 const framework::Error linkLost { framework::ErrorCode::LinkLost, "read answer", "gpu-1", "",
     framework::Execution::Unknown };
 
-/// A completion whose answer has begun and whose first bytes its caller has read.
+/// Starts the answer to a completion, and returns after the caller has read its first bytes.
 AcceptedRequest startStream(CallerFixture& fixture, RawCaller& caller)
 {
     caller.send(completionText(R"({"model":"m"})"));
@@ -30,9 +30,9 @@
 
 BOOST_AUTO_TEST_SUITE(Outcomes)
 
-// What a user sees: half a case note that looks like a whole one.
-// The agent's link breaks in mid-answer. If the router closed the body as usual, the last chunk would tell the caller
-// that all is there; so the connection has to break without it.
+// Prevents a truncated answer from looking complete: the agent's link breaks during an answer. If the router closed the
+// body normally, the last chunk would tell the caller that the answer is complete, so the connection has to break
+// without it.
 BOOST_FIXTURE_TEST_CASE(aBrokenOffAnswerNeverLooksComplete, CallerFixture)
 {
     RawCaller caller(endpoint);
@@ -44,8 +44,8 @@
     BOOST_TEST(metricSum("lagoon_answers_total") == 1);
 }
 
-// What a user sees: the page loads for ever.
-// A defect in the router drops a request without an outcome; its caller has to hear of it all the same.
+// Prevents a caller from waiting forever: a defect in the router drops a request without an outcome, and the caller has
+// to receive an error.
 BOOST_FIXTURE_TEST_CASE(aDroppedAnswerIsReportedAsAnError, CallerFixture)
 {
     RawCaller waiting(endpoint);
@@ -61,8 +61,8 @@
     BOOST_TEST(!contains(streaming.readToEnd(), lastChunk));
 }
 
-// What a user sees: the engine is busy with answers that nobody reads.
-// The caller hangs up in mid-answer. cpprest shows that only as the failure of the reply at one of the next writes.
+// Prevents an engine from computing answers that nobody reads: a caller disconnects during its answer, which cpprest
+// reports only as a failure of the reply at one of the next writes.
 BOOST_FIXTURE_TEST_CASE(aDisconnectDuringAnAnswerIsReported, CallerFixture)
 {
     RawCaller caller(endpoint);
@@ -81,11 +81,11 @@
     BOOST_TEST(metricSum("lagoon_answers_total{result=\"caller_gone\"}") == 1);
     BOOST_TEST(metricSum("lagoon_answers_total") == 1);
     accepted.answer->onCallerGone([&] { ++timesGone; });
-    BOOST_TEST(timesGone == 2, "told at once if it is known already");
+    BOOST_TEST(timesGone == 2, "a handler set after the disconnect is called at once");
 }
 
-// What a user sees: the router dies of memory while one caller's screen is asleep.
-// A caller keeps its connection and stops reading; its answer would be kept here as a whole.
+// Prevents a router from running out of memory: a caller keeps its connection open and stops reading, and the router
+// would hold its whole answer.
 BOOST_AUTO_TEST_CASE(anAnswerThatIsNotReadIsBrokenOff)
 {
     CallerLimits limits;
@@ -101,8 +101,8 @@
     BOOST_TEST(fixture.metricSum("lagoon_answers_total{result=\"caller_slow\"}") == 1);
 }
 
-// What a user sees: the page stops in mid-sentence whenever a router VM is replaced.
-// cpprest's close cuts answers in flight, so the server first refuses new requests and waits for each reply's end.
+// Prevents truncated answers when a router VM is replaced: cpprest's `close` truncates answers in flight, so the server
+// first refuses new requests and waits until each reply has been sent.
 BOOST_FIXTURE_TEST_CASE(aGracefulShutdownCompletesAllAnswers, CallerFixture)
 {
     std::array<std::optional<RawCaller>, 3> callers;
@@ -136,9 +136,9 @@
     BOOST_TEST(metricSum("lagoon_answers_total{result=\"finished\"}") == 4);
 }
 
-// What a user sees: the answer to a request that was too large is a closed connection, while routers are replaced.
-// The refusal leaves only when the body has come, and its place is free before that. A process that ends as soon as its
-// places are free cuts it.
+// Prevents a refusal from being lost during shutdown: a request that is too large is refused and its slot is freed at
+// once, but the refusal is sent only after the body has arrived. If the process exits as soon as all slots are free,
+// the caller sees a closed connection instead.
 BOOST_AUTO_TEST_CASE(shutdownWaitsForADeferredRefusal)
 {
     CallerLimits limits;
@@ -158,7 +158,8 @@
     BOOST_TEST(contains(caller.readToEnd(), R"("code":"too_large")"));
 }
 
-// A stream that doesn't end within the grace period must not keep the process until it is ended by force.
+// Prevents a process from being killed during shutdown because it waits for a stream that does not end within the grace
+// period.
 BOOST_FIXTURE_TEST_CASE(waitingForRepliesStopsAtItsDeadline, CallerFixture)
 {
     RawCaller caller(endpoint);
@@ -170,9 +171,9 @@
         framework::Deadline::after(std::chrono::steady_clock::now(), framework::Milliseconds(30000))));
 }
 
-// What a user sees: the page loads for ever, and the router that served it can't be replaced.
-// Something throws while a request is taken in, which the library or its body's reader swallows. The caller has to hear
-// of it, and the request must not count as in progress for ever: a graceful shutdown waits for that.
+// Prevents a caller and a graceful shutdown from waiting forever: an exception is thrown while a request is received,
+// and cpprest or the body reader swallows it. The caller has to receive an error, and the request must no longer count
+// as in progress.
 BOOST_AUTO_TEST_CASE(anExceptionWhileReceivingARequestIsReportedAsAnError)
 {
     FakeDispatcher dispatcher;
@@ -184,15 +185,15 @@
     caller.send(completionText(R"({"model":"m"})"));
     while (metrics->text().find("lagoon_requests_total") == std::string::npos)
         std::this_thread::yield();
-    // Else the caller would wait for ever.
+    // Required, since the caller below would otherwise wait forever.
     BOOST_REQUIRE(server.waitUntilIdle(
         framework::Deadline::after(std::chrono::steady_clock::now(), framework::Milliseconds(30000))));
     BOOST_TEST(caller.readUntil("}}"));
     BOOST_TEST(contains(caller.received(), R"("code":"internal")"));
 }
 
-// What a user sees: a request without an answer, or the figures of an incident that don't add up.
-// Many requests at once end in every way there is, some of them in two ways; each has one outcome.
+// Prevents requests without an answer and counters that do not add up: many concurrent requests end in every possible
+// way, some of them in two ways, and each has to have exactly one outcome.
 BOOST_FIXTURE_TEST_CASE(eachRequestHasOneOutcome, CallerFixture)
 {
     constexpr int callers = 8;
