--- a/src/http/callclient.h
+++ b/src/http/callclient.h
@@ -12,12 +12,12 @@
 
 namespace lagoon::http {
 
-/// Short calls with small answers to one server, such as the platform's store. Each call is sent once. From any thread;
-/// the handler runs on the event thread.
+/// Makes short calls with small answers to one server, such as the platform's store. Each call is sent once and never
+/// retried. Thread-safe; handlers run on the event thread.
 class CallClient {
 public:
-    /// Errors: `PlatformUnavailable` if by the deadline no answer has begun, or one that has begun stops coming, with
-    /// `Execution::Unknown` unless it is sure that no byte left.
+    /// The error is `PlatformUnavailable` if the answer has not started by the deadline, or stalls after it. Its
+    /// execution is `Execution::Unknown` unless it is certain that no byte of the request was sent.
     using Handler = std::function<void(framework::Result<Response>)>;
 
     CallClient(framework::EventThread&, const framework::Endpoint&, const ClientOptions& = {});
--- a/src/http/clientconnection.h
+++ b/src/http/clientconnection.h
@@ -17,50 +17,54 @@
 
 namespace lagoon::http {
 
-/// Where a call ended without a whole answer.
+/// The step at which a call failed.
 enum class ClientStep : std::uint8_t { Connect, Send, AwaitHead, ReadBody };
 
 std::string_view clientStepText(ClientStep);
 
 struct ClientFailure {
     ClientStep step = ClientStep::Connect;
-    /// Whether any byte of the request may have left. Only without that is it sure that it never arrives.
+    /// Whether any byte of the request may have been sent. Only if not is it certain that the request never arrives.
     bool mayHaveArrived = false;
-    /// For people.
+    /// Human-readable description.
     std::string detail;
 };
 
-/// What becomes of one request. Called on the event thread; `didFinish` or `didFail` is the last call.
+/// Receives the answer to one request. Called on the event thread; `didFinish` or `didFail` is the last call.
 class IAnswerSink {
 public:
     virtual ~IAnswerSink() = default;
-    /// The connection stands and the request is about to leave. It doesn't if the sink abandons the connection here.
+    /// Called when the connection is established, before the request is sent. The request is not sent if the sink
+    /// abandons the connection here.
     virtual void willSend() { }
-    /// Returns whether this is the answer to the request. One that isn't, such as a second answer to the request
-    /// before, is read to its end and dropped, and the next is waited for.
+    /// Returns whether this is the answer to the request. Any other answer, such as a duplicate answer to the previous
+    /// request, is read to its end and discarded, and the connection waits for the next one.
     virtual bool didReceiveHead(const ResponseHead&) = 0;
     virtual void didReceiveBody(std::string_view) = 0;
-    /// The answer is whole: by its length, its last chunk or, without either, by the orderly end of the connection.
+    /// The answer is complete, as determined by its length, its last chunk or, without either, the orderly close of the
+    /// connection.
     virtual void didFinish() = 0;
     virtual void didFail(const ClientFailure&) = 0;
 };
 
 struct ClientOptions {
-    /// Longest wait for a connection to stand.
+    /// Time limit for establishing a connection.
     framework::Milliseconds connectTimeout { 1000 };
-    /// A peer from which the network brings no sign of life for so long is given up.
+    /// A connection fails if its peer acknowledges neither data nor keep-alive probes for this long.
     framework::Milliseconds unresponsiveTimeout { 3000 };
 };
 
-/// One connection to a server, by Boost.Beast's parser over Asio. In place of cpprest's client where requests are
-/// passed on: that one sends a POST again by itself when a kept connection turns out to be closed, and hides what
-/// follows an answer and whether a body ended by itself or by the connection's loss. Belongs to one event thread.
+/// One connection to a server, based on Boost.Beast's parser and Asio. It replaces cpprest's client where requests are
+/// forwarded: that client resends a POST by itself if a kept-alive connection turns out to be closed, and hides both
+/// the bytes after an answer and whether a body was complete or truncated by a lost connection. Used on one event
+/// thread.
 ///
-/// One request at a time. After a whole answer it is idle and may take the next, unless either side said otherwise, the
-/// request wasn't wholly sent when its answer ended, or bytes followed the answer; then it closes.
+/// The connection handles one request at a time. After a complete answer it becomes idle and can be reused. It closes
+/// instead if either side requested that, if the request was not sent completely when its answer ended, or if bytes
+/// followed the answer.
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
 public:
-    /// Called when it has become idle, and when it has closed, each on the event thread.
+    /// Called on the event thread when the connection has become idle and when it has closed.
     struct Observers {
         std::function<void(const std::shared_ptr<ClientConnection>&)> didBecomeIdle;
         std::function<void(const std::shared_ptr<ClientConnection>&)> didClose;
@@ -70,17 +74,17 @@
         boost::asio::io_context&, const framework::Endpoint&, const ClientOptions&, Observers);
     virtual ~ClientConnection() = default;
 
-    /// Connects first if need be. The framing is added here.
+    /// Sends the request, after connecting if necessary. Adds the framing headers.
     virtual void send(const Request&, std::shared_ptr<IAnswerSink>) = 0;
-    /// Closes; the sink hears nothing more.
+    /// Closes the connection. The sink is not called any more.
     virtual void abandon() = 0;
-    /// Reads no more for now, so that a caller that reads slowly slows its server, and goes on.
+    /// Pause and resume reading, which applies backpressure to the server while the caller reads slowly.
     virtual void pause() = 0;
     virtual void resume() = 0;
 
-    /// Since when it has been idle.
+    /// The time at which the connection became idle.
     virtual framework::SteadyTime idleSince() const = 0;
-    /// How long the server said that it keeps an idle connection.
+    /// How long the server keeps an idle connection open, or std::nullopt if its answer did not state that.
     virtual std::optional<framework::Milliseconds> keepAliveTimeout() const = 0;
 };
 
--- a/src/http/connectionpool.h
+++ b/src/http/connectionpool.h
@@ -8,7 +8,7 @@
 
 namespace lagoon::http {
 
-/// The connections of one process to one server. Belongs to one event thread.
+/// The connections of one process to one server. Used on one event thread.
 class ConnectionPool {
 public:
     ConnectionPool(
@@ -17,20 +17,20 @@
     ConnectionPool(const ConnectionPool&) = delete;
     ConnectionPool& operator=(const ConnectionPool&) = delete;
 
-    /// How long a connection may have been idle to be used again.
+    /// Determines how long a connection may have been idle to be reused.
     enum class Reuse : std::uint8_t {
-        Normal, ///< well within what the server keeps it for
-        Conservative, ///< for what must not run twice: a server that closes just then would leave it unknown
+        Normal, ///< well within the server's keep-alive timeout
+        Conservative, ///< for requests that must not run twice, whose outcome is unknown if the server closes just then
         Never,
     };
 
-    /// An idle connection or a new one; nothing when as many are open as may be.
+    /// Returns an idle connection or a new one, or null if the maximum number of connections is in use.
     std::shared_ptr<ClientConnection> take(Reuse, framework::SteadyTime now);
     void setMaxConnections(std::size_t maxConnections);
     std::size_t open() const;
-    /// Closes the idle ones that won't be used again.
+    /// Closes idle connections that are too old to be reused.
     void closeStale(framework::SteadyTime now);
-    /// Closes the idle ones; those at work end by themselves.
+    /// Closes all idle connections. Busy ones are not affected.
     void closeIdle();
 
 private:
--- a/src/http/exchangeserver.h
+++ b/src/http/exchangeserver.h
@@ -11,22 +11,22 @@
 
 namespace lagoon::http {
 
-/// What a caller may send, and how long it may take.
+/// Limits for the size of requests and the time that callers have to send them.
 struct ExchangeLimits {
     std::uint32_t headerBytes = 16 * 1024;
     std::uint64_t bodyBytes = 8 * 1024 * 1024;
-    /// From a request's first byte to the end of its headers; past it 408.
+    /// From the first byte of a request to the end of its headers; then the request is refused with 408.
     framework::Milliseconds headerTimeout { 3000 };
-    /// A connection without a request; past it the connection is closed.
+    /// How long a connection without a request is kept open.
     framework::Milliseconds idleTimeout { 15000 };
 };
 
-/// An HTTP/1.1 server on one event thread, by Boost.Beast's parser over Asio. In place of cpprest's listener where
-/// requests are passed straight on, since that one doesn't notice a caller that has left before the answer's first
-/// byte, takes headers and bodies of any size, and can't tell which connection an answer leaves on.
+/// An HTTP/1.1 server on one event thread, based on Boost.Beast's parser and Asio. It replaces cpprest's listener where
+/// requests are forwarded directly, since that listener does not detect a disconnect before the first byte of the
+/// answer, accepts headers and bodies of any size, and does not show on which connection an answer is sent.
 ///
-/// It answers by itself what never reaches the handler: 400 for what isn't proper HTTP or has two framings, 408, 413
-/// and 431 for what passes the limits.
+/// The server itself refuses requests that never reach the handler: with 400 if they are malformed or ambiguously
+/// framed, and with 408, 413 or 431 if they exceed a limit.
 class ExchangeServer {
 public:
     ExchangeServer(framework::EventThread&, IExchangeHandler&);
@@ -34,19 +34,20 @@
     ExchangeServer(const ExchangeServer&) = delete;
     ExchangeServer& operator=(const ExchangeServer&) = delete;
 
-    /// Before anything else runs on the thread, or on it. Port 0 takes any; returns the endpoint in use.
+    /// Listens on the endpoint and returns the one in use; port 0 selects any free port. Call this on the event thread,
+    /// or before anything else runs there.
     framework::Result<framework::Endpoint> listen(const framework::Endpoint&);
-    /// The rest belongs to the event thread. Limits hold for requests that begin from now on.
+    /// Applies to requests that start from now on. This and all functions below must be called on the event thread.
     void setLimits(const ExchangeLimits&);
-    /// From now on each answer ends its connection and says so.
+    /// From now on, each answer announces that its connection is closed, and closes it.
     void beginDraining();
-    /// Accepts no more, and closes the connections that have no request under way.
+    /// Stops accepting, and closes the connections without a request in progress.
     void closeIdle();
-    /// Answers the requests of which only a part has come with this head, and reads no more of them.
+    /// Refuses all partially received requests with this head, and stops reading them.
     void refuseIncomplete(const ResponseHead&);
-    /// Closes all connections, also those with a request under way, whose handler hears that its caller has gone.
+    /// Closes all connections. The handlers of requests in progress are notified of the disconnect.
     void closeAll();
-    /// Connections whose request isn't wholly answered yet, or whose last answer is still on its way.
+    /// The number of connections with a request in progress or an answer that has not been sent completely.
     std::size_t busyConnections() const;
     std::size_t connections() const;
 
--- a/src/http/iexchange.h
+++ b/src/http/iexchange.h
@@ -11,39 +11,41 @@
 
 namespace lagoon::http {
 
-/// A whole request and the way back for its one answer. Belongs to the server's event thread.
+/// A complete request and the channel for its only answer. Used on the server's event thread.
 ///
-/// The answer is either `answer`, or `beginAnswer`, pieces and `endAnswer`. An exchange that is dropped without an
-/// answer is answered 500, or broken off if its answer has begun to leave. Calls after the caller has gone do nothing.
+/// The answer consists of either `answer`, or `beginAnswer`, any number of `sendPiece` and `endAnswer`. If the exchange
+/// is destroyed without an answer, it is answered with 500, or broken off if a part of its answer was sent. Calls after
+/// the caller has disconnected have no effect.
 class IExchange {
 public:
     virtual ~IExchange() = default;
     virtual const Request& request() const = 0;
-    /// When its last byte was read.
+    /// The time at which the request's last byte was read.
     virtual framework::SteadyTime receivedAt() const = 0;
 
-    /// The whole answer; the framing is added here.
+    /// Sends a complete answer. Adds the framing headers.
     virtual void answer(ResponseHead, std::string body) = 0;
-    /// The head of an answer whose body follows in chunks. Written together with the first piece.
+    /// Sets the head of an answer whose body follows in pieces. It is sent together with the first piece.
     virtual void beginAnswer(ResponseHead) = 0;
     virtual void sendPiece(std::string_view) = 0;
     virtual void endAnswer() = 0;
-    /// The answer that was begun can't be completed: the connection ends without the last chunk, so that the caller
-    /// sees that the answer isn't whole.
+    /// Ends a started answer that cannot be completed: the connection is closed without the last chunk, so that the
+    /// caller sees that the answer is truncated.
     virtual void breakOff() = 0;
 
-    /// Whether the caller has closed its connection, even if the event loop hasn't come to that yet. Costs a system
-    /// call.
+    /// Returns whether the caller has closed its connection, even if the event loop has not handled that yet. This
+    /// makes a system call.
     virtual bool hasCallerDisconnected() const = 0;
-    /// Called at most once, if the caller closes or loses its connection before the answer has been handed over.
+    /// Sets a handler that is called at most once, if the caller closes or loses its connection before the complete
+    /// answer has been passed to this object.
     virtual void setDisconnectHandler(std::function<void()>) = 0;
-    /// Bytes of the answer that the caller hasn't taken yet.
+    /// Bytes of the answer that have not been written to the socket yet.
     virtual std::size_t unsentBytes() const = 0;
-    /// Called each time all that was handed over has been taken by the socket.
+    /// Sets a handler that is called each time all pending bytes have been written to the socket.
     virtual void setDrainedHandler(std::function<void()>) = 0;
 };
 
-/// Answers requests.
+/// Handles the requests of an `ExchangeServer`.
 class IExchangeHandler {
 public:
     virtual ~IExchangeHandler() = default;
--- a/src/http/internal/callclient.cpp
+++ b/src/http/internal/callclient.cpp
@@ -14,16 +14,17 @@
 using framework::Execution;
 using framework::Milliseconds;
 
-/// Calls of one process to one server at a time: a few watches, and what is read or written beside them.
+/// Limits the concurrent calls of one process to one server: a few watches, and the reads and writes besides them.
 constexpr std::size_t maxConnections = 16;
-/// A page of the largest list there is.
+/// Enough for one page of the largest list.
 constexpr std::size_t maxAnswerBytes = 16 * 1024 * 1024;
-/// An answer of which nothing more has come for so long isn't on its way any more: links take some milliseconds.
+/// An answer that has made no progress for this long is considered lost, since links have latencies of some
+/// milliseconds.
 constexpr Milliseconds progressTimeout { 700 };
-/// The largest answer over the slowest of today's links, 10 Mbit/s, shared with callers' requests.
+/// Enough for the largest answer over the slowest of today's links, 10 Mbit/s, which callers' requests share.
 constexpr Milliseconds maxAnswerTime { 15000 };
 
-/// One call under way.
+/// One call in progress.
 class Call final : public IAnswerSink, public std::enable_shared_from_this<Call> {
 public:
     Call(std::string step, framework::Endpoint peer, CallClient::Handler handler)
@@ -92,9 +93,9 @@
         });
     }
 
-    /// Guards against a large answer over a slow link that is broken off at the deadline and asked for again, from its
-    /// first byte each time: a router whose link carries 10 Mbit/s stayed without a new configuration for as long as
-    /// the store had several large ones to tell. What goes on coming is waited for.
+    /// Extends the deadline of an answer that makes progress. Otherwise a large answer over a slow link would be
+    /// aborted at each deadline and requested again from its first byte: a router with a 10 Mbit/s link received no new
+    /// configuration as long as the store had several large ones to send.
     void checkProgress(framework::EventThread& thread)
     {
         const framework::SteadyTime now = std::chrono::steady_clock::now();
@@ -126,8 +127,8 @@
     {
     }
 
-    /// Guards against a server that is back and isn't noticed: what broke one connection mostly broke the idle ones
-    /// too, and each call over one of them would be lost.
+    /// Closes all idle connections when a call fails: a fault that broke one connection has usually broken the idle
+    /// ones too, and each call over one of them would be lost although the server may be available again.
     void call(const Request& request, Deadline deadline, Handler handler)
     {
         const auto call = std::make_shared<Call>(request.method + " " + request.target, endpoint_,
--- a/src/http/internal/callerconnection.cpp
+++ b/src/http/internal/callerconnection.cpp
@@ -16,16 +16,16 @@
 using framework::Milliseconds;
 
 constexpr std::size_t readBufferBytes = 16 * 1024;
-/// What a caller may send ahead of its next request before it isn't read any more.
+/// How much a caller may send ahead while its request is handled; then reading pauses.
 constexpr std::size_t maxPipelinedBytes = 64 * 1024;
-/// For a caller that is still sending when it is refused: closing at once would reset the connection, and the refusal
-/// could be lost on its way.
+/// How long the connection stays open after its last answer for a caller that is still sending: closing it at once
+/// would reset it, and the refusal could be lost in transit.
 constexpr Milliseconds lingerTimeout { 1000 };
-/// A caller whose machine has vanished holds its request's work no longer than this.
+/// Limits how long the request of a caller whose machine has become unreachable is still handled.
 constexpr Milliseconds callerUnresponsiveTimeout { 10000 };
 
-/// Guards against a request hidden in another one: a peer that reads the other framing than we do would see two
-/// requests where we saw one. Beast refuses a length beside chunks in most spellings, but takes one length twice.
+/// Prevents request smuggling: a peer that uses another of the framings than this server would see two requests where
+/// this server sees one. Beast refuses most spellings of a length together with chunks, but accepts a repeated length.
 bool hasSingleFraming(const Headers& headers)
 {
     const std::size_t lengths = headers.count("Content-Length");
@@ -121,7 +121,7 @@
         handOver();
 }
 
-/// Whether the head was refused. Tells a caller that waits for it to send its body.
+/// Returns whether the head was refused. Otherwise sends `100 Continue` to a caller that waits for it.
 bool CallerConnection::didRefuseHead()
 {
     timer_.cancel();
@@ -213,7 +213,7 @@
 
 void CallerConnection::breakOff()
 {
-    // What was handed over still leaves: the caller has a use for the whole pieces that it has.
+    // Pieces that are already queued are still sent, since the caller can use complete pieces.
     if (stage_ != Stage::Handling)
         return;
     pendingHead_.clear();
@@ -224,8 +224,8 @@
         close();
 }
 
-/// Guards against a caller that learns nothing since the handler of its request failed: as long as no byte of an answer
-/// has left, there is a whole one to give.
+/// Answers with 500 if the handler dropped the request before any byte of the answer was sent; otherwise breaks the
+/// answer off. Without this, the caller would receive neither an answer nor a refusal.
 void CallerConnection::failDropped()
 {
     if (hasBegunAnswer_)
@@ -234,7 +234,7 @@
     answer(ResponseHead { 500, {}, {} }, {});
 }
 
-/// Without chunks the connection's ordinary end would say that the answer is whole.
+/// Resets the connection, since without chunks its normal close would mean that the answer is complete.
 void CallerConnection::reset()
 {
     setReset();
@@ -260,7 +260,7 @@
         becomeIdle();
     if (stage_ == Stage::Closed)
         return;
-    // Not from here: the handler that answers may still be on the stack.
+    // Posted, since the handler that answers may still be on the stack.
     if (buffer_.size() > 0)
         boost::asio::post(socket_.get_executor(), [self = shared_from_this()] { self->parse(); });
     read();
@@ -321,7 +321,7 @@
         refuse({ 408, {}, {} });
 }
 
-/// Says that nothing more will come, and takes what the caller still sends for a while.
+/// Shuts the sending side down, and reads and discards what the caller still sends for up to `lingerTimeout`.
 void CallerConnection::linger()
 {
     boost::system::error_code ignored;
@@ -330,7 +330,7 @@
     read();
 }
 
-/// What was sent ahead hides an end behind it.
+/// Does not detect a disconnect behind unread bytes that the caller has sent ahead.
 bool CallerConnection::hasCallerDisconnected()
 {
     if (stage_ == Stage::Closed)
@@ -347,9 +347,9 @@
         exchange->handleDisconnect();
 }
 
-/// Guards against an answer that is cut by the timer for idle connections while it still leaves: that one begins here,
-/// when all of it has been taken. While draining, the connection of an answer that couldn't say that it is the last one
-/// ends here, unless the caller has sent its next request already: that one is answered first.
+/// Called when the whole answer has been written, so that the idle timeout, which starts here, cannot truncate an
+/// answer that is still being sent. While draining, this closes a connection whose answer could not announce that,
+/// unless the caller has already sent its next request, which is answered first.
 void CallerConnection::becomeIdle()
 {
     if (context_->isDraining)
@@ -361,16 +361,16 @@
 
 bool CallerConnection::isBusy() const { return stage_ != Stage::Closed && (isClosingIdle_ || !isIdle()); }
 
-/// Whether neither a request nor an answer is on it. Guards against a request that has come and hasn't been read yet:
-/// closing over it would reset the connection.
+/// Returns whether there is neither a request nor an answer on the connection. Received bytes that have not been read
+/// yet count as a request, since closing the connection with unread bytes would reset it.
 bool CallerConnection::isIdle() const
 {
     boost::system::error_code ignored;
     return stage_ == Stage::Idle && unsent_.empty() && buffer_.size() == 0 && socket_.available(ignored) == 0;
 }
 
-/// Guards against closing over a request that the event loop has read but not handled yet: the read under way is
-/// cancelled, and the connection closes only if that brought nothing.
+/// Cancels the pending read, and closes the connection only if that read has received nothing. This prevents losing a
+/// request that the event loop has read but not handled yet.
 void CallerConnection::closeIfIdle()
 {
     if (!isIdle())
@@ -472,7 +472,7 @@
 
 void CallerExchange::didDrain()
 {
-    // A copy: the handler may end the exchange, and with that drop itself.
+    // Copied, since the handler may end the exchange and thereby destroy itself.
     if (auto handler = onDrained_)
         handler();
 }
--- a/src/http/internal/callerconnection.h
+++ b/src/http/internal/callerconnection.h
@@ -18,39 +18,40 @@
 
 class CallerExchange;
 
-/// What all connections of a server share.
+/// State shared by all connections of a server.
 struct ConnectionContext {
     IExchangeHandler& handler;
     ExchangeLimits limits;
     bool isDraining = false;
 };
 
-/// One accepted connection: reads a request, hands it over, writes its answer, and so on until either side closes.
+/// One accepted connection: repeatedly reads a request, passes it to the handler and writes its answer, until either
+/// side closes the connection.
 ///
-/// It reads all the time, also while a request is being worked on: that is how a caller that has left is noticed at
-/// once. What comes early is kept for the next request.
+/// It also reads while a request is handled, so that a disconnect is detected at once. Bytes that arrive early are kept
+/// for the next request.
 class CallerConnection final : public std::enable_shared_from_this<CallerConnection> {
 public:
     CallerConnection(boost::asio::ip::tcp::socket, std::shared_ptr<ConnectionContext>,
         std::function<void(CallerConnection*)> onClosed);
 
     void start();
-    /// Whether a request has begun to come or is under way, or an answer still leaves.
+    /// Returns whether a request is being received or handled, or an answer is still being sent.
     bool isBusy() const;
-    /// Closes if no request has come, and none is under way.
+    /// Closes the connection if no request has arrived or is in progress.
     void closeIfIdle();
-    /// Answers a request of which a part has come with this head, and reads no more of it.
+    /// Refuses a partially received request with this head, and stops reading it.
     void refuseIncomplete(const ResponseHead&);
-    /// Whatever is under way; its handler hears that the caller has gone.
+    /// Closes the connection at once. The handler of a request in progress is notified of the disconnect.
     void closeNow();
 
-    // For the exchange.
+    // Called by the exchange.
     void answer(ResponseHead, std::string body);
     void beginAnswer(ResponseHead);
     void sendPiece(std::string_view);
     void endAnswer();
     void breakOff();
-    /// The handler has given the request up without a word.
+    /// Called if the handler destroyed the exchange without an answer.
     void failDropped();
     std::size_t unsentBytes() const { return unsentBytes_; }
     bool hasCallerDisconnected();
@@ -60,9 +61,9 @@
 
     enum class Stage : std::uint8_t {
         Idle, ///< between requests
-        Reading, ///< a request has begun to come
-        Handling, ///< handed over and not answered wholly
-        Closing, ///< the answer is on its way out, then the connection ends
+        Reading, ///< receiving a request
+        Handling, ///< request passed to the handler, answer incomplete
+        Closing, ///< sending the rest of the last answer before closing
         Closed,
     };
 
@@ -101,18 +102,18 @@
     bool endsAfterAnswer_ = false;
     bool isChunked_ = false;
     bool hasRequestHead_ = false;
-    /// The caller may have got a part of the answer.
+    /// Whether the caller may have received a part of the answer.
     bool hasBegunAnswer_ = false;
     boost::beast::flat_buffer buffer_;
     std::optional<Parser> parser_;
     std::weak_ptr<CallerExchange> exchange_;
-    /// The head of a begun answer, kept until its first piece.
+    /// The head of a started answer, kept until its first piece.
     std::string pendingHead_;
     std::deque<std::string> unsent_;
     std::size_t unsentBytes_ = 0;
 };
 
-/// The handler's side of one request.
+/// The handler's interface to one request.
 class CallerExchange final : public IExchange {
 public:
     CallerExchange(std::shared_ptr<CallerConnection>, Request, framework::SteadyTime receivedAt);
@@ -132,12 +133,12 @@
     std::size_t unsentBytes() const override { return connection_ ? connection_->unsentBytes() : 0; }
     void setDrainedHandler(std::function<void()>) override;
 
-    /// From the connection.
+    /// Called by the connection.
     void handleDisconnect();
     void didDrain();
 
 private:
-    /// Gives the connection up: nothing of this exchange may reach it any more.
+    /// Detaches this exchange from the connection and returns the latter.
     std::shared_ptr<CallerConnection> release();
 
     std::shared_ptr<CallerConnection> connection_;
--- a/src/http/internal/connectionpool.cpp
+++ b/src/http/internal/connectionpool.cpp
@@ -10,10 +10,11 @@
 using framework::Milliseconds;
 using framework::SteadyTime;
 
-/// A connection whose server doesn't say how long it keeps it is used again only this soon: servers that keep theirs
-/// for less than a second can't say so, as the field counts whole seconds.
+/// Used if the server does not state its keep-alive timeout. The header field counts whole seconds, so servers with a
+/// timeout below one second cannot state it.
 constexpr Milliseconds defaultKeepAliveTimeout { 400 };
-/// Parts of the kept time after which a connection isn't used again: what travels takes time, and clocks differ.
+/// Fractions of the keep-alive timeout after which a connection is not reused, since messages take time in transit and
+/// clocks differ.
 constexpr double normalIdleShare = 0.75;
 constexpr double conservativeIdleShare = 0.4;
 
@@ -41,7 +42,7 @@
     std::shared_ptr<ClientConnection> take(Reuse reuse, SteadyTime now)
     {
         closeStale(now);
-        // The one used last has the most time left.
+        // The most recently used connection has the most time left.
         if (reuse != Reuse::Never && !idle_.empty()
             && now - idle_.back()->idleSince() <= maxIdleTime(*idle_.back(), reuse)) {
             auto connection = idle_.back();
--- a/src/http/internal/exchangeserver.cpp
+++ b/src/http/internal/exchangeserver.cpp
@@ -18,7 +18,8 @@
 using framework::ErrorCode;
 using framework::Milliseconds;
 
-/// When accepting fails, mostly since descriptors have run out: some connections will have ended by then.
+/// Delay after accepting has failed, usually because file descriptors are exhausted: some connections will have been
+/// closed by then.
 constexpr Milliseconds acceptRetryDelay { 50 };
 
 } // namespace
@@ -102,8 +103,8 @@
         });
     }
 
-    /// Guards against requests that are reset with the listening socket while the event loop is behind: their callers
-    /// have sent them to a server that still took requests.
+    /// Accepts all connections in the listening socket's queue. If the event loop is behind, closing that socket would
+    /// otherwise reset connections whose callers sent requests while the server still accepted them.
     void acceptPending()
     {
         if (!acceptor_.is_open())
--- a/src/http/internal/message.cpp
+++ b/src/http/internal/message.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <array>
 #include <ostream>
-// After <ostream>, which Boost 1.74 forgets.
+// Must come after <ostream>, which Boost 1.74 does not include itself.
 #include <boost/beast/http/status.hpp>
 #include <utility>
 
--- a/src/http/internal/messagereader.h
+++ b/src/http/internal/messagereader.h
@@ -6,7 +6,7 @@
 
 namespace lagoon::http {
 
-/// What Beast's parser has read, in the order in which it came.
+/// Converts the fields that Beast's parser has read, in the order in which they were received.
 Headers headersOf(const boost::beast::http::fields&);
 
 } // namespace lagoon::http
--- a/src/http/internal/messagewriter.h
+++ b/src/http/internal/messagewriter.h
@@ -7,10 +7,10 @@
 
 namespace lagoon::http {
 
-/// The head up to and with the empty line. Framing fields have to be in the headers already.
+/// Serializes a head, including the final empty line. The headers must already contain the framing fields.
 std::string headText(const Request&);
 std::string headText(const ResponseHead&);
-/// One chunk of a chunked body; nothing for an empty piece, which would end the body.
+/// Serializes one chunk of a chunked body. Returns an empty string for an empty piece, which would end the body.
 std::string chunkText(std::string_view piece);
 inline constexpr std::string_view lastChunk = "0\r\n\r\n";
 
--- a/src/http/internal/socketoptions.cpp
+++ b/src/http/internal/socketoptions.cpp
@@ -17,7 +17,7 @@
     const int milliseconds = static_cast<int>(unresponsiveTimeout.count());
     const int probeSeconds = 1;
     const int probes = std::max(1, milliseconds / 1000 - 1);
-    // A kernel that knows none of these goes on without them: then only the caller's own deadlines hold.
+    // Errors are ignored: on a kernel without these options, only the deadlines of the code that uses the socket apply.
     (void)setsockopt(handle, IPPROTO_TCP, TCP_USER_TIMEOUT, &milliseconds, sizeof milliseconds);
     (void)setsockopt(handle, IPPROTO_TCP, TCP_KEEPIDLE, &probeSeconds, sizeof probeSeconds);
     (void)setsockopt(handle, IPPROTO_TCP, TCP_KEEPINTVL, &probeSeconds, sizeof probeSeconds);
--- a/src/http/internal/socketoptions.h
+++ b/src/http/internal/socketoptions.h
@@ -6,9 +6,9 @@
 
 namespace lagoon::http {
 
-/// Sets no-delay, and limits how long a peer that has become unreachable goes unnoticed: without these a connection to
-/// a machine without power, or behind a partition, hangs for good. `unresponsiveTimeout` bounds both bytes that aren't
-/// acknowledged and, by keep-alive probes, a connection on which nothing is sent.
+/// Sets TCP_NODELAY, and limits the time until an unreachable peer is detected: otherwise a connection to a machine
+/// that lost power or is behind a network partition would hang forever. `unresponsiveTimeout` limits both how long sent
+/// bytes may stay unacknowledged and, by keep-alive probes, how long an idle connection's peer may not respond.
 void setLivenessOptions(boost::asio::ip::tcp::socket&, framework::Milliseconds unresponsiveTimeout);
 
 } // namespace lagoon::http
--- a/src/http/internal/tcpclientconnection.cpp
+++ b/src/http/internal/tcpclientconnection.cpp
@@ -18,15 +18,15 @@
 using framework::Milliseconds;
 
 constexpr std::size_t readBufferBytes = 16 * 1024;
-/// Heads of servers are small; one beyond this isn't an answer.
+/// Servers send small heads. A larger one is treated as a malformed answer.
 constexpr std::uint32_t maxHeadBytes = 64 * 1024;
-/// Bodies are passed on piece by piece, so their length needs no limit here. A number, since Beast 1.74 refuses every
-/// answer that has a length when the limit is switched off.
+/// Effectively unlimited, since bodies are forwarded piece by piece. Beast 1.74 refuses every answer that has a length
+/// if the limit is switched off.
 constexpr std::uint64_t maxBodyBytes = 1ULL << 40;
-/// Answers to earlier requests that are dropped before the connection is given up.
+/// How many answers to earlier requests are discarded before the connection fails.
 constexpr unsigned maxMismatchedAnswers = 2;
 
-/// Of `timeout=5, max=100`.
+/// Reads the timeout in seconds from a field such as `timeout=5, max=100`. Returns std::nullopt if there is none.
 std::optional<Milliseconds> parseKeepAliveTimeout(const Headers& headers)
 {
     const auto value = headers.find("Keep-Alive");
@@ -144,7 +144,8 @@
     boost::asio::async_write(socket_, buffers, [self = self()](const boost::system::error_code& error, std::size_t) {
         if (self->isClosed_)
             return;
-        // A server may refuse before it has read all: the answer, if there is one, is still read.
+        // A write error is ignored: a server may refuse a request before it has read all of it, and its answer is still
+        // read.
         if (!error)
             self->isSent_ = true;
     });
@@ -170,7 +171,7 @@
     if (error)
         return didEnd(error);
     buffer_.commit(bytes);
-    // Guards against a stray answer: bytes that come while nothing was asked would be taken for the next answer.
+    // Bytes that arrive without a pending request would be mistaken for the answer to the next one.
     if (!sink_)
         return close();
     parse();
@@ -264,7 +265,7 @@
     if (!sink_)
         return close();
     boost::system::error_code atEnd = error;
-    // Only an orderly end can complete an answer that has neither length nor chunks; a reset never does.
+    // An answer with neither a length nor chunks is completed by an orderly close, but never by a reset.
     if (error == boost::asio::error::eof && isHeadDelivered_ && parser_->need_eof()) {
         parser_->put_eof(atEnd);
         if (!atEnd && isAccepted_) {
--- a/src/http/listener.h
+++ b/src/http/listener.h
@@ -7,7 +7,7 @@
 #include <functional>
 #include <memory>
 
-/// cpprest's listener with what it lacks. Include in .cpp files only.
+/// Extensions of cpprest's listener. Include in .cpp files only.
 namespace lagoon::http {
 
 struct OpenListener {
@@ -15,8 +15,8 @@
     framework::Endpoint endpoint;
 };
 
-/// Opens a listener for all methods. cpprest takes port 0 for 80, so a free port is found first and, if someone took
-/// it meanwhile, another.
+/// Opens a listener for all methods. cpprest treats port 0 as 80, so this finds a free port first, and retries with
+/// another one if that port has been taken in the meantime.
 framework::Result<OpenListener> openListener(
     const framework::Endpoint&, std::function<void(web::http::http_request)> handler);
 
--- a/src/http/opsserver.h
+++ b/src/http/opsserver.h
@@ -10,14 +10,14 @@
 
 namespace lagoon::http {
 
-/// What a process shows operators and the balancer. Called on HTTP threads.
+/// Provides the process's state for operators and the load balancer. Called on HTTP threads.
 struct OpsViews {
     std::function<bool()> isReady;
-    /// JSON of the process's state.
+    /// Returns the process's state as JSON.
     std::function<std::string()> status;
 };
 
-/// `GET /metrics`, `/livez`, `/readyz` (200 or 503) and `/status` on a port of their own.
+/// Serves `GET /metrics`, `/livez`, `/readyz` (200 or 503) and `/status` on a separate port.
 class OpsServer {
 public:
     OpsServer(OpsViews, std::shared_ptr<framework::Metrics>);
@@ -25,7 +25,7 @@
     OpsServer(const OpsServer&) = delete;
     OpsServer& operator=(const OpsServer&) = delete;
 
-    /// Listens on the endpoint (port 0: any free one) and returns the one in use.
+    /// Listens on the endpoint and returns the one in use; port 0 selects any free port.
     framework::Result<framework::Endpoint> start(const framework::Endpoint&);
     void stop();
 
--- a/src/http/testing/rawcaller.h
+++ b/src/http/testing/rawcaller.h
@@ -11,7 +11,7 @@
 
 namespace lagoon::http::testing {
 
-/// A caller down to its socket: sees what an HTTP library would hide, such as a missing last chunk.
+/// A caller that uses a plain socket, and so sees what an HTTP library would hide, such as a missing last chunk.
 class RawCaller {
 public:
     explicit RawCaller(const framework::Endpoint& endpoint)
@@ -23,7 +23,7 @@
         socket_.connect({ boost::asio::ip::make_address(text.substr(0, colon)), port });
     }
 
-    /// False once the other side has closed.
+    /// Returns false if the other side has closed the connection.
     bool send(const std::string& text)
     {
         boost::system::error_code error;
@@ -31,7 +31,7 @@
         return !error;
     }
 
-    /// Reads until all that was received contains `text` or the connection ends.
+    /// Reads until the received bytes contain `text`. Returns false if the connection ends before that.
     bool readUntil(const std::string& text)
     {
         while (received_.find(text) == std::string::npos) {
@@ -41,14 +41,14 @@
         return true;
     }
 
-    /// All that came until the connection ended.
+    /// Reads until the connection ends, and returns all received bytes.
     const std::string& readToEnd()
     {
         while (readSome()) { }
         return received_;
     }
 
-    /// Whether the other side ended the connection in a way that can't be taken for an answer's end.
+    /// Returns whether the other side reset the connection, which cannot be mistaken for the end of an answer.
     bool wasReset() const { return end_ == boost::asio::error::connection_reset; }
     const std::string& received() const { return received_; }
     void clearReceived() { received_.clear(); }
--- a/src/http/tests/clientconnection_test.cpp
+++ b/src/http/tests/clientconnection_test.cpp
@@ -16,7 +16,7 @@
 
 using boost::asio::ip::tcp;
 
-/// The server's end of one connection, down to its socket.
+/// The server's end of one connection, using a plain socket.
 class RawServer {
 public:
     RawServer()
@@ -29,7 +29,7 @@
         return framework::Endpoint("127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port()));
     }
     void accept() { socket_.emplace(acceptor_.accept()); }
-    /// The next request's head, and the body as far as it came along.
+    /// Reads the next request's head, and the part of its body that arrives with it.
     std::string request()
     {
         std::string text;
@@ -38,7 +38,7 @@
     }
     void send(const std::string& text) { boost::asio::write(*socket_, boost::asio::buffer(text)); }
     void close() { socket_->close(); }
-    /// Gives the connection away, to stay open beside the next.
+    /// Passes the connection to the test, so that it stays open beside the next one.
     tcp::socket release() { return std::move(*socket_); }
     void reset()
     {
@@ -52,7 +52,7 @@
     std::optional<tcp::socket> socket_;
 };
 
-/// Keeps what becomes of a request. Takes answers whose `X-Id` is the wanted one, or that have none.
+/// Records the outcome of a request. Accepts answers whose `X-Id` is `expectedId`, or that have none.
 class RecordedAnswer final : public IAnswerSink {
 public:
     explicit RecordedAnswer(std::string expectedId = {})
@@ -77,7 +77,7 @@
         failure = failed;
         ended.set_value(false);
     }
-    /// Whether the answer was whole.
+    /// Blocks until the request has ended, and returns whether its answer was complete.
     bool wait() { return ended.get_future().get(); }
 
     ResponseHead head;
@@ -110,7 +110,7 @@
         return answer;
     }
 
-    /// A call that is to be answered within 150 ms, and has reached the server.
+    /// Starts a call with a deadline of 150 ms, and accepts its connection and request on the server.
     std::future<framework::Result<Response>> call(const std::string& target)
     {
         auto answer = callWithoutAccept(target);
@@ -119,7 +119,7 @@
         return answer;
     }
 
-    /// The same over whichever connection the client takes.
+    /// Starts a call with a deadline of 150 ms over any connection that the client chooses.
     std::future<framework::Result<Response>> callWithoutAccept(const std::string& target)
     {
         using framework::Milliseconds;
@@ -206,8 +206,8 @@
     BOOST_TEST(!truncated->wait());
 }
 
-// One caller got the answer to another one's request: a server had answered twice, and the second answer was taken for
-// that to the next request on the connection.
+// Prevents a caller from receiving the answer to another caller's request: a server answered twice, and the second
+// answer was matched to the next request on the connection.
 BOOST_AUTO_TEST_CASE(aDuplicateAnswerIsNotMatchedToTheNextRequest)
 {
     const auto first = send(post, "1");
@@ -237,8 +237,8 @@
     BOOST_TEST(second->wait());
 }
 
-// A server refused a long request before it had read it all, and kept the connection. The next request on it was read
-// as the rest of that body.
+// Prevents a request from being read as a part of the previous one's body: a server refused a long request before it
+// had read all of it, and kept the connection open.
 BOOST_AUTO_TEST_CASE(anAnswerBeforeTheRequestWasSentClosesItsConnection)
 {
     const auto first = send(Request { "POST", "/long", {}, std::string(64 * 1024 * 1024, 'x') });
@@ -270,8 +270,8 @@
     BOOST_TEST(second->wait());
 }
 
-// A hold was booked twice: the server had run the request and then closed the connection, and the client sent it again
-// by itself.
+// Prevents a request from running twice: the server executed it and closed the connection without an answer, and the
+// client resent it by itself.
 BOOST_AUTO_TEST_CASE(aRequestIsNeverResent)
 {
     const auto first = send(post);
@@ -312,8 +312,9 @@
     BOOST_TEST(answer->head.status == 200U);
 }
 
-// A router with a slow link was 19 seconds behind with its configuration. The store told it four large versions in one
-// answer, which took longer than a call may; each try was broken off, and the next one began at the first byte.
+// Prevents a router with a slow link from lagging behind with its configuration, by 19 seconds in one case: the store
+// sent four large versions in one answer, which took longer than the call's deadline. Each attempt was aborted, and the
+// next one started at the first byte.
 BOOST_AUTO_TEST_CASE(aLargeAnswerThatMakesProgressIsNotTimedOut)
 {
     auto answered = call("/slow");
@@ -336,7 +337,8 @@
     BOOST_TEST(answer.error().detail == "no answer in time");
 }
 
-// Guards against asking a server that is back over a connection that broke without a word: each such call is lost.
+// Prevents losing calls to a server that is available again: a fault can break idle connections without any
+// notification, and each call over one of them is lost.
 BOOST_AUTO_TEST_CASE(noIdleConnectionIsReusedAfterAFailedCall)
 {
     const auto isAnswered = [](std::future<framework::Result<Response>>& answer) { return answer.get().has_value(); };
@@ -350,13 +352,13 @@
     server.send(keepAliveResponse);
     BOOST_TEST(isAnswered(beside));
     BOOST_TEST(!isAnswered(lost));
-    // Accepts another connection.
+    // `call` accepts a new connection, so the idle one is not reused.
     auto next = call("/next");
     server.send(keepAliveResponse);
     BOOST_TEST(isAnswered(next));
 }
 
-// Guards against sending a request that nobody waits for any more once its connection stands.
+// Prevents sending a request that was abandoned while its connection was being established.
 BOOST_AUTO_TEST_CASE(aRequestAbandonedOnConnectIsNotSent)
 {
     const auto answer = std::make_shared<RecordedAnswer>();
--- a/src/http/tests/exchangefixture.h
+++ b/src/http/tests/exchangefixture.h
@@ -11,7 +11,7 @@
 
 namespace lagoon::http::testing {
 
-/// A server whose handler is the test's.
+/// A server whose requests are handled by the test.
 class ExchangeFixture : public IExchangeHandler {
 public:
     ExchangeFixture()
@@ -23,7 +23,7 @@
 
     void handle(const std::shared_ptr<IExchange>& exchange) override { onRequest(exchange); }
 
-    /// Runs on the server's thread and waits for it.
+    /// Runs the action on the server's thread and waits for its end.
     void onThread(const std::function<void()>& action)
     {
         std::promise<void> done;
@@ -34,7 +34,8 @@
         done.get_future().wait();
     }
 
-    /// Requests are answered with a stream whose first piece is "first"; `lastExchange` is the last one's.
+    /// Answers each request with a stream that starts with the piece "first", and stores its exchange in
+    /// `lastExchange`.
     void beginStreams(std::shared_ptr<IExchange>& lastExchange)
     {
         onRequest = [&lastExchange](const std::shared_ptr<IExchange>& exchange) {
@@ -47,7 +48,7 @@
     static ResponseHead ok() { return ResponseHead { 200, {}, {} }; }
     static std::string get(const std::string& path) { return "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n"; }
 
-    /// Runs on the server's thread; by default answers with the method, path and body that came.
+    /// Runs on the server's thread. By default it answers with the received method, path and body.
     std::function<void(const std::shared_ptr<IExchange>&)> onRequest = [](const std::shared_ptr<IExchange>& exchange) {
         const Request& request = exchange->request();
         exchange->answer(ok(), request.method + " " + request.target + " " + request.body);
--- a/src/http/tests/exchangeserver_test.cpp
+++ b/src/http/tests/exchangeserver_test.cpp
@@ -11,7 +11,7 @@
 
 std::string statusLine(const std::string& answer) { return answer.substr(0, answer.find("\r\n")); }
 
-/// A request that has been taken and isn't answered.
+/// A request that has reached the handler and is not answered.
 struct PendingRequest {
     explicit PendingRequest(ExchangeFixture& server)
         : server(server)
@@ -94,8 +94,8 @@
     BOOST_TEST(statusLine(caller.readToEnd()) == "HTTP/1.1 408 Request Timeout");
 }
 
-// One member's request for a decision carried another one in its body: the server behind counted the length, the router
-// the chunks, and so a request that nobody had sent was run in the member's name.
+// Prevents request smuggling: a request carried another one in its body, and because the server behind the router used
+// the length and the router the chunks, the hidden request was executed in the caller's name.
 BOOST_AUTO_TEST_CASE(ambiguousFramingIsRefused)
 {
     for (const std::string framing :
@@ -127,8 +127,8 @@
     BOOST_TEST(caller.readUntil("413"));
 }
 
-// A hostmaster closed the page, and the review went on for its whole ten seconds at a model that others waited for: the
-// caller's end of the connection was only looked at when there was something to write.
+// Prevents an abandoned request from occupying a model that others wait for: the caller's end of the connection was
+// only checked when there were bytes to write, so the request ran for ten seconds after the disconnect.
 BOOST_AUTO_TEST_CASE(aDisconnectIsNoticedWhileTheRequestIsHandled)
 {
     PendingRequest pending(*this);
@@ -136,7 +136,7 @@
     pending.disconnected.get_future().wait();
 }
 
-// Guards against passing on a request whose caller left while the event loop was behind.
+// Prevents forwarding a request whose caller disconnected while the event loop was behind.
 BOOST_AUTO_TEST_CASE(aDisconnectIsNoticedBeforeTheEventLoopHandlesIt)
 {
     std::promise<bool> hasDisconnected;
@@ -178,7 +178,7 @@
     BOOST_TEST(caller.readUntil("6\r\nsecond\r\n0\r\n\r\n"));
 }
 
-// A review broke off when its server crashed, and its caller took the half for the whole.
+// Prevents a caller from mistaking a truncated answer for a complete one after its server has crashed.
 BOOST_AUTO_TEST_CASE(aBrokenOffStreamDoesNotLookComplete)
 {
     onRequest = [&](const std::shared_ptr<IExchange>& exchange) {
@@ -193,8 +193,8 @@
     BOOST_TEST(all.find("0\r\n\r\n") == std::string::npos);
 }
 
-// A request's handler failed and let it go, and its caller found its connection closed: neither an answer nor a
-// refusal.
+// Prevents a caller from receiving neither an answer nor a refusal: the request's handler failed and dropped it, and
+// the connection was closed.
 BOOST_AUTO_TEST_CASE(aDroppedExchangeIsAnsweredWith500)
 {
     onRequest = [](const std::shared_ptr<IExchange>&) {};
@@ -240,8 +240,8 @@
     BOOST_TEST(all.find("Connection: close") != std::string::npos);
 }
 
-// A router that was being stopped finished a stream on a kept connection and took the next request on it, four seconds
-// into its end; that one was cut when the time was up.
+// Prevents a truncated answer at shutdown: a router finished a stream on a keep-alive connection and accepted the next
+// request on it four seconds into its shutdown, which was aborted when the grace period ended.
 BOOST_AUTO_TEST_CASE(aStreamStartedBeforeDrainingClosesItsConnection)
 {
     std::shared_ptr<IExchange> pending;
@@ -257,8 +257,8 @@
     BOOST_TEST(caller.readToEnd().ends_with("0\r\n\r\n"));
 }
 
-// A caller sent its next request as soon as the answer before had come, and a router that was being stopped had read
-// it when it closed the connection: the request was neither answered nor free to be sent elsewhere.
+// Prevents losing a request at shutdown: a caller sent its next request as soon as the previous answer had arrived, and
+// the router had read it when it closed the connection. The request was neither answered nor safe to retry elsewhere.
 BOOST_AUTO_TEST_CASE(aReceivedRequestIsAnsweredBeforeItsConnectionCloses)
 {
     std::shared_ptr<IExchange> pending;
@@ -280,7 +280,8 @@
     BOOST_TEST(all.find("Connection: close") != std::string::npos);
 }
 
-// At the end nothing is read any more, and whoever worked on a request hears that its caller can't be reached.
+// Prevents handlers from continuing with requests that can no longer be answered: when the server closes all
+// connections, it notifies the handlers of requests in progress.
 BOOST_AUTO_TEST_CASE(closeAllAlsoClosesBusyConnections)
 {
     PendingRequest pending(*this);
@@ -290,8 +291,8 @@
     onThread([&] { BOOST_TEST(server.connections() == 0u); });
 }
 
-// A member read a long report over a slow line. The router had handed all of it to the connection, counted it as idle
-// from then on, and closed it when the time for idle ones was up: the report ended in the middle.
+// Prevents truncating a long answer over a slow link: the router had passed all of it to the connection, considered the
+// connection idle from then on, and closed it at the idle timeout.
 BOOST_AUTO_TEST_CASE(aConnectionWithUnsentBytesIsNotIdle)
 {
     const std::string report(32 * 1024 * 1024, 'x');
@@ -313,8 +314,8 @@
     BOOST_TEST(caller.readToEnd().size() > report.size());
 }
 
-// An old client without chunks had read the first half of its stream when the router's time was up. The connection
-// ended in the ordinary way, which for it is the mark of a whole answer.
+// Prevents a client without support for chunks from mistaking a truncated stream for a complete one: when the router's
+// grace period ended, the connection was closed normally, which such a client takes as the end of the answer.
 BOOST_AUTO_TEST_CASE(aTruncatedStreamWithoutChunksDoesNotLookComplete)
 {
     std::shared_ptr<IExchange> pending;
@@ -328,8 +329,8 @@
     onThread([&] { pending.reset(); });
 }
 
-// A router with little processor time was about to close what was idle, and a member's next request had come whole but
-// hadn't been looked at yet. It was closed over.
+// Prevents losing a request when idle connections are closed: a router with little CPU time had received a complete
+// request but not processed it, and closed its connection as idle.
 BOOST_AUTO_TEST_CASE(aConnectionWithAnUnreadRequestIsNotIdle)
 {
     RawCaller caller(endpoint);
@@ -351,7 +352,7 @@
     BOOST_TEST(caller.readToEnd().find("GET /two ") != std::string::npos);
 }
 
-// Guards against a request that is lost in the listening socket's queue when a busy process stops accepting.
+// Prevents losing a request in the listening socket's queue when a busy process stops accepting.
 BOOST_AUTO_TEST_CASE(aRequestInTheAcceptQueueIsAnswered)
 {
     std::optional<RawCaller> caller;
@@ -364,7 +365,8 @@
     BOOST_TEST(caller->readUntil("GET /queued"));
 }
 
-// A router was to end as soon as nothing was under way, and went while callers had yet to receive what it had answered.
+// Prevents truncated answers at shutdown: a router exited as soon as no request was in progress, while callers were
+// still receiving its last answers.
 BOOST_AUTO_TEST_CASE(aConnectionIsBusyUntilItsAnswerIsSent)
 {
     const std::string report(32 * 1024 * 1024, 'x');
--- a/src/http/tests/fuzz_test.cpp
+++ b/src/http/tests/fuzz_test.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-// Whatever a caller sends, the server answers or closes, and serves the next caller.
+// For any input, the server answers or closes the connection, and continues to serve other callers.
 BOOST_FIXTURE_TEST_CASE(corruptedRequestsDoNotStopTheServer, ExchangeFixture)
 {
     std::mt19937 random(20261202);
--- a/src/http/types/message.h
+++ b/src/http/types/message.h
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <vector>
 
-/// HTTP/1.1 messages as the streaming server and client pass them.
+/// HTTP/1.1 messages of the streaming server and client.
 namespace lagoon::http {
 
 struct HeaderField {
@@ -14,17 +14,17 @@
     std::string value;
 };
 
-/// Header fields in the order in which they came. Names compare without regard to case.
+/// Header fields in the order in which they were received or added. Names are case-insensitive.
 class Headers {
 public:
     void add(std::string name, std::string value);
-    /// Replaces all fields of that name by one.
+    /// Replaces all fields of this name with one.
     void set(std::string name, std::string value);
     void remove(std::string_view name);
-    /// The first field's value.
+    /// Returns the value of the first field of this name, or std::nullopt if there is none.
     std::optional<std::string_view> find(std::string_view name) const;
     std::size_t count(std::string_view name) const;
-    /// Whether a comma-separated list under `name` holds the token.
+    /// Returns whether a field of this name contains the token in its comma-separated list.
     bool hasToken(std::string_view name, std::string_view token) const;
     const std::vector<HeaderField>& fields() const { return fields_; }
 
@@ -32,12 +32,12 @@
     std::vector<HeaderField> fields_;
 };
 
-/// Whether two texts are equal but for the case of ASCII letters.
+/// Compares two texts, ignoring the case of ASCII letters.
 bool equalsIgnoringCase(std::string_view left, std::string_view right);
 
 struct Request {
     std::string method;
-    /// Path and query as they came.
+    /// Path and query as received.
     std::string target;
     Headers headers;
     std::string body;
@@ -54,14 +54,14 @@
     std::string body;
 };
 
-/// Whether a field of this name concerns one connection only (RFC 9110, 7.6.1), or frames the message on it.
+/// Returns whether a field of this name concerns a single connection (RFC 9110, 7.6.1) or the framing of a message.
 bool isConnectionField(std::string_view name);
 
-/// Removes what concerns one connection only, the fields that `Connection` names, and the framing,
-/// which whoever sends the message on sets anew.
+/// Removes the fields that concern a single connection, those that `Connection` lists, and the framing fields, which
+/// the sender of the forwarded message sets again.
 void removeConnectionFields(Headers&);
 
-/// The customary words for a status; "Status" for unknown ones.
+/// Returns the standard reason phrase of a status, or "Status" for unknown ones.
 std::string_view reasonText(unsigned status);
 
 } // namespace lagoon::http
