--- a/src/wire/ilink.h
+++ b/src/wire/ilink.h
@@ -7,39 +7,40 @@
 #include <functional>
 #include <memory>
 
-/// Framed TCP links between the system's own processes.
+/// Framed TCP links between the processes of this system.
 namespace lagoon::wire {
 
 /// One open connection. Thread-safe.
 class ILink {
 public:
     virtual ~ILink() = default;
-    /// Queues the message. A link whose peer reads so slowly that the queue passes its limit is closed instead:
-    /// memory stays bounded, and the peer settles its requests over a new link.
+    /// Queues the message. If the peer reads so slowly that the queue exceeds its limit, the link is closed instead:
+    /// this bounds the memory, and the peer resolves its requests over a new link.
     virtual void send(const Message&) = 0;
-    /// No handler is called for this link once the running one has ended; `onClosed` isn't either.
+    /// Closes the link. After a handler that is currently running, none is called any more, including `onClosed`.
     virtual void close() = 0;
     virtual const framework::Endpoint& peer() const = 0;
 };
 
-/// What happens on a link. Called on traffic threads, for one link never two at once.
+/// Handlers for the events of a link. Called on the transport's threads, and never concurrently for the same link.
 struct LinkHandlers {
     std::function<void(const std::shared_ptr<ILink>&, Message)> onMessage;
-    /// The link ended by itself: cut, refused, or a bad frame.
+    /// Called when the link has failed: its connection was refused or lost, or it received an invalid frame.
     std::function<void(const std::shared_ptr<ILink>&, const framework::Error&)> onClosed;
 };
 
-/// Makes links. The implementation owns the traffic threads.
+/// Creates links. The implementation owns the threads that their handlers run on.
 class ILinkTransport {
 public:
     virtual ~ILinkTransport() = default;
-    /// Returns at once; what is sent before the connection stands is sent then. A failure comes as `onClosed`.
+    /// Returns without blocking. Messages are queued until the connection is established. Failures are reported by
+    /// `onClosed`.
     virtual std::shared_ptr<ILink> connect(const framework::Endpoint&, LinkHandlers) = 0;
-    /// Accepts links on the endpoint (port 0: any free one) and returns the one in use.
+    /// Accepts links on the endpoint and returns the one in use; port 0 selects any free port.
     virtual framework::Result<framework::Endpoint> listen(const framework::Endpoint&, LinkHandlers) = 0;
-    /// Accepts no more; open links stay.
+    /// Stops accepting links. Open links are not affected.
     virtual void stopListening() = 0;
-    /// Closes everything and joins the threads.
+    /// Stops all links and joins the threads.
     virtual void stop() = 0;
 };
 
--- a/src/wire/internal/message.cpp
+++ b/src/wire/internal/message.cpp
@@ -29,7 +29,7 @@
 
 bool hasAllParts(const fb::EngineStateT& state) { return areNonNull(state.held) && areNonNull(state.expected); }
 
-/// Handlers dereference ids and targets without asking, so a frame that lacks them ends here.
+/// Returns whether all ids and targets are present, since handlers dereference them without checks.
 bool isComplete(const fb::BodyUnion& body)
 {
     switch (body.type) {
@@ -83,8 +83,8 @@
 {
     flatbuffers::FlatBufferBuilder builder;
     builder.Finish(fb::Frame::Pack(builder, &message));
-    // Not FlatBuffers' own size prefix: it aligns the content for a buffer that includes the prefix, while the reader
-    // has the content alone.
+    // FlatBuffers' own size prefix is not used, since it aligns the content for a buffer that includes the prefix,
+    // while the reader's buffer contains the content alone.
     std::vector<std::uint8_t> bytes(lengthPrefixBytes + builder.GetSize());
     for (std::size_t index = 0; index < lengthPrefixBytes; ++index)
         bytes[index] = static_cast<std::uint8_t>(builder.GetSize() >> (8 * index));
--- a/src/wire/internal/tcplink.cpp
+++ b/src/wire/internal/tcplink.cpp
@@ -143,7 +143,8 @@
 {
     if (isClosed_)
         return;
-    // The handlers go with the socket: they hold their owner, which holds this link.
+    // The handlers reference their owner, which references this link, so the handler is copied before the socket
+    // closes.
     auto onClosed = handlers_.onClosed;
     closeSocket();
     if (onClosed)
--- a/src/wire/internal/tcplink.h
+++ b/src/wire/internal/tcplink.h
@@ -14,7 +14,7 @@
 
 namespace lagoon::wire {
 
-/// One TCP connection; all its state belongs to its strand.
+/// One TCP connection. All its state is used on its strand only.
 class TcpLink final : public ILink, public std::enable_shared_from_this<TcpLink> {
 public:
     using Strand = boost::asio::strand<boost::asio::any_io_executor>;
@@ -26,7 +26,7 @@
     /// Starts reading and writing on a connected socket.
     void start();
     void startConnecting(const boost::asio::ip::tcp::endpoint&);
-    /// For an endpoint that isn't an address: fails as a connection would, later, on the strand.
+    /// Fails asynchronously on the strand, as a connection would. Used for endpoints that are not addresses.
     void failLater(framework::Error);
 
     void send(const Message&) override;
--- a/src/wire/linktransport.h
+++ b/src/wire/linktransport.h
@@ -11,14 +11,14 @@
 
 struct LinkSettings {
     std::size_t threads = 2;
-    /// A longer frame closes the link.
+    /// A link that receives a longer frame is closed.
     std::size_t maxFrameBytes = 8 * 1024 * 1024;
-    /// More waiting to be sent than this closes the link.
+    /// A link with more unsent bytes is closed.
     std::size_t maxQueuedBytes = 64 * 1024 * 1024;
     framework::Milliseconds connectTimeout { 1000 };
 };
 
-/// Links over TCP by Boost.Asio, with threads of their own.
+/// Creates a transport for TCP links, based on Boost.Asio, with its own threads.
 std::shared_ptr<ILinkTransport> makeTcpLinkTransport(const LinkSettings&, std::shared_ptr<framework::Metrics>);
 
 } // namespace lagoon::wire
--- a/src/wire/testing/faketransport.h
+++ b/src/wire/testing/faketransport.h
@@ -9,7 +9,7 @@
 /// For the unit tests of all modules; never part of the program.
 namespace lagoon::wire {
 
-/// A link whose other end is the test.
+/// A link whose remote end is simulated by the test.
 class FakeLink final : public ILink, public std::enable_shared_from_this<FakeLink> {
 public:
     FakeLink(framework::Endpoint peer, LinkHandlers handlers)
@@ -22,14 +22,14 @@
     void close() override { isClosed_ = true; }
     const framework::Endpoint& peer() const override { return peer_; }
 
-    /// The other end sends.
+    /// Simulates a message from the remote end.
     void deliver(Message);
-    /// The connection breaks.
+    /// Simulates a lost connection.
     void cut(const std::string& step = "read");
     bool isClosed() const { return isClosed_; }
-    /// What was sent and not taken yet.
+    /// Removes and returns all sent messages.
     std::vector<Message> takeSent();
-    /// The last message of that type among what was sent and not taken; ends the test's case if there is none.
+    /// Removes and returns the last sent message of this type; throws, and so fails the test case, if there is none.
     Message takeSent(fb::Body);
 
 private:
@@ -39,7 +39,7 @@
     std::vector<Message> sent_;
 };
 
-/// Makes fake links and remembers them.
+/// Creates fake links and keeps them.
 class FakeTransport final : public ILinkTransport {
 public:
     std::shared_ptr<ILink> connect(const framework::Endpoint&, LinkHandlers) override;
@@ -47,7 +47,7 @@
     void stopListening() override { }
     void stop() override { }
 
-    /// The newest link to the endpoint; null if there is none.
+    /// Returns the newest link to the endpoint, or null if there is none.
     std::shared_ptr<FakeLink> newest(const framework::Endpoint&) const;
     std::size_t connections() const { return links_.size(); }
 
--- a/src/wire/tests/link_test.cpp
+++ b/src/wire/tests/link_test.cpp
@@ -19,7 +19,7 @@
     return LinkHandlers { std::move(onMessage), std::move(onClosed) };
 }
 
-/// Writes bytes to an endpoint as a stranger would.
+/// Opens a plain connection, over which a test can send invalid frames.
 boost::asio::ip::tcp::socket connectRaw(boost::asio::io_context& context, const Endpoint& to)
 {
     boost::asio::ip::tcp::socket socket(context);
@@ -65,8 +65,9 @@
     transport->stop();
 }
 
-// A stranger, or a defect, sends a frame that claims 4 GB. The link must be closed at once without taking the memory,
-// be counted, and the process must go on serving others.
+// Prevents a frame that claims to have 4 GB, from a foreign process or due to a defect, from exhausting the memory. The
+// link must be closed at once without allocating the memory and be counted, and the process must continue to serve
+// others.
 BOOST_AUTO_TEST_CASE(anOversizedFrameClosesOnlyItsLink)
 {
     auto metrics = std::make_shared<Metrics>();
--- a/src/wire/tests/message_test.cpp
+++ b/src/wire/tests/message_test.cpp
@@ -45,8 +45,8 @@
     BOOST_TEST(decodeAll(encode(two)).has_error());
 }
 
-// A damaged frame reaches a process: each byte in turn, or several at once, have other values, or the end is missing.
-// Decoding must give an error or a message, and never read outside the frame.
+// Prevents corrupted frames, with one or several changed bytes or a missing end, from harming a process: decoding must
+// return an error or a message, and never read outside the frame.
 BOOST_AUTO_TEST_CASE(corruptedFramesAreDecodedSafely)
 {
     const std::vector<std::uint8_t> encodedFrame = encode(dispatch());
--- a/src/wire/types/message.h
+++ b/src/wire/types/message.h
@@ -9,7 +9,7 @@
 
 namespace lagoon::wire {
 
-/// A frame's content, owned.
+/// The content of a frame, in owned objects.
 using Message = fb::FrameT;
 
 /// Wraps one body, such as `fb::PingT`, as a message.
@@ -20,16 +20,16 @@
     return wrapped;
 }
 
-/// Bytes of a frame's length on the wire, little-endian, without themselves.
+/// Size of a frame's length prefix on the wire. The length is little-endian and does not include the prefix.
 inline constexpr std::size_t lengthPrefixBytes = 4;
 
-/// Length prefix and FlatBuffer, ready for the socket.
+/// Encodes a message as length prefix and FlatBuffer.
 std::vector<std::uint8_t> encode(const Message&);
-/// Reads one frame without its length prefix. Refuses whatever the verifier refuses, an unknown type, or a body that
-/// lacks one of the parts that every handler relies on (ids, targets).
+/// Decodes one frame without its length prefix. Returns an error if the FlatBuffers verifier fails, the type is
+/// unknown, or the body lacks a part on which all handlers rely (ids, targets).
 framework::Result<Message> decode(const std::uint8_t* bytes, std::size_t size);
 
-/// A target as text for logs, labels and map keys: `model/adapter`, `model` or `service:name`.
+/// Formats a target for logs, labels and map keys: `model/adapter`, `model` or `service:name`.
 std::string targetText(const fb::TargetT&);
 
 } // namespace lagoon::wire
