--- a/src/agent/agentsettings.h
+++ b/src/agent/agentsettings.h
@@ -45,7 +45,7 @@
     UpstreamSettings upstream;
     AgentLimits limits;
     /// From the request to end until the process is ended by force.
-    framework::Milliseconds shutdownGrace = framework::usualGrace;
+    framework::Milliseconds shutdownGrace = framework::defaultGrace;
 };
 
 /// Reads and checks the settings of an agent. `source` is the file, for the error.
--- a/src/agent/internal/agentsettings.cpp
+++ b/src/agent/internal/agentsettings.cpp
@@ -24,7 +24,7 @@
 UpstreamSettings readUpstream(CheckedObject object)
 {
     UpstreamSettings upstream;
-    const bool isService = object.wordOr("kind", "engine", { "engine", "service" }) == "service";
+    const bool isService = object.choiceOr("kind", "engine", { "engine", "service" }) == "service";
     upstream.kind = isService ? UpstreamKind::Service : UpstreamKind::Engine;
     upstream.url = object.text("url");
     if (upstream.url.rfind("http://", 0) != 0 || !web::uri::validate(upstream.url))
@@ -56,7 +56,7 @@
     BOOST_OUTCOME_TRY(value, framework::parseJson(text, source, code));
     CheckedObject object(value, source, "", code);
     AgentSettings settings;
-    object.wordOr("role", "agent", { "agent" });
+    object.choiceOr("role", "agent", { "agent" });
     settings.identity = framework::readProcessIdentity(object);
     settings.pool = framework::PoolName(object.text("pool"));
     settings.link = framework::readEndpoint(object, "link");
--- a/src/agent/tests/requestgate_test.cpp
+++ b/src/agent/tests/requestgate_test.cpp
@@ -385,7 +385,7 @@
 {
     dispatch(1);
     dispatch(2);
-    gate->beginDraining(framework::ServiceEnd::after(control.now(), framework::usualGrace));
+    gate->beginDraining(framework::ServiceEnd::after(control.now(), framework::defaultGrace));
     dispatch(3);
     checkRefused(*link, ErrorCode::Draining, Execution::NotRun);
     for (const std::size_t call : { 0, 1 }) {
--- a/src/app/icommand.h
+++ b/src/app/icommand.h
@@ -20,8 +20,8 @@
     virtual std::string name() const = 0;
     /// One line for the program's help.
     virtual std::string summary() const = 0;
-    /// `words` are those after the command's name. Returns the exit code.
-    virtual int run(const std::vector<std::string>& words) = 0;
+    /// `arguments` are those after the command's name. Returns the exit code.
+    virtual int run(const std::vector<std::string>& arguments) = 0;
 };
 
 using Commands = std::vector<std::unique_ptr<ICommand>>;
--- a/src/app/internal/agentcommand.cpp
+++ b/src/app/internal/agentcommand.cpp
@@ -13,7 +13,7 @@
     agent::Agent agent(settings);
     const auto endpoints = agent.start();
     if (endpoints.has_error())
-        return failProcess("agent", endpoints.error(), ExitFailure);
+        return reportStartFailure("agent", endpoints.error(), ExitFailure);
     printReadyLine(
         "agent", settings.identity.vm, { { "link", endpoints.value().link }, { "ops", endpoints.value().ops } });
     framework::waitForTermination();
@@ -25,9 +25,9 @@
 public:
     std::string name() const override { return "agent"; }
     std::string summary() const override { return "be the gate to one upstream"; }
-    int run(const std::vector<std::string>& words) override
+    int run(const std::vector<std::string>& arguments) override
     {
-        return runProcess<agent::AgentSettings>(name(), words, agent::parseAgentSettings, serve);
+        return runProcess<agent::AgentSettings>(name(), arguments, agent::parseAgentSettings, serve);
     }
 };
 
--- a/src/app/internal/bundlecommands.cpp
+++ b/src/app/internal/bundlecommands.cpp
@@ -27,8 +27,8 @@
 void printSummary(const Bundle& bundle)
 {
     std::size_t adapters = 0;
-    for (const auto& [model, ofModel] : bundle.adapters)
-        adapters += ofModel.size();
+    for (const auto& [model, modelAdapters] : bundle.adapters)
+        adapters += modelAdapters.size();
     std::uint64_t replicas = 0;
     for (const auto& [key, count] : bundle::decidedCounts(bundle))
         replicas += count;
@@ -42,13 +42,13 @@
     std::string name() const override { return "check"; }
     std::string summary() const override { return "check a bundle's file"; }
 
-    int run(const std::vector<std::string>& words) override
+    int run(const std::vector<std::string>& arguments) override
     {
         CommandLine line("bundle check", "FILE");
         std::string file;
         line.options()("file", options::value(&file)->required(), "the bundle in JSON; - is standard input");
-        line.place("file");
-        if (const auto exitCode = line.parse(words))
+        line.addPositional("file");
+        if (const auto exitCode = line.parse(arguments))
             return *exitCode;
         const auto bundle = readBundle(file);
         if (!bundle)
@@ -63,18 +63,18 @@
     std::string name() const override { return "sign-off"; }
     std::string summary() const override { return "store a bundle, for good and for all sites"; }
 
-    int run(const std::vector<std::string>& words) override
+    int run(const std::vector<std::string>& arguments) override
     {
         CommandLine line("bundle sign-off", "FILE --platform URL --operator NAME");
         std::string file;
         PlatformOptions platform;
         line.options()("file", options::value(&file)->required(), "the bundle in JSON; - is standard input");
-        line.place("file");
+        line.addPositional("file");
         addPlatformOptions(line, platform, OperatorOption::Required);
-        if (const auto exitCode = line.parse(words))
+        if (const auto exitCode = line.parse(arguments))
             return *exitCode;
-        if (const auto fault = faultOf(platform, OperatorOption::Required))
-            return line.refuse(*fault);
+        if (const auto fault = validationError(platform, OperatorOption::Required))
+            return line.reportUsageError(*fault);
         return signOff(file, platform);
     }
 
@@ -85,7 +85,7 @@
         if (!bundle)
             return reportFailure(bundle.error());
         const auto manifest
-            = bundle::signOff(*connect(platform).store, bundle.value(), actOf(platform), deadlineOf(platform));
+            = bundle::signOff(*connect(platform).store, bundle.value(), operatorAct(platform), deadlineOf(platform));
         if (!manifest)
             return reportFailure(manifest.error());
         printSummary(bundle.value());
@@ -100,20 +100,20 @@
     std::string name() const override { return "roll-out"; }
     std::string summary() const override { return "bring a signed-off bundle into force everywhere"; }
 
-    int run(const std::vector<std::string>& words) override
+    int run(const std::vector<std::string>& arguments) override
     {
         CommandLine line("bundle roll-out", "VERSION --platform URL --operator NAME");
         std::uint64_t version = 0;
         PlatformOptions platform;
         line.options()("version", options::value(&version)->required(), "of a bundle that was signed off");
-        line.place("version");
+        line.addPositional("version");
         addPlatformOptions(line, platform, OperatorOption::Required);
-        if (const auto exitCode = line.parse(words))
+        if (const auto exitCode = line.parse(arguments))
             return *exitCode;
-        if (const auto fault = faultOf(platform, OperatorOption::Required))
-            return line.refuse(*fault);
+        if (const auto fault = validationError(platform, OperatorOption::Required))
+            return line.reportUsageError(*fault);
         const auto result = bundle::rollOut(
-            *connect(platform).store, framework::BundleVersion(version), actOf(platform), deadlineOf(platform));
+            *connect(platform).store, framework::BundleVersion(version), operatorAct(platform), deadlineOf(platform));
         if (!result)
             return reportFailure(result.error());
         std::cout << "version " << version << " is in force, before it " << result.value().previous << "; "
--- a/src/app/internal/bundlestatuscommand.cpp
+++ b/src/app/internal/bundlestatuscommand.cpp
@@ -113,7 +113,7 @@
     std::string name() const override { return "status"; }
     std::string summary() const override { return "show what is in force, claimed and loaded"; }
 
-    int run(const std::vector<std::string>& words) override
+    int run(const std::vector<std::string>& arguments) override
     {
         CommandLine line("bundle status", "--platform URL [--process ENDPOINT]...");
         PlatformOptions platform;
@@ -121,10 +121,10 @@
         addPlatformOptions(line, platform, OperatorOption::None);
         line.options()("process", options::value(&processes)->composing()->value_name("ENDPOINT"),
             "ask the process with this ops endpoint, address:port, for the version that it has in force");
-        if (const auto exitCode = line.parse(words))
+        if (const auto exitCode = line.parse(arguments))
             return *exitCode;
-        if (const auto fault = faultOf(platform, OperatorOption::None))
-            return line.refuse(*fault);
+        if (const auto fault = validationError(platform, OperatorOption::None))
+            return line.reportUsageError(*fault);
         return print(platform, processes);
     }
 
--- a/src/app/internal/claimcommand.cpp
+++ b/src/app/internal/claimcommand.cpp
@@ -12,10 +12,10 @@
 
 namespace options = boost::program_options;
 
-constexpr std::size_t shortestReason = 8;
-constexpr std::size_t longestReason = 500;
+constexpr std::size_t minReasonLength = 8;
+constexpr std::size_t maxReasonLength = 500;
 
-struct ReleaseWords {
+struct ReleaseArguments {
     std::string site;
     std::string model;
     std::string adapter;
@@ -28,29 +28,29 @@
     std::string name() const override { return "release"; }
     std::string summary() const override { return "free the claim of a VM that will never free it itself"; }
 
-    int run(const std::vector<std::string>& words) override
+    int run(const std::vector<std::string>& arguments) override
     {
         CommandLine line("claim release",
             "--site SITE --model MODEL [--adapter ADAPTER] --vm VM --reason TEXT --operator NAME --platform URL");
-        ReleaseWords parsed;
+        ReleaseArguments parsed;
         PlatformOptions platform;
         addReleaseOptions(line, parsed);
         addPlatformOptions(line, platform, OperatorOption::Required);
-        if (const auto exitCode = line.parse(words))
+        if (const auto exitCode = line.parse(arguments))
             return *exitCode;
-        if (const auto fault = faultOf(platform, OperatorOption::Required))
-            return line.refuse(*fault);
+        if (const auto fault = validationError(platform, OperatorOption::Required))
+            return line.reportUsageError(*fault);
         const bundle::ClaimRelease claim = claimOf(parsed);
         if (!objectstore::isObjectKey(claim.key))
-            return line.refuse("--site, --model, --adapter: expected names as in the bundle");
-        if (claim.reason.size() < shortestReason || claim.reason.size() > longestReason)
-            return line.refuse("--reason: expected " + std::to_string(shortestReason) + " to "
-                + std::to_string(longestReason) + " characters");
+            return line.reportUsageError("--site, --model, --adapter: expected names as in the bundle");
+        if (claim.reason.size() < minReasonLength || claim.reason.size() > maxReasonLength)
+            return line.reportUsageError("--reason: expected " + std::to_string(minReasonLength) + " to "
+                + std::to_string(maxReasonLength) + " characters");
         return release(claim, platform);
     }
 
 private:
-    static void addReleaseOptions(CommandLine& line, ReleaseWords& parsed)
+    static void addReleaseOptions(CommandLine& line, ReleaseArguments& parsed)
     {
         auto add = line.options();
         add("site", options::value(&parsed.site)->required(), "site of the claim");
@@ -61,7 +61,7 @@
             "why the model is certainly gone from the VM: its engine isn't asked, and another VM may load it at once");
     }
 
-    static bundle::ClaimRelease claimOf(const ReleaseWords& parsed)
+    static bundle::ClaimRelease claimOf(const ReleaseArguments& parsed)
     {
         const auto key = bundle::replicaKey(framework::SiteName(parsed.site), framework::ModelName(parsed.model),
             framework::AdapterName(parsed.adapter));
@@ -71,7 +71,7 @@
     static int release(const bundle::ClaimRelease& claim, const PlatformOptions& platform)
     {
         const auto object
-            = bundle::releaseClaim(*connect(platform).store, claim, actOf(platform), deadlineOf(platform));
+            = bundle::releaseClaim(*connect(platform).store, claim, operatorAct(platform), deadlineOf(platform));
         if (!object)
             return reportFailure(object.error());
         std::cout << claim.key << ": " << claim.vm << " released, " << object.value().holders.size()
--- a/src/app/internal/commandgroup.cpp
+++ b/src/app/internal/commandgroup.cpp
@@ -21,20 +21,20 @@
     std::string name() const override { return name_; }
     std::string summary() const override { return summary_; }
 
-    int run(const std::vector<std::string>& words) override
+    int run(const std::vector<std::string>& arguments) override
     {
-        if (words.empty()) {
+        if (arguments.empty()) {
             printHelp(std::cerr);
             return ExitUsage;
         }
-        if (words.front() == "--help") {
+        if (arguments.front() == "--help") {
             printHelp(std::cout);
             return ExitSuccess;
         }
-        ICommand* const command = findCommand(commands_, words.front());
+        ICommand* const command = findCommand(commands_, arguments.front());
         if (command)
-            return command->run({ words.begin() + 1, words.end() });
-        std::cerr << "lagoonrouter " << name_ << ": no command \"" << words.front() << "\"\n";
+            return command->run({ arguments.begin() + 1, arguments.end() });
+        std::cerr << "lagoonrouter " << name_ << ": no command \"" << arguments.front() << "\"\n";
         printHelp(std::cerr);
         return ExitUsage;
     }
--- a/src/app/internal/commandline.cpp
+++ b/src/app/internal/commandline.cpp
@@ -10,31 +10,32 @@
 
 CommandLine::CommandLine(std::string name, const std::string& usage)
     : name_(std::move(name))
-    , described_("usage: lagoonrouter " + name_ + " " + usage)
+    , description_("usage: lagoonrouter " + name_ + " " + usage)
 {
-    described_.add_options()("help", "print this");
+    description_.add_options()("help", "print this");
 }
 
-void CommandLine::place(const std::string& option) { places_.add(option.c_str(), 1); }
+void CommandLine::addPositional(const std::string& option) { positionals_.add(option.c_str(), 1); }
 
-int CommandLine::refuse(const std::string& fault) const
+int CommandLine::reportUsageError(const std::string& fault) const
 {
-    std::cerr << "lagoonrouter " << name_ << ": " << fault << "\n" << described_;
+    std::cerr << "lagoonrouter " << name_ << ": " << fault << "\n" << description_;
     return ExitUsage;
 }
 
-std::optional<int> CommandLine::parse(const std::vector<std::string>& words)
+std::optional<int> CommandLine::parse(const std::vector<std::string>& arguments)
 {
     try {
-        const auto parsed = options::command_line_parser(words).options(described_).positional(places_).run();
+        const auto parsed
+            = options::command_line_parser(arguments).options(description_).positional(positionals_).run();
         options::store(parsed, values_);
         if (has("help")) {
-            std::cout << described_;
+            std::cout << description_;
             return ExitSuccess;
         }
         options::notify(values_);
     } catch (const options::error& error) {
-        return refuse(error.what());
+        return reportUsageError(error.what());
     }
     return std::nullopt;
 }
--- a/src/app/internal/commandline.h
+++ b/src/app/internal/commandline.h
@@ -13,19 +13,19 @@
     /// `name` as in `bundle roll-out`; `usage` is what follows it.
     CommandLine(std::string name, const std::string& usage);
 
-    boost::program_options::options_description_easy_init options() { return described_.add_options(); }
+    boost::program_options::options_description_easy_init options() { return description_.add_options(); }
     /// The next word that isn't an option's goes to this one.
-    void place(const std::string& option);
+    void addPositional(const std::string& option);
     /// The exit code if there is nothing to run.
-    std::optional<int> parse(const std::vector<std::string>& words);
+    std::optional<int> parse(const std::vector<std::string>& arguments);
     bool has(const std::string& option) const { return values_.count(option) > 0; }
     /// Says what is wrong with the words. Returns the exit code.
-    int refuse(const std::string& fault) const;
+    int reportUsageError(const std::string& fault) const;
 
 private:
     std::string name_;
-    boost::program_options::options_description described_;
-    boost::program_options::positional_options_description places_;
+    boost::program_options::options_description description_;
+    boost::program_options::positional_options_description positionals_;
     boost::program_options::variables_map values_;
 };
 
--- a/src/app/internal/directagentcommand.cpp
+++ b/src/app/internal/directagentcommand.cpp
@@ -3,8 +3,8 @@
 #include "app/internal/directprocess.h"
 #include "direct/directagent.h"
 #include "platform/agentsources.h"
-#include "platform/enginecalls.h"
-#include "platform/storecalls.h"
+#include "platform/engineclient.h"
+#include "platform/storeclient.h"
 
 namespace lagoon::app {
 
@@ -17,29 +17,29 @@
     framework::SystemClock clock;
     framework::ControlThread control;
     framework::EventThread traffic;
-    platform::StoreCalls store(traffic, control, settings.objectStore);
-    platform::StoreFences fences(store, settings.identity.vm);
-    platform::StoreProfiles profiles(store);
-    platform::EngineCalls engine(traffic, control, settings.engine);
+    platform::StoreClient store(traffic, control, settings.objectStore);
+    platform::StoreFencingTokenSource fences(store, settings.identity.vm);
+    platform::StoreProfileSource profiles(store);
+    platform::EngineClient engine(traffic, control, settings.engine);
     direct::DirectAgent agent(
         { control, traffic, clock, std::make_shared<framework::Metrics>(), engine, fences, profiles }, settings);
     const auto endpoints = agent.start();
     if (endpoints.has_error())
-        return failProcess("direct-agent", endpoints.error(), ExitFailure);
+        return reportStartFailure("direct-agent", endpoints.error(), ExitFailure);
     // Nothing that it is told changes while it runs.
-    process.waitForEnd([](const direct::DirectAgentSettings&) { logDecision(framework::LogLine("reloaded")); });
+    process.waitForShutdown([](const direct::DirectAgentSettings&) { logDecision(framework::LogLine("reloaded")); });
     logDecision(framework::LogLine("stopped"));
     // No request passes through it: what its engine does goes on, and the next agent takes it over.
-    Process::end();
+    Process::exitProcess();
 }
 
 class DirectAgentCommand final : public ICommand {
 public:
     std::string name() const override { return "direct-agent"; }
     std::string summary() const override { return "keep the models of the engine beside it as routers want them"; }
-    int run(const std::vector<std::string>& words) override
+    int run(const std::vector<std::string>& arguments) override
     {
-        return Process(name(), direct::parseDirectAgentSettings).run(words, serve);
+        return Process(name(), direct::parseDirectAgentSettings).run(arguments, serve);
     }
 };
 
--- a/src/app/internal/directprocess.h
+++ b/src/app/internal/directprocess.h
@@ -16,11 +16,11 @@
 namespace lagoon::app {
 
 /// The settings file may change without a signal; reading a few hundred bytes this often costs nothing.
-inline constexpr framework::Milliseconds settingsCheckEach { 2000 };
+inline constexpr framework::Milliseconds settingsPollInterval { 2000 };
 
 /// For the last lines of the log, at a process's end. Writing takes under a millisecond a line; a reader that doesn't
 /// read may not keep the process from ending in time.
-inline constexpr framework::Milliseconds lastLinesWithin { 150 };
+inline constexpr framework::Milliseconds logFlushTimeout { 150 };
 
 /// What the commands of direct processes have in common: `--settings FILE`, structured logs, checked settings, which
 /// are taken up anew on SIGHUP and when the file has changed.
@@ -35,48 +35,48 @@
     {
     }
 
-    int run(const std::vector<std::string>& words, const std::function<int(DirectProcess&, const Settings&)>& serve)
+    int run(const std::vector<std::string>& arguments, const std::function<int(DirectProcess&, const Settings&)>& serve)
     {
-        const SettingsOption option = parseSettingsOption(role_, words);
+        const SettingsOption option = parseSettingsOption(role_, arguments);
         if (option.exitCode)
             return *option.exitCode;
         file_ = option.file;
         framework::startDecisionLog(role_);
-        framework::holdProcessSignals();
+        framework::blockProcessSignals();
         const auto settings = read();
         if (settings.has_error())
-            return failProcess(role_, settings.error(), ExitUsage);
+            return reportStartFailure(role_, settings.error(), ExitUsage);
         return serve(*this, settings.value());
     }
 
     /// Returns when the process is to end. Settings that can't be read are refused, and those in force stay.
-    void waitForEnd(const Reload& reload)
+    void waitForShutdown(const Reload& reload)
     {
         while (true) {
-            const auto signal = framework::waitForProcessSignal(settingsCheckEach);
-            readAnew(reload, signal == framework::ProcessSignal::Reload);
+            const auto signal = framework::waitForProcessSignal(settingsPollInterval);
+            reloadSettings(reload, signal == framework::ProcessSignal::Reload);
             if (signal == framework::ProcessSignal::Terminate)
                 return;
         }
     }
 
     /// Ends the process without waiting for its threads, whose work is over: the system closes what they hold.
-    [[noreturn]] static void end()
+    [[noreturn]] static void exitProcess()
     {
-        framework::finishDecisionLog(lastLinesWithin);
+        framework::finishDecisionLog(logFlushTimeout);
         std::_Exit(ExitSuccess);
     }
 
 private:
     /// Also before the end. Guards against a grace period that was shortened just before: the process would be ended by
     /// force over the requests that it still holds.
-    void readAnew(const Reload& reload, bool isAsked)
+    void reloadSettings(const Reload& reload, bool isRequested)
     {
         const std::string before = text_;
         const auto settings = read();
         if (settings.has_error())
             logDecision(framework::LogLine("settings_refused").text("cause", describe(settings.error())));
-        else if (isAsked || text_ != before)
+        else if (isRequested || text_ != before)
             reload(settings.value());
     }
 
--- a/src/app/internal/directroutercommand.cpp
+++ b/src/app/internal/directroutercommand.cpp
@@ -5,7 +5,7 @@
 #include "platform/catalogreader.h"
 #include "platform/kindfeed.h"
 #include "platform/requestdialect.h"
-#include "platform/storecalls.h"
+#include "platform/storeclient.h"
 
 namespace lagoon::app {
 
@@ -18,7 +18,7 @@
     framework::SystemClock clock;
     framework::ControlThread control;
     framework::EventThread traffic;
-    platform::StoreCalls store(traffic, control, settings.objectStore);
+    platform::StoreClient store(traffic, control, settings.objectStore);
     platform::KindFeed configurations(store, "config");
     platform::KindFeed servers(store, "servers");
     const platform::CatalogDecoder decoder;
@@ -28,19 +28,19 @@
         settings);
     const auto endpoints = router.start();
     if (endpoints.has_error())
-        return failProcess("direct-router", endpoints.error(), ExitFailure);
-    process.waitForEnd([&](const direct::DirectRouterSettings& changed) { router.reload(changed); });
+        return reportStartFailure("direct-router", endpoints.error(), ExitFailure);
+    process.waitForShutdown([&](const direct::DirectRouterSettings& changed) { router.reload(changed); });
     router.drain();
-    Process::end();
+    Process::exitProcess();
 }
 
 class DirectRouterCommand final : public ICommand {
 public:
     std::string name() const override { return "direct-router"; }
     std::string summary() const override { return "serve callers, sending requests straight to servers"; }
-    int run(const std::vector<std::string>& words) override
+    int run(const std::vector<std::string>& arguments) override
     {
-        return Process(name(), direct::parseDirectRouterSettings).run(words, serve);
+        return Process(name(), direct::parseDirectRouterSettings).run(arguments, serve);
     }
 };
 
--- a/src/app/internal/platformoptions.cpp
+++ b/src/app/internal/platformoptions.cpp
@@ -16,8 +16,8 @@
 
 namespace {
 
-constexpr std::size_t longestOperatorName = 100;
-constexpr unsigned longestTimeout = 3600;
+constexpr std::size_t maxOperatorNameLength = 100;
+constexpr unsigned maxTimeoutSeconds = 3600;
 /// A command is one short process, so it may call faster than a daemon; still a fraction of what the platform serves.
 constexpr double callsPerSecond = 300;
 constexpr framework::Milliseconds callTimeout { 2000 };
@@ -35,7 +35,7 @@
 bool isOperatorName(const std::string& name)
 {
     const auto isControl = [](unsigned char character) { return std::iscntrl(character) != 0; };
-    return !name.empty() && name.size() <= longestOperatorName && std::none_of(name.begin(), name.end(), isControl);
+    return !name.empty() && name.size() <= maxOperatorNameLength && std::none_of(name.begin(), name.end(), isControl);
 }
 
 } // namespace
@@ -49,14 +49,14 @@
         add("operator", options::value(&parsed.operatorName)->required()->value_name("NAME"), "who does this");
 }
 
-std::optional<std::string> faultOf(const PlatformOptions& parsed, OperatorOption operatorOption)
+std::optional<std::string> validationError(const PlatformOptions& parsed, OperatorOption operatorOption)
 {
     if (!objectstore::isPlatformUrl(parsed.url))
         return "--platform: expected http://address:port without a path";
-    if (parsed.timeout == 0 || parsed.timeout > longestTimeout)
-        return "--timeout: expected 1 to " + std::to_string(longestTimeout) + " seconds";
+    if (parsed.timeout == 0 || parsed.timeout > maxTimeoutSeconds)
+        return "--timeout: expected 1 to " + std::to_string(maxTimeoutSeconds) + " seconds";
     if (operatorOption == OperatorOption::Required && !isOperatorName(parsed.operatorName))
-        return "--operator: expected a name of 1 to " + std::to_string(longestOperatorName) + " characters";
+        return "--operator: expected a name of 1 to " + std::to_string(maxOperatorNameLength) + " characters";
     return std::nullopt;
 }
 
@@ -71,7 +71,7 @@
     return framework::Deadline::after(framework::SystemClock().now(), std::chrono::seconds(parsed.timeout));
 }
 
-bundle::OperatorAct actOf(const PlatformOptions& parsed) { return { parsed.operatorName, utcNow() }; }
+bundle::OperatorAct operatorAct(const PlatformOptions& parsed) { return { parsed.operatorName, utcNow() }; }
 
 int reportFailure(const framework::Error& error)
 {
--- a/src/app/internal/platformoptions.h
+++ b/src/app/internal/platformoptions.h
@@ -22,12 +22,12 @@
 
 void addPlatformOptions(CommandLine&, PlatformOptions&, OperatorOption);
 /// What is wrong with them, if anything.
-std::optional<std::string> faultOf(const PlatformOptions&, OperatorOption);
+std::optional<std::string> validationError(const PlatformOptions&, OperatorOption);
 
 objectstore::ObjectStoreClient connect(const PlatformOptions&);
 framework::Deadline deadlineOf(const PlatformOptions&);
 /// By the options' operator, now.
-bundle::OperatorAct actOf(const PlatformOptions&);
+bundle::OperatorAct operatorAct(const PlatformOptions&);
 /// Prints why it didn't work, and whether it may have all the same. Returns the exit code.
 int reportFailure(const framework::Error&);
 
--- a/src/app/internal/processcommand.h
+++ b/src/app/internal/processcommand.h
@@ -14,7 +14,7 @@
 namespace lagoon::app {
 
 /// Says why the process of this role can't run.
-inline int failProcess(const std::string& role, const framework::Error& error, ExitCode exitCode)
+inline int reportStartFailure(const std::string& role, const framework::Error& error, ExitCode exitCode)
 {
     std::cerr << "lagoonrouter " << role << ": " << describe(error) << "\n";
     return exitCode;
@@ -23,21 +23,21 @@
 /// What the commands that run a process have in common: `--settings FILE`, logs, signals, checked settings. `serve`
 /// runs it to its end and returns the exit code.
 template <typename Settings>
-int runProcess(const std::string& role, const std::vector<std::string>& words,
+int runProcess(const std::string& role, const std::vector<std::string>& arguments,
     framework::Result<Settings> (*parse)(const std::string& text, const std::string& source),
     const std::function<int(const Settings&)>& serve)
 {
-    const SettingsOption option = parseSettingsOption(role, words);
+    const SettingsOption option = parseSettingsOption(role, arguments);
     if (option.exitCode)
         return *option.exitCode;
     framework::startLogging(role);
-    framework::holdProcessSignals();
+    framework::blockProcessSignals();
     const auto text = framework::readSettingsText(option.file);
     if (text.has_error())
-        return failProcess(role, text.error(), ExitUsage);
+        return reportStartFailure(role, text.error(), ExitUsage);
     const auto settings = parse(text.value(), option.file);
     if (settings.has_error())
-        return failProcess(role, settings.error(), ExitUsage);
+        return reportStartFailure(role, settings.error(), ExitUsage);
     return serve(settings.value());
 }
 
--- a/src/app/internal/processstatus.cpp
+++ b/src/app/internal/processstatus.cpp
@@ -15,7 +15,7 @@
 using framework::ErrorCode;
 using framework::Result;
 
-constexpr framework::Milliseconds longestWait { 2000 };
+constexpr framework::Milliseconds requestTimeout { 2000 };
 const std::string step = "read process status";
 
 Result<ProcessStatus> parseStatus(const std::string& text, const std::string& source)
@@ -36,7 +36,7 @@
 
 Result<ProcessStatus> readProcessStatus(const framework::Endpoint& ops, framework::Deadline deadline)
 {
-    const auto wait = std::min(longestWait, deadline.remaining(framework::SystemClock().now()));
+    const auto wait = std::min(requestTimeout, deadline.remaining(framework::SystemClock().now()));
     web::http::client::http_client_config config;
     config.set_timeout(std::max(wait, framework::Milliseconds(1)));
     try {
--- a/src/app/internal/routercommand.cpp
+++ b/src/app/internal/routercommand.cpp
@@ -15,7 +15,7 @@
     router::Router router(settings);
     const auto endpoints = router.start();
     if (endpoints.has_error())
-        return failProcess("router", endpoints.error(), ExitFailure);
+        return reportStartFailure("router", endpoints.error(), ExitFailure);
     printReadyLine("router", settings.identity.vm,
         { { "callers", endpoints.value().callers }, { "link", endpoints.value().link },
             { "ops", endpoints.value().ops } });
@@ -31,9 +31,9 @@
 public:
     std::string name() const override { return "router"; }
     std::string summary() const override { return "serve callers and decide who loads what"; }
-    int run(const std::vector<std::string>& words) override
+    int run(const std::vector<std::string>& arguments) override
     {
-        return runProcess<router::RouterSettings>(name(), words, router::parseRouterSettings, serve);
+        return runProcess<router::RouterSettings>(name(), arguments, router::parseRouterSettings, serve);
     }
 };
 
--- a/src/app/internal/settingscommand.cpp
+++ b/src/app/internal/settingscommand.cpp
@@ -42,13 +42,13 @@
     std::string name() const override { return "check"; }
     std::string summary() const override { return "check a settings file of a router or agent"; }
 
-    int run(const std::vector<std::string>& words) override
+    int run(const std::vector<std::string>& arguments) override
     {
         CommandLine line("settings check", "FILE");
         std::string file;
         line.options()("file", options::value(&file)->required(), "the settings in JSON; - is standard input");
-        line.place("file");
-        if (const auto exitCode = line.parse(words))
+        line.addPositional("file");
+        if (const auto exitCode = line.parse(arguments))
             return *exitCode;
         const auto role = checkSettings(file);
         if (!role)
--- a/src/app/internal/settingsoption.cpp
+++ b/src/app/internal/settingsoption.cpp
@@ -4,13 +4,13 @@
 
 namespace lagoon::app {
 
-SettingsOption parseSettingsOption(const std::string& command, const std::vector<std::string>& words)
+SettingsOption parseSettingsOption(const std::string& command, const std::vector<std::string>& arguments)
 {
     SettingsOption parsed;
     CommandLine line(command, "--settings FILE");
     line.options()("settings", boost::program_options::value(&parsed.file)->required(),
         "the settings in JSON; - is standard input");
-    parsed.exitCode = line.parse(words);
+    parsed.exitCode = line.parse(arguments);
     return parsed;
 }
 
--- a/src/app/internal/settingsoption.h
+++ b/src/app/internal/settingsoption.h
@@ -14,6 +14,6 @@
 };
 
 /// Parses the words; prints help or what is wrong with them.
-SettingsOption parseSettingsOption(const std::string& command, const std::vector<std::string>& words);
+SettingsOption parseSettingsOption(const std::string& command, const std::vector<std::string>& arguments);
 
 } // namespace lagoon::app
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -38,20 +38,20 @@
 
 int main(int argc, char** argv)
 {
-    const std::vector<std::string> words(argv + 1, argv + argc);
+    const std::vector<std::string> arguments(argv + 1, argv + argc);
     const Commands commands = allCommands();
-    if (words.empty()) {
+    if (arguments.empty()) {
         printHelp(commands, std::cerr);
         return ExitUsage;
     }
-    if (words.front() == "--help" || words.front() == "help") {
+    if (arguments.front() == "--help" || arguments.front() == "help") {
         printHelp(commands, std::cout);
         return ExitSuccess;
     }
-    ICommand* const command = findCommand(commands, words.front());
+    ICommand* const command = findCommand(commands, arguments.front());
     if (command)
-        return command->run({ words.begin() + 1, words.end() });
-    std::cerr << "lagoonrouter: no command \"" << words.front() << "\"\n";
+        return command->run({ arguments.begin() + 1, arguments.end() });
+    std::cerr << "lagoonrouter: no command \"" << arguments.front() << "\"\n";
     printHelp(commands, std::cerr);
     return ExitUsage;
 }
--- a/src/bundle/internal/bundlereader.cpp
+++ b/src/bundle/internal/bundlereader.cpp
@@ -84,8 +84,8 @@
     if (!object.has("policy"))
         return;
     CheckedObject numbers = object.object("policy");
-    policy.coldStartWeight = numbers.fractionOr("cold_start_weight", policy.coldStartWeight, 0, largestColdStartWeight);
-    policy.weightLoadsPerSecond = numbers.fractionOr(
+    policy.coldStartWeight = numbers.doubleOr("cold_start_weight", policy.coldStartWeight, 0, largestColdStartWeight);
+    policy.weightLoadsPerSecond = numbers.doubleOr(
         "weight_loads_per_second", policy.weightLoadsPerSecond, fewestLoadsPerSecond, mostLoadsPerSecond);
     policy.weightLoadsAtFullSpeed = static_cast<std::uint32_t>(
         numbers.numberOr("weight_loads_at_full_speed", policy.weightLoadsAtFullSpeed, 1, mostReplicas));
@@ -97,7 +97,7 @@
     Pool pool;
     pool.name = PoolName(readName(object, "name"));
     pool.site = SiteName(readName(object, "site"));
-    const bool isService = object.wordOr("kind", "engine", { "engine", "service" }) == "service";
+    const bool isService = object.choiceOr("kind", "engine", { "engine", "service" }) == "service";
     pool.kind = isService ? PoolKind::Service : PoolKind::Engine;
     if (!isService)
         pool.acceleratorMemory = readMemory(object);
--- a/src/direct/internal/directsettings.cpp
+++ b/src/direct/internal/directsettings.cpp
@@ -22,8 +22,8 @@
     if (!object.has("repeats"))
         return;
     CheckedObject repeats = object.object("repeats");
-    settings.repeatShare = repeats.fractionOr("share", settings.repeatShare, 0, 1);
-    settings.repeatReserve = repeats.fractionOr("reserve", settings.repeatReserve, 0, 100000);
+    settings.repeatShare = repeats.doubleOr("share", settings.repeatShare, 0, 1);
+    settings.repeatReserve = repeats.doubleOr("reserve", settings.repeatReserve, 0, 100000);
     // A part's unknown keys are its own to find.
     (void)repeats.finish();
 }
--- a/src/framework/checkedjson.h
+++ b/src/framework/checkedjson.h
@@ -30,12 +30,13 @@
 
     std::string text(const std::string& key);
     std::string textOr(const std::string& key, std::string fallback);
-    std::uint64_t number(const std::string& key, std::uint64_t least, std::uint64_t most);
-    std::uint64_t numberOr(const std::string& key, std::uint64_t fallback, std::uint64_t least, std::uint64_t most);
-    double fractionOr(const std::string& key, double fallback, double least, double most);
+    std::uint64_t number(const std::string& key, std::uint64_t minValue, std::uint64_t maxValue);
+    std::uint64_t numberOr(
+        const std::string& key, std::uint64_t fallback, std::uint64_t minValue, std::uint64_t maxValue);
+    double doubleOr(const std::string& key, double fallback, double minValue, double maxValue);
     bool flagOr(const std::string& key, bool fallback);
-    /// One of `words`; the fallback is used where the key is absent.
-    std::string wordOr(const std::string& key, std::string fallback, const std::vector<std::string>& words);
+    /// One of `choices`; the fallback is used where the key is absent.
+    std::string choiceOr(const std::string& key, std::string fallback, const std::vector<std::string>& choices);
     bool has(const std::string& key) const;
     /// The object under `key`; a missing or different thing is a fault and gives an empty object.
     CheckedObject object(const std::string& key);
@@ -45,7 +46,7 @@
     /// Names and objects of a JSON object used as a map.
     std::vector<std::pair<std::string, CheckedObject>> entries();
     /// Names and numbers of a JSON object used as a map.
-    std::vector<std::pair<std::string, std::uint64_t>> numberEntries(std::uint64_t least, std::uint64_t most);
+    std::vector<std::pair<std::string, std::uint64_t>> numberEntries(std::uint64_t minValue, std::uint64_t maxValue);
 
     /// Records a fault of the caller's own checks, such as two keys that don't go together.
     void fail(const std::string& key, const std::string& expected);
@@ -64,7 +65,7 @@
     std::string source_;
     std::string path_;
     std::shared_ptr<Fault> fault_;
-    std::vector<std::string> seen_;
+    std::vector<std::string> readKeys_;
 };
 
 } // namespace lagoon::framework
--- a/src/framework/decisionlog.h
+++ b/src/framework/decisionlog.h
@@ -35,14 +35,14 @@
 
 /// Lines that may wait for a reader of standard output that is slow; what comes beyond is dropped and counted in a
 /// line of its own, so that a full pipe never holds a request up. About 100 KiB.
-inline constexpr int queuedLogLines = 512;
+inline constexpr int maxQueuedLogLines = 512;
 
 /// Call once, first thing, in place of `startLogging`: both then write to standard output.
 void startDecisionLog(std::string_view processName);
 /// Queues the line with the time of day; never waits. Without `startDecisionLog` it is dropped. From any thread.
 void logDecision(const LogLine&);
-/// Writes the lines that still wait, and takes no more. Returns once they are written, or after `within` if nobody
+/// Writes the lines that still wait, and takes no more. Returns once they are written, or after `timeout` if nobody
 /// reads standard output. Call once, last thing before the process ends.
-void finishDecisionLog(Milliseconds within);
+void finishDecisionLog(Milliseconds timeout);
 
 } // namespace lagoon::framework
--- a/src/framework/internal/checkedjson.cpp
+++ b/src/framework/internal/checkedjson.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// cpprest's parser recurses with the text, so depth is limited before it sees the text.
-std::size_t deepestNesting(const std::string& text)
+std::size_t nestingDepth(const std::string& text)
 {
     std::size_t depth = 0;
     std::size_t deepest = 0;
@@ -45,7 +45,7 @@
     const auto fault = [&](std::string detail) { return Error { code, "read JSON", source, std::move(detail) }; };
     if (text.size() > limits.bytes)
         return fault("larger than " + std::to_string(limits.bytes) + " bytes");
-    if (deepestNesting(text) > limits.depth)
+    if (nestingDepth(text) > limits.depth)
         return fault("nested deeper than " + std::to_string(limits.depth));
     try {
         std::error_code parseError;
@@ -90,7 +90,7 @@
 
 const web::json::value* CheckedObject::find(const std::string& key, bool isRequired)
 {
-    seen_.push_back(key);
+    readKeys_.push_back(key);
     if (!has(key)) {
         if (isRequired)
             fail(key, "a value, there is none");
@@ -120,37 +120,37 @@
     return fallback;
 }
 
-std::uint64_t CheckedObject::number(const std::string& key, std::uint64_t least, std::uint64_t most)
+std::uint64_t CheckedObject::number(const std::string& key, std::uint64_t minValue, std::uint64_t maxValue)
 {
     const web::json::value* value = find(key, true);
     if (!value)
-        return least;
-    const std::string range = "a whole number from " + std::to_string(least) + " to " + std::to_string(most);
+        return minValue;
+    const std::string range = "a whole number from " + std::to_string(minValue) + " to " + std::to_string(maxValue);
     if (!value->is_number() || !value->as_number().is_uint64()) {
         fail(key, range);
-        return least;
+        return minValue;
     }
     const std::uint64_t number = value->as_number().to_uint64();
-    if (number < least || number > most) {
+    if (number < minValue || number > maxValue) {
         fail(key, range);
-        return least;
+        return minValue;
     }
     return number;
 }
 
 std::uint64_t CheckedObject::numberOr(
-    const std::string& key, std::uint64_t fallback, std::uint64_t least, std::uint64_t most)
+    const std::string& key, std::uint64_t fallback, std::uint64_t minValue, std::uint64_t maxValue)
 {
-    return has(key) ? number(key, least, most) : fallback;
+    return has(key) ? number(key, minValue, maxValue) : fallback;
 }
 
-double CheckedObject::fractionOr(const std::string& key, double fallback, double least, double most)
+double CheckedObject::doubleOr(const std::string& key, double fallback, double minValue, double maxValue)
 {
     if (!has(key))
         return fallback;
     const web::json::value* value = find(key, true);
-    if (!value->is_number() || value->as_double() < least || value->as_double() > most) {
-        fail(key, "a number from " + std::to_string(least) + " to " + std::to_string(most));
+    if (!value->is_number() || value->as_double() < minValue || value->as_double() > maxValue) {
+        fail(key, "a number from " + std::to_string(minValue) + " to " + std::to_string(maxValue));
         return fallback;
     }
     return value->as_double();
@@ -168,15 +168,16 @@
     return value->as_bool();
 }
 
-std::string CheckedObject::wordOr(const std::string& key, std::string fallback, const std::vector<std::string>& words)
+std::string CheckedObject::choiceOr(
+    const std::string& key, std::string fallback, const std::vector<std::string>& choices)
 {
     if (!has(key))
         return fallback;
-    std::string word = text(key);
-    if (std::find(words.begin(), words.end(), word) != words.end())
-        return word;
+    std::string choice = text(key);
+    if (std::find(choices.begin(), choices.end(), choice) != choices.end())
+        return choice;
     std::string expected = "one of";
-    for (const std::string& allowed : words)
+    for (const std::string& allowed : choices)
         expected += " \"" + allowed + "\"";
     fail(key, expected);
     return fallback;
@@ -229,19 +230,20 @@
     if (!object_.is_object())
         return parts;
     for (const auto& [name, value] : object_.as_object()) {
-        seen_.push_back(name);
+        readKeys_.push_back(name);
         parts.emplace_back(name, CheckedObject(value, source_, pathOf(name), fault_));
     }
     return parts;
 }
 
-std::vector<std::pair<std::string, std::uint64_t>> CheckedObject::numberEntries(std::uint64_t least, std::uint64_t most)
+std::vector<std::pair<std::string, std::uint64_t>> CheckedObject::numberEntries(
+    std::uint64_t minValue, std::uint64_t maxValue)
 {
     std::vector<std::pair<std::string, std::uint64_t>> numbers;
     if (!object_.is_object())
         return numbers;
     for (const auto& [name, value] : object_.as_object())
-        numbers.emplace_back(name, number(name, least, most));
+        numbers.emplace_back(name, number(name, minValue, maxValue));
     return numbers;
 }
 
@@ -256,7 +258,7 @@
 {
     if (!fault_->text && object_.is_object()) {
         for (const auto& [name, value] : object_.as_object()) {
-            if (std::find(seen_.begin(), seen_.end(), name) != seen_.end())
+            if (std::find(readKeys_.begin(), readKeys_.end(), name) != readKeys_.end())
                 continue;
             fault_->text = "key \"" + pathOf(name) + "\": unknown key";
             break;
--- a/src/framework/internal/decisionlog.cpp
+++ b/src/framework/internal/decisionlog.cpp
@@ -81,7 +81,7 @@
     auto layout = std::make_shared<log4cxx::PatternLayout>("%d{HH:mm:ss.SSS} " + std::string(processName) + " %m%n");
     auto console = std::make_shared<log4cxx::ConsoleAppender>(layout, log4cxx::ConsoleAppender::getSystemOut());
     auto queue = std::make_shared<log4cxx::AsyncAppender>();
-    queue->setBufferSize(queuedLogLines);
+    queue->setBufferSize(maxQueuedLogLines);
     queue->setBlocking(false);
     queue->addAppender(console);
     log4cxx::BasicConfigurator::configure(queue);
@@ -99,7 +99,7 @@
 /// Guards against the loss of what a process says last, which is what tells how it ended: its queue is written by a
 /// thread that a process's end doesn't wait for. Closing the queue waits for the writer, which may wait for a reader
 /// that has stopped reading; so a thread of its own does it, and is left behind when the time is over.
-void finishDecisionLog(Milliseconds within)
+void finishDecisionLog(Milliseconds timeout)
 {
     if (!isStarted.exchange(false))
         return;
@@ -109,7 +109,7 @@
         queue->close();
         isWritten->set_value();
     }).detach();
-    written.wait_for(within);
+    written.wait_for(timeout);
 }
 
 } // namespace lagoon::framework
--- a/src/framework/internal/readablejson.cpp
+++ b/src/framework/internal/jsonrepair.cpp
@@ -1,4 +1,4 @@
-#include "framework/readablejson.h"
+#include "framework/jsonrepair.h"
 
 #include <algorithm>
 
@@ -28,7 +28,7 @@
         return text_.size();
     }
 
-    std::size_t behindSpace(std::size_t at) const
+    std::size_t skipSpace(std::size_t at) const
     {
         while (at < text_.size() && isSpace(text_[at]))
             ++at;
@@ -63,14 +63,15 @@
     const std::string& text_;
 };
 
-bool isReadable(const std::string& value, JsonLimits limits)
+bool isParsable(const std::string& value, JsonLimits limits)
 {
     return parseJson(value, {}, ErrorCode::BadObject, limits).has_value();
 }
 
 } // namespace
 
-std::string withoutUnreadable(const std::string& text, const std::vector<std::string>& memberNames, JsonLimits limits)
+std::string replaceUnparsableMembers(
+    const std::string& text, const std::vector<std::string>& memberNames, JsonLimits limits)
 {
     const Scanner scanner(text);
     std::string result;
@@ -88,7 +89,7 @@
             continue;
         }
         const std::size_t nameEnd = scanner.endOfString(at);
-        const std::size_t colon = scanner.behindSpace(nameEnd);
+        const std::size_t colon = scanner.skipSpace(nameEnd);
         const std::string name = text.substr(at + 1, nameEnd - std::min(nameEnd, at + 2));
         const bool isMember = colon < text.size() && text[colon] == ':'
             && std::find(memberNames.begin(), memberNames.end(), name) != memberNames.end();
@@ -97,13 +98,13 @@
             at = nameEnd;
             continue;
         }
-        const std::size_t begin = scanner.behindSpace(colon + 1);
+        const std::size_t begin = scanner.skipSpace(colon + 1);
         const std::size_t end = scanner.endOfValue(begin);
         const std::string value = text.substr(begin, end - begin);
         // The value's own depth comes on top of what it stands in.
         const JsonLimits left { limits.bytes, limits.depth - std::min(limits.depth, depth) };
         result.append(text, at, begin - at);
-        result += isReadable(value, left) ? value : "null";
+        result += isParsable(value, left) ? value : "null";
         at = end;
     }
     return result;
--- a/src/framework/internal/processsettings.cpp
+++ b/src/framework/internal/processsettings.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr std::size_t longestPort = 5;
+constexpr std::size_t maxPortDigits = 5;
 
 bool isPort(const std::string& text)
 {
-    if (text.empty() || text.size() > longestPort)
+    if (text.empty() || text.size() > maxPortDigits)
         return false;
     if (text.find_first_not_of("0123456789") != std::string::npos)
         return false;
@@ -47,7 +47,7 @@
 {
     const auto number = [](Milliseconds time) { return static_cast<std::uint64_t>(time.count()); };
     return Milliseconds(
-        settings.numberOr("shutdown_grace_ms", number(usualGrace), number(shortestGrace), number(longestGrace)));
+        settings.numberOr("shutdown_grace_ms", number(defaultGrace), number(minGrace), number(maxGrace)));
 }
 
 Result<std::string> readSettingsText(const std::string& file)
--- a/src/framework/internal/processsignal.cpp
+++ b/src/framework/internal/processsignal.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-void holdProcessSignals()
+void blockProcessSignals()
 {
     const sigset_t signals = processSignals();
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
@@ -42,8 +42,8 @@
 
 void waitForTermination()
 {
-    constexpr Milliseconds lookEach { 3600 * 1000 };
-    while (waitForProcessSignal(lookEach) != ProcessSignal::Terminate) { }
+    constexpr Milliseconds pollInterval { 3600 * 1000 };
+    while (waitForProcessSignal(pollInterval) != ProcessSignal::Terminate) { }
 }
 
 } // namespace lagoon::framework
--- a/src/framework/readablejson.h
+++ b/src/framework/jsonrepair.h
@@ -11,6 +11,7 @@
 /// however deep. All else stays as it is; a name inside such a value isn't looked at.
 ///
 /// For answers in which values of many writers stand side by side: what one of them wrote must not hide the others'.
-std::string withoutUnreadable(const std::string& text, const std::vector<std::string>& memberNames, JsonLimits = {});
+std::string replaceUnparsableMembers(
+    const std::string& text, const std::vector<std::string>& memberNames, JsonLimits = {});
 
 } // namespace lagoon::framework
--- a/src/framework/processsignal.h
+++ b/src/framework/processsignal.h
@@ -13,7 +13,7 @@
 
 /// Blocks SIGTERM, SIGINT and SIGHUP in this thread and all it starts, and ignores SIGPIPE. Call in `main` before any
 /// thread exists.
-void holdProcessSignals();
+void blockProcessSignals();
 /// Returns once one of them has come, or nothing when `wait` is over.
 std::optional<ProcessSignal> waitForProcessSignal(Milliseconds wait);
 /// Returns once the process is to end. For processes that take up their settings only at their start: SIGHUP, which
--- a/src/framework/tests/checkedjson_test.cpp
+++ b/src/framework/tests/checkedjson_test.cpp
@@ -29,7 +29,7 @@
     BOOST_TEST(faultOf(object) == "check JSON at file.json: bad_settings: key \"tpyo\": unknown key");
 }
 
-BOOST_AUTO_TEST_CASE(aWrongTypeAndRangeSayWhatWasExpected)
+BOOST_AUTO_TEST_CASE(aWrongTypeOrRangeNamesTheExpectedValue)
 {
     CheckedObject object = checked(R"({"limits": {"waiting": -3}})");
     object.object("limits").number("waiting", 1, 9);
@@ -47,7 +47,7 @@
 
 // A text with half of a surrogate pair before an ordinary escape came from another writer. The parser threw in place of
 // reporting it, on the thread of all requests, and the process ended.
-BOOST_AUTO_TEST_CASE(aTextThatTheParserThrowsOnIsRefused)
+BOOST_AUTO_TEST_CASE(aTextOnWhichTheParserThrowsIsRefused)
 {
     for (const std::string text : { R"({"a":"\ud800\u0041"})", R"({"\ud800\u0041":1})", R"(["\udbff\ud800"])" })
         BOOST_TEST(parseJson(text, "peer", ErrorCode::BadObject).has_error());
--- a/src/framework/tests/eventthread_test.cpp
+++ b/src/framework/tests/eventthread_test.cpp
@@ -11,7 +11,7 @@
 // One line of a server's report had half a character in it, and the reader of it threw. The exception ended the
 // process, and with it every request that waited there: one message that can't be handled cost all callers their
 // answers.
-BOOST_AUTO_TEST_CASE(aHandlerThatThrowsEndsNeitherTheThreadNorTheOthers)
+BOOST_AUTO_TEST_CASE(aThrowingHandlerStopsNeitherTheThreadNorLaterHandlers)
 {
     EventThread thread;
     std::promise<void> afterAction;
--- a/src/framework/tests/readablejson_test.cpp
+++ b/src/framework/tests/jsonrepair_test.cpp
@@ -1,4 +1,4 @@
-#include "framework/readablejson.h"
+#include "framework/jsonrepair.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -6,26 +6,26 @@
 
 namespace {
 
-std::string readable(const std::string& text) { return withoutUnreadable(text, { "content" }, { 1000, 6 }); }
+std::string readable(const std::string& text) { return replaceUnparsableMembers(text, { "content" }, { 1000, 6 }); }
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(ReadableJson)
+BOOST_AUTO_TEST_SUITE(JsonRepair)
 
-BOOST_AUTO_TEST_CASE(whatCanBeReadStaysAsItIs)
+BOOST_AUTO_TEST_CASE(parsableTextIsUnchanged)
 {
     for (const std::string text :
         { R"({"a": [1, "content", {"content" : {"b": "}\"{"}}]})", R"("content")", R"({"content":"x"})", "" })
         BOOST_TEST(readable(text) == text);
 }
 
-BOOST_AUTO_TEST_CASE(aTextThatEndsTooSoonIsStillNoJson)
+BOOST_AUTO_TEST_CASE(aTruncatedTextStaysInvalid)
 {
     for (const std::string text : { "{", "\"", "\"\\", R"({"content":)", R"({"content")", R"({"content":[)" })
         BOOST_TEST(parseJson(readable(text), "x", ErrorCode::BadObject).has_error());
 }
 
-BOOST_AUTO_TEST_CASE(whatCannotBeReadIsNull)
+BOOST_AUTO_TEST_CASE(unparsableValuesBecomeNull)
 {
     BOOST_TEST(
         readable(R"([{"content": NaN , "b":1},{"content":2}])") == R"([{"content": null, "b":1},{"content":2}])");
@@ -35,7 +35,7 @@
 }
 
 // Depth counts from the beginning of the text, or a value that is allowed by itself would spoil the whole.
-BOOST_AUTO_TEST_CASE(whatIsTooDeepIsNull)
+BOOST_AUTO_TEST_CASE(tooDeepValuesBecomeNull)
 {
     BOOST_TEST(readable(R"([[{"content":[[[1]]]}]])") == R"([[{"content":[[[1]]]}]])");
     BOOST_TEST(readable(R"([[{"content":[[[[1]]]]}]])") == R"([[{"content":null}]])");
--- a/src/framework/tests/serviceend_test.cpp
+++ b/src/framework/tests/serviceend_test.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-const SteadyTime told { std::chrono::hours(1) };
+const SteadyTime signalledAt { std::chrono::hours(1) };
 
-Milliseconds from(const Deadline& deadline) { return deadline.remaining(told); }
+Milliseconds remainingUntil(const Deadline& deadline) { return deadline.remaining(signalledAt); }
 
 } // namespace
 
@@ -16,26 +16,26 @@
 
 // Operators gave routers two seconds to end. A router waited two and a half for its balancers to notice, and was ended
 // by force over the requests that it held.
-BOOST_AUTO_TEST_CASE(eachStepLeavesTimeForTheNextHoweverShortTheGracePeriod)
+BOOST_AUTO_TEST_CASE(eachDeadlineLeavesTimeForTheNextAtAnyGracePeriod)
 {
-    for (const Milliseconds grace : { shortestGrace, Milliseconds(1000), Milliseconds(2000), Milliseconds(2500),
-             Milliseconds(2900), Milliseconds(8000), usualGrace, longestGrace }) {
-        const ServiceEnd end = ServiceEnd::after(told, grace);
-        BOOST_TEST(from(end.noticedBy).count() > 0);
-        BOOST_TEST(from(end.noticedBy).count() <= from(end.startBy).count());
-        BOOST_TEST(from(end.startBy).count() < from(end.answerBy).count());
-        BOOST_TEST(from(end.answerBy).count() < from(end.exitBy).count());
-        BOOST_TEST(from(end.exitBy).count() < grace.count());
+    for (const Milliseconds grace : { minGrace, Milliseconds(1000), Milliseconds(2000), Milliseconds(2500),
+             Milliseconds(2900), Milliseconds(8000), defaultGrace, maxGrace }) {
+        const ServiceEnd deadlines = ServiceEnd::after(signalledAt, grace);
+        BOOST_TEST(remainingUntil(deadlines.noticedBy).count() > 0);
+        BOOST_TEST(remainingUntil(deadlines.noticedBy).count() <= remainingUntil(deadlines.startBy).count());
+        BOOST_TEST(remainingUntil(deadlines.startBy).count() < remainingUntil(deadlines.answerBy).count());
+        BOOST_TEST(remainingUntil(deadlines.answerBy).count() < remainingUntil(deadlines.exitBy).count());
+        BOOST_TEST(remainingUntil(deadlines.exitBy).count() < grace.count());
     }
 }
 
-BOOST_AUTO_TEST_CASE(theUsualPointsOfAGracePeriod)
+BOOST_AUTO_TEST_CASE(deadlinesOfAnEightSecondGracePeriod)
 {
-    const ServiceEnd end = ServiceEnd::after(told, Milliseconds(8000));
-    BOOST_TEST(from(end.noticedBy).count() == 2500);
-    BOOST_TEST(from(end.startBy).count() == 3700);
-    BOOST_TEST(from(end.answerBy).count() == 7400);
-    BOOST_TEST(from(end.exitBy).count() == 7700);
+    const ServiceEnd deadlines = ServiceEnd::after(signalledAt, Milliseconds(8000));
+    BOOST_TEST(remainingUntil(deadlines.noticedBy).count() == 2500);
+    BOOST_TEST(remainingUntil(deadlines.startBy).count() == 3700);
+    BOOST_TEST(remainingUntil(deadlines.answerBy).count() == 7400);
+    BOOST_TEST(remainingUntil(deadlines.exitBy).count() == 7700);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/src/framework/tests/strongtype_test.cpp
+++ b/src/framework/tests/strongtype_test.cpp
@@ -15,7 +15,7 @@
     BOOST_TEST(ModelName("a") < ModelName("b"));
 }
 
-BOOST_AUTO_TEST_CASE(aPassedDeadlineHasNothingLeft)
+BOOST_AUTO_TEST_CASE(aPassedDeadlineHasNoTimeLeft)
 {
     const SteadyTime start {};
     const Deadline deadline = Deadline::after(start, Milliseconds(20));
--- a/src/framework/types/serviceend.h
+++ b/src/framework/types/serviceend.h
@@ -5,10 +5,10 @@
 namespace lagoon::framework {
 
 /// What the platform usually leaves a process that it has told to end before it ends it by force.
-inline constexpr Milliseconds usualGrace { 30000 };
+inline constexpr Milliseconds defaultGrace { 30000 };
 /// Below the first, no answer could be told in time; the second is only there to find a wrong unit.
-inline constexpr Milliseconds shortestGrace { 500 };
-inline constexpr Milliseconds longestGrace { 3600000 };
+inline constexpr Milliseconds minGrace { 500 };
+inline constexpr Milliseconds maxGrace { 3600000 };
 
 /// Until when a process that was told to end does what, so that everyone who waits for it has an answer before it is
 /// ended by force. Pure.
@@ -24,8 +24,8 @@
     /// The process ends, whatever is left.
     Deadline exitBy;
 
-    /// `grace` is the time from `told` until the process is ended by force.
-    static ServiceEnd after(SteadyTime told, Milliseconds grace);
+    /// `grace` is the time from `signalledAt` until the process is ended by force.
+    static ServiceEnd after(SteadyTime signalledAt, Milliseconds grace);
 };
 
 } // namespace lagoon::framework
--- a/src/objectstore/internal/objectstoresettings.cpp
+++ b/src/objectstore/internal/objectstoresettings.cpp
@@ -30,8 +30,8 @@
     result.callTimeout = framework::Milliseconds(platform.numberOr(
         "call_timeout_ms", static_cast<std::uint64_t>(result.callTimeout.count()), 1, longestCallTimeoutMs));
     result.callsPerSecond
-        = platform.fractionOr("calls_per_second", result.callsPerSecond, fewestCallsPerSecond, mostCalls);
-    result.callBurst = platform.fractionOr("call_burst", result.callBurst, 1, mostCalls);
+        = platform.doubleOr("calls_per_second", result.callsPerSecond, fewestCallsPerSecond, mostCalls);
+    result.callBurst = platform.doubleOr("call_burst", result.callBurst, 1, mostCalls);
     // Parts share the whole's fault, so the caller's `finish` shows what was wrong here.
     (void)platform.finish();
     return result;
--- a/src/router/internal/routersettings.cpp
+++ b/src/router/internal/routersettings.cpp
@@ -29,8 +29,8 @@
         section.fail("ping_interval_ms", "at most half of silence_limit_ms");
     read.idleLimit = milliseconds(section, "idle_limit_ms", read.idleLimit, 3600000);
     read.attempts = static_cast<std::uint32_t>(section.numberOr("attempts", read.attempts, 1, 100));
-    read.retryShare = section.fractionOr("retry_share", read.retryShare, 0, 1);
-    read.retryReserve = section.fractionOr("retry_reserve", read.retryReserve, 0, 10000);
+    read.retryShare = section.doubleOr("retry_share", read.retryShare, 0, 1);
+    read.retryReserve = section.doubleOr("retry_reserve", read.retryReserve, 0, 10000);
     read.scaleUpInFlight
         = static_cast<std::uint32_t>(section.numberOr("scale_up_in_flight", read.scaleUpInFlight, 1, 100000));
     read.bids = section.numberOr("bids", read.bids, 1, 1000);
--- a/src/router/routersettings.h
+++ b/src/router/routersettings.h
@@ -22,7 +22,7 @@
     callers::CallerLimits limits;
     DispatchSettings dispatch;
     /// From the request to end until the process is ended by force.
-    framework::Milliseconds shutdownGrace = framework::usualGrace;
+    framework::Milliseconds shutdownGrace = framework::defaultGrace;
 };
 
 /// Reads and checks a settings text; the first fault names the source, the key and what was expected.
--- a/tests/standins/common/callfaults.cpp
+++ b/tests/standins/common/callfaults.cpp
@@ -16,8 +16,8 @@
 void CallFaults::set(framework::CheckedObject json)
 {
     const std::lock_guard lock(mutex_);
-    fault_.at = stepOf(json.wordOr("at", "before", { "before", "during", "after" }));
-    fault_.hangs = json.wordOr("do", "hang", { "hang", "close" }) == "hang";
+    fault_.at = stepOf(json.choiceOr("at", "before", { "before", "during", "after" }));
+    fault_.hangs = json.choiceOr("do", "hang", { "hang", "close" }) == "hang";
     left_ = json.numberOr("count", 1, 0, 1000000);
     fault_.exists = true;
     ++generation_;
--- a/tests/standins/common/standinprogram.cpp
+++ b/tests/standins/common/standinprogram.cpp
@@ -63,7 +63,7 @@
 int runStandin(const std::string& role, int argc, char** argv, const options::options_description& own,
     const StandinFactory& makeStandin)
 {
-    framework::holdProcessSignals();
+    framework::blockProcessSignals();
     options::options_description all("options");
     all.add(own).add_options()("help", "print this")(
         "listen", options::value<std::string>()->default_value("127.0.0.1:0"), "address:port of HTTP");
--- a/tests/standins/engine/enginestandin.cpp
+++ b/tests/standins/engine/enginestandin.cpp
@@ -287,7 +287,7 @@
         replicas_.setChecksFencing(faults.flagOr("checks_fencing", true));
     if (faults.has("loads")) {
         CheckedObject loads = faults.object("loads");
-        loadFault_ = loads.wordOr("do", "fail", { "fail", "die" }) == "die" ? LoadFault::Die : LoadFault::Fail;
+        loadFault_ = loads.choiceOr("do", "fail", { "fail", "die" }) == "die" ? LoadFault::Die : LoadFault::Fail;
         loadFaultsLeft_ = loads.numberOr("count", 1, 0, mostFaults);
     }
     if (faults.has("late_loads")) {
--- a/tests/standins/platform/platformstandin.cpp
+++ b/tests/standins/platform/platformstandin.cpp
@@ -251,7 +251,7 @@
     CheckedObject faults(json, "faults", "", framework::ErrorCode::BadRequest);
     const std::unique_lock lock(mutex_);
     if (faults.has("mode")) {
-        const std::string mode = faults.wordOr("mode", "up", { "up", "refuse", "hang" });
+        const std::string mode = faults.choiceOr("mode", "up", { "up", "refuse", "hang" });
         mode_ = mode == "up" ? Mode::Up : mode == "refuse" ? Mode::Refuse : Mode::Hang;
     }
     slowness_ = Milliseconds(faults.numberOr("slow_ms", slowness_.count(), 0, 600000));
--- a/tests/standins/proxy/faultproxy.cpp
+++ b/tests/standins/proxy/faultproxy.cpp
@@ -77,9 +77,9 @@
             connection->cut();
     }
     if (faults.has("silent"))
-        forStreams(faults.wordOr("silent", "both", words), &DirectedStream::silence);
+        forStreams(faults.choiceOr("silent", "both", words), &DirectedStream::silence);
     if (faults.has("hold"))
-        forStreams(faults.wordOr("hold", "both", words), &DirectedStream::hold);
+        forStreams(faults.choiceOr("hold", "both", words), &DirectedStream::hold);
     if (faults.flagOr("release", false))
         forStreams("both", &DirectedStream::release);
     return faults.finish();
--- a/tests/standins/weights/weightstandin.cpp
+++ b/tests/standins/weights/weightstandin.cpp
@@ -76,7 +76,7 @@
 {
     framework::CheckedObject faults(json, "faults", "", framework::ErrorCode::BadRequest);
     const std::lock_guard lock(mutex_);
-    slowFactor_ = faults.fractionOr("slow_factor", slowFactor_, 1, 1000000);
+    slowFactor_ = faults.doubleOr("slow_factor", slowFactor_, 1, 1000000);
     return faults.finish();
 }
 
