--- a/src/framework/channel.h
+++ b/src/framework/channel.h
@@ -6,8 +6,8 @@
 
 namespace lagoon::framework {
 
-/// A change notice: the owner sends, those that subscribed are called at once, in the order they subscribed.
-/// Belongs to one thread (the control thread); subscribe before the first send.
+/// Notifies subscribers of changes: `send` calls them synchronously, in the order in which they subscribed. To be used
+/// on one thread (the control thread); all subscriptions have to precede the first `send`.
 template <typename... Arguments> class Channel {
 public:
     using Subscriber = std::function<void(const Arguments&...)>;
--- a/src/framework/checkedjson.h
+++ b/src/framework/checkedjson.h
@@ -9,21 +9,21 @@
 #include <string>
 #include <vector>
 
-/// Reading of JSON that people wrote: settings, bundles, the platform's objects. Each fault names the source, the key
-/// and what was expected there. Include in .cpp files only: cpprest is slow to compile.
+/// Strict reading of settings, bundles and the platform's objects in JSON. Each error names the source, the key and the
+/// expected value. Include in .cpp files only, as cpprest is slow to compile.
 namespace lagoon::framework {
 
-/// Limits that hold before a text is parsed.
+/// Limits that are checked before a text is parsed.
 struct JsonLimits {
     std::size_t bytes = 1024 * 1024;
     std::size_t depth = 32;
 };
 
-/// Parses a text after checking its size and depth. `source` is a file or key, for the error.
+/// Parses a text after checking its size and depth. `source` names the file or key in errors.
 Result<web::json::value> parseJson(const std::string& text, const std::string& source, ErrorCode code, JsonLimits = {});
 
-/// One JSON object of which each key is read with its type and range, then `finish`ed: the first fault found is kept
-/// and returned there, and so is a key that nobody read.
+/// Reads the keys of one JSON object and checks their types and ranges. The first error is kept; `finish` returns it,
+/// or an error if the object has a key that wasn't read.
 class CheckedObject {
 public:
     CheckedObject(const web::json::value& object, std::string source, std::string path, ErrorCode code);
@@ -35,24 +35,26 @@
         const std::string& key, std::uint64_t fallback, std::uint64_t minValue, std::uint64_t maxValue);
     double doubleOr(const std::string& key, double fallback, double minValue, double maxValue);
     bool flagOr(const std::string& key, bool fallback);
-    /// One of `choices`; the fallback is used where the key is absent.
+    /// Reads a string that has to be one of `choices`; returns the fallback if the key is absent.
     std::string choiceOr(const std::string& key, std::string fallback, const std::vector<std::string>& choices);
     bool has(const std::string& key) const;
-    /// The object under `key`; a missing or different thing is a fault and gives an empty object.
+    /// Reads the object under `key`. If there is none, this is an error and an empty object is returned.
     CheckedObject object(const std::string& key);
-    /// The objects of the array under `key`; a missing array is empty.
+    /// Reads the objects of the array under `key`; empty if the key is absent.
     std::vector<CheckedObject> objects(const std::string& key);
+    /// Reads the strings of the array under `key`; empty if the key is absent.
     std::vector<std::string> texts(const std::string& key);
-    /// Names and objects of a JSON object used as a map.
+    /// Reads the names and objects of a JSON object that is used as a map.
     std::vector<std::pair<std::string, CheckedObject>> entries();
-    /// Names and numbers of a JSON object used as a map.
+    /// Reads the names and numbers of a JSON object that is used as a map.
     std::vector<std::pair<std::string, std::uint64_t>> numberEntries(std::uint64_t minValue, std::uint64_t maxValue);
 
-    /// Records a fault of the caller's own checks, such as two keys that don't go together.
+    /// Records an error that the caller's own checks found, such as two keys that exclude each other.
     void fail(const std::string& key, const std::string& expected);
-    /// The first fault here or in a part. For objects that may have keys that aren't known here.
+    /// Returns the first error in this object or in a nested one. For objects that may have unknown keys.
     Result<void> check() const;
-    /// The same, or a key that wasn't read. Parts share their whole's fault.
+    /// Like `check`, but also returns an error if a key of this object wasn't read. Nested objects share the error of
+    /// the object that contains them.
     Result<void> finish();
 
 private:
--- a/src/framework/controlthread.h
+++ b/src/framework/controlthread.h
@@ -4,7 +4,7 @@
 
 namespace lagoon::framework {
 
-/// The process's one thread for control state.
+/// The only thread of the process that accesses control state.
 class ControlThread final : public EventThread { };
 
 } // namespace lagoon::framework
--- a/src/framework/decisionlog.h
+++ b/src/framework/decisionlog.h
@@ -7,11 +7,11 @@
 #include <string>
 #include <string_view>
 
-/// The structured log: one JSON object a line on standard output, for each decision on a request and each change of
-/// what the process believes. See docs/OPERATIONS.md for how to read it.
+/// The structured log: it has one line with a JSON object on standard output for each decision on a request and each
+/// change of the process's view of its environment. See docs/OPERATIONS.md for how to read it.
 namespace lagoon::framework {
 
-/// A line in the making. Keys are written as given, in the order of the calls; values are escaped.
+/// Builds one line. Keys are written unescaped, in the order of the calls; values are escaped.
 class LogLine {
 public:
     explicit LogLine(std::string_view event);
@@ -24,7 +24,7 @@
     }
     LogLine& flag(std::string_view key, bool value);
 
-    /// The whole line without its end.
+    /// The line's JSON object, without a line end.
     std::string json() const { return line_ + "}"; }
 
 private:
@@ -33,16 +33,18 @@
     std::string line_;
 };
 
-/// Lines that may wait for a reader of standard output that is slow; what comes beyond is dropped and counted in a
-/// line of its own, so that a full pipe never holds a request up. About 100 KiB.
+/// Number of lines that are queued while the reader of standard output is slow, about 100 KiB. Further lines are
+/// dropped and counted in a line of their own, so that a full pipe never delays a request.
 inline constexpr int maxQueuedLogLines = 512;
 
-/// Call once, first thing, in place of `startLogging`: both then write to standard output.
+/// Call once at the start of the process, instead of `startLogging`. Decisions and log lines are then both written to
+/// standard output.
 void startDecisionLog(std::string_view processName);
-/// Queues the line with the time of day; never waits. Without `startDecisionLog` it is dropped. From any thread.
+/// Queues the line with the time of day and never blocks. Before `startDecisionLog` lines are dropped. Can be called
+/// from any thread.
 void logDecision(const LogLine&);
-/// Writes the lines that still wait, and takes no more. Returns once they are written, or after `timeout` if nobody
-/// reads standard output. Call once, last thing before the process ends.
+/// Writes the queued lines and drops all later ones. Returns once the lines are written, or after `timeout` if nobody
+/// reads standard output. Call once, immediately before the process exits.
 void finishDecisionLog(Milliseconds timeout);
 
 } // namespace lagoon::framework
--- a/src/framework/eventthread.h
+++ b/src/framework/eventthread.h
@@ -5,14 +5,14 @@
 #include <functional>
 #include <memory>
 
-// Most users post actions and set timers only; Asio's own headers would cost each of them a second of compiling.
+// Most users only post actions and set timers. Asio's headers would add a second to the compilation of each of them.
 namespace boost::asio {
 class io_context;
 }
 
 namespace lagoon::framework {
 
-/// A thread with an event loop: actions, timers and sockets run on it one at a time.
+/// A thread with an event loop, which runs actions and the handlers of timers and sockets one at a time.
 class EventThread : public IControlExecutor {
 public:
     EventThread();
@@ -22,9 +22,10 @@
 
     void post(std::function<void()>) override;
     std::unique_ptr<Timer> runAt(Deadline, std::function<void()>) override;
-    /// Lets the running action end, drops the others and joins. From any other thread; idempotent.
+    /// Waits for the running action to return, drops the queued ones and joins the thread. Idempotent. Must not be
+    /// called from this thread.
     void stop();
-    /// For the sockets that belong to this thread.
+    /// The context for sockets whose handlers run on this thread.
     boost::asio::io_context& context();
 
 private:
--- a/src/framework/iclock.h
+++ b/src/framework/iclock.h
@@ -4,14 +4,14 @@
 
 namespace lagoon::framework {
 
-/// Source of time for code that can't be passed the time by its caller.
+/// Source of the current time for code whose caller can't pass it.
 class IClock {
 public:
     virtual ~IClock() = default;
     virtual SteadyTime now() const = 0;
 };
 
-/// The process's real clock.
+/// The system's steady clock.
 class SystemClock final : public IClock {
 public:
     SteadyTime now() const override;
--- a/src/framework/icontrolexecutor.h
+++ b/src/framework/icontrolexecutor.h
@@ -7,21 +7,21 @@
 
 namespace lagoon::framework {
 
-/// A timer that ends with its handle: destroying or `cancel`ling it from the control thread means the action never
-/// runs afterwards.
+/// Handle of a timer. Once it is destroyed or `cancel`led on the control thread, the timer's action never runs.
 class Timer {
 public:
     virtual ~Timer() = default;
     virtual void cancel() = 0;
 };
 
-/// Where control state lives: actions run one at a time, in order.
+/// Runs the actions that access control state one at a time, in the order in which they were posted.
 class IControlExecutor {
 public:
     virtual ~IControlExecutor() = default;
-    /// From any thread.
+    /// Can be called from any thread.
     virtual void post(std::function<void()>) = 0;
-    /// Runs the action once `at` has passed, unless the returned timer is gone by then. Control thread only.
+    /// Runs the action once `at` has passed, unless the returned timer has been destroyed or cancelled by then. To be
+    /// called on the control thread only.
     [[nodiscard]] virtual std::unique_ptr<Timer> runAt(Deadline at, std::function<void()>) = 0;
 };
 
--- a/src/framework/internal/checkedjson.cpp
+++ b/src/framework/internal/checkedjson.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// cpprest's parser recurses with the text, so depth is limited before it sees the text.
+/// Returns the greatest depth of brackets in the text. cpprest's parser recurses with the depth, so the depth is
+/// limited before the text is parsed.
 std::size_t nestingDepth(const std::string& text)
 {
     std::size_t depth = 0;
@@ -54,7 +55,7 @@
             return fault("not JSON: " + parseError.message());
         return value;
     } catch (const std::exception& thrown) {
-        // cpprest reports most faults by the code, but throws on half a surrogate pair.
+        // cpprest reports most errors by the error code, but throws on half a surrogate pair.
         return fault(std::string("not JSON: ") + thrown.what());
     }
 }
--- a/src/framework/internal/decisionlog.cpp
+++ b/src/framework/internal/decisionlog.cpp
@@ -16,10 +16,10 @@
 
 namespace {
 
-/// Set once logging is configured; until then lines are dropped, so that unit tests print none.
+/// Set once logging is configured. Until then lines are dropped, so that unit tests print none.
 std::atomic<bool> isStarted { false };
 
-/// Holds the lines that wait to be written.
+/// The queue of lines that have not been written yet.
 log4cxx::AsyncAppenderPtr& lineQueue()
 {
     static log4cxx::AsyncAppenderPtr queue;
@@ -96,9 +96,9 @@
         LOG4CXX_INFO(decisionLogger(), line.json());
 }
 
-/// Guards against the loss of what a process says last, which is what tells how it ended: its queue is written by a
-/// thread that a process's end doesn't wait for. Closing the queue waits for the writer, which may wait for a reader
-/// that has stopped reading; so a thread of its own does it, and is left behind when the time is over.
+/// Prevents the loss of a process's last log lines, which show how it ended: the queue is written by a thread for which
+/// the exit of a process doesn't wait. Closing the queue waits for this writer, which may be blocked by a reader that
+/// has stopped reading. A separate thread therefore closes the queue, and is abandoned when the timeout has passed.
 void finishDecisionLog(Milliseconds timeout)
 {
     if (!isStarted.exchange(false))
--- a/src/framework/internal/eventthread.cpp
+++ b/src/framework/internal/eventthread.cpp
@@ -21,7 +21,7 @@
         : state_(
             std::make_shared<State>(State { boost::asio::steady_timer(context, at.at()), std::move(action), false }))
     {
-        // Cancelling an asio timer that has already expired doesn't stop its handler; the flag does.
+        // Cancelling an Asio timer that has already expired doesn't stop its handler, so the handler checks a flag.
         state_->timer.async_wait([state = state_](const boost::system::error_code& error) {
             if (error || state->isCancelled)
                 return;
@@ -69,9 +69,9 @@
     boost::asio::io_context context;
 
 private:
-    /// Guards against one message that can't be handled and ends the process, and with it all that waits here: the loop
-    /// goes on with what comes next. What the handler had in hand is dropped, and ends as a dropped request does, or at
-    /// its deadline.
+    /// Prevents one message whose handler throws from ending the process and all requests in it: the loop continues
+    /// with the next handler. The request that the failed handler processed ends like a dropped one, or at its
+    /// deadline.
     void run()
     {
         while (true) {
@@ -79,7 +79,7 @@
                 context.run();
                 return;
             } catch (const std::exception& failure) {
-                logWarning("framework", std::string("a handler failed: ") + failure.what());
+                logWarning("framework", std::string("an event handler threw an exception: ") + failure.what());
             }
         }
     }
--- a/src/framework/internal/jsonrepair.cpp
+++ b/src/framework/internal/jsonrepair.cpp
@@ -8,7 +8,7 @@
 
 bool isSpace(char character) { return character == ' ' || character == '\t' || character == '\n' || character == '\r'; }
 
-/// Walks over a text without regard to whether its values can be parsed: by quotes and brackets only.
+/// Finds the ends of values in a text by quotes and brackets only, whether or not the values can be parsed.
 class Scanner {
 public:
     explicit Scanner(const std::string& text)
@@ -16,7 +16,7 @@
     {
     }
 
-    /// Behind the closing quote of the string that begins at `at`.
+    /// Returns the position after the closing quote of the string that begins at `at`.
     std::size_t endOfString(std::size_t at) const
     {
         for (++at; at < text_.size(); ++at) {
@@ -35,7 +35,8 @@
         return at;
     }
 
-    /// Behind the value that begins at `at`: a string, what is between brackets, or all up to what ends a value.
+    /// Returns the position after the value that begins at `at`. The value is a string, a bracketed text, or everything
+    /// up to the next comma or closing bracket.
     std::size_t endOfValue(std::size_t at) const
     {
         std::size_t depth = 0;
@@ -101,7 +102,7 @@
         const std::size_t begin = scanner.skipSpace(colon + 1);
         const std::size_t end = scanner.endOfValue(begin);
         const std::string value = text.substr(begin, end - begin);
-        // The value's own depth comes on top of what it stands in.
+        // The value's own depth adds to the depth at which it stands.
         const JsonLimits left { limits.bytes, limits.depth - std::min(limits.depth, depth) };
         result.append(text, at, begin - at);
         result += isParsable(value, left) ? value : "null";
--- a/src/framework/internal/processsignal.cpp
+++ b/src/framework/internal/processsignal.cpp
@@ -23,7 +23,7 @@
 {
     const sigset_t signals = processSignals();
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
-    // A peer that closes while we write must show as an error of that write, not end the process.
+    // If a peer closes its connection during a write, the write has to return an error instead of ending the process.
     signal(SIGPIPE, SIG_IGN);
 }
 
--- a/src/framework/internal/serviceend.cpp
+++ b/src/framework/internal/serviceend.cpp
@@ -6,16 +6,17 @@
 
 namespace {
 
-/// Balancers ask once a second and take a process out after two answers in a row that aren't 200; until then they send
-/// new connections.
+/// The time until balancers send no new connections any more: they check readiness once a second and remove a process
+/// after two consecutive answers other than 200.
 constexpr Milliseconds balancerReactionTime { 2500 };
-/// Left of the grace period when the last requests get their answers.
+/// The part of the grace period that is reserved for delivering the last answers and exiting is at most this long.
 constexpr Milliseconds maxReserve { 600 };
-/// Of a short grace period the reserve is this part.
+/// In a short grace period, the reserve is the grace period divided by this.
 constexpr int reserveDivisor = 8;
-/// Of the reserve, for the answers to leave over links with tens of milliseconds of delay, by way of a router if an
-/// agent gave them. The rest is for the log's last lines and for a signal that is handled late.
-constexpr int deliveryDivisor = 2;
+/// The reserve divided by this is the margin after `exitBy`, for the last log lines and a signal that is handled late.
+/// The other part is for the answers to be delivered over links with tens of milliseconds of delay, by way of a router
+/// if an agent gave them.
+constexpr int exitMarginDivisor = 2;
 
 } // namespace
 
@@ -26,7 +27,7 @@
     const Milliseconds serving = total - reserve;
     return { Deadline::after(signalledAt, std::min(balancerReactionTime, serving / 2)),
         Deadline::after(signalledAt, serving / 2), Deadline::after(signalledAt, serving),
-        Deadline::after(signalledAt, total - reserve / deliveryDivisor) };
+        Deadline::after(signalledAt, total - reserve / exitMarginDivisor) };
 }
 
 } // namespace lagoon::framework
--- a/src/framework/jsonrepair.h
+++ b/src/framework/jsonrepair.h
@@ -7,10 +7,10 @@
 
 namespace lagoon::framework {
 
-/// The JSON text with null in place of each value that can't be parsed and stands under one of the member names,
-/// however deep. All else stays as it is; a name inside such a value isn't looked at.
+/// Returns the JSON text with null in place of each unparsable value of a member with one of the names, at any depth.
+/// Everything else is unchanged. Members inside such a value aren't examined themselves.
 ///
-/// For answers in which values of many writers stand side by side: what one of them wrote must not hide the others'.
+/// For answers that contain values of many writers: an invalid value of one writer must not hide those of the others.
 std::string replaceUnparsableMembers(
     const std::string& text, const std::vector<std::string>& memberNames, JsonLimits = {});
 
--- a/src/framework/metrics.h
+++ b/src/framework/metrics.h
@@ -22,9 +22,9 @@
 
     void count(const std::string& name, const MetricLabels& labels = {}, double amount = 1);
     void setGauge(const std::string& name, double value, const MetricLabels& labels = {});
-    /// Times in seconds; buckets from 1 ms to 10 min.
+    /// Adds a duration to a histogram with buckets from 1 ms to 10 min.
     void observeSeconds(const std::string& name, double seconds, const MetricLabels& labels = {});
-    /// All of it in Prometheus' text format, for `GET /metrics`.
+    /// Returns all metrics in Prometheus' text format, for `GET /metrics`.
     std::string text() const;
 
 private:
--- a/src/framework/processsettings.h
+++ b/src/framework/processsettings.h
@@ -6,16 +6,16 @@
 
 #include <string>
 
-/// What the settings of every process have in common. Include in .cpp files only.
+/// Reads the settings that all processes have in common. Include in .cpp files only.
 namespace lagoon::framework {
 
 /// Reads `vm`, `site` and `failure_domain`.
 ProcessIdentity readProcessIdentity(CheckedObject&);
 /// Reads a numeric `address:port` under `key`.
 Endpoint readEndpoint(CheckedObject&, const std::string& key);
-/// Reads `shutdown_grace_ms`, or the usual grace period if it isn't given.
+/// Reads `shutdown_grace_ms`; returns `defaultGrace` if it isn't given.
 Milliseconds readShutdownGrace(CheckedObject&);
-/// The text of a settings file; `-` is standard input.
+/// Reads the text of a settings file; `-` means standard input.
 Result<std::string> readSettingsText(const std::string& file);
 
 } // namespace lagoon::framework
--- a/src/framework/processsignal.h
+++ b/src/framework/processsignal.h
@@ -8,16 +8,16 @@
 
 enum class ProcessSignal : unsigned char {
     Terminate, ///< SIGTERM or SIGINT
-    Reload, ///< SIGHUP: the settings have changed
+    Reload, ///< SIGHUP: the process has to reload its settings
 };
 
-/// Blocks SIGTERM, SIGINT and SIGHUP in this thread and all it starts, and ignores SIGPIPE. Call in `main` before any
-/// thread exists.
+/// Blocks SIGTERM, SIGINT and SIGHUP in this thread and all that it starts later, and ignores SIGPIPE. Call before any
+/// other thread is started.
 void blockProcessSignals();
-/// Returns once one of them has come, or nothing when `wait` is over.
+/// Waits for one of the blocked signals. Returns std::nullopt if none arrives within `wait`.
 std::optional<ProcessSignal> waitForProcessSignal(Milliseconds wait);
-/// Returns once the process is to end. For processes that take up their settings only at their start: SIGHUP, which
-/// would end one that doesn't hold it, is passed over.
+/// Waits for SIGTERM or SIGINT. For processes that read their settings only at their start: SIGHUP, whose default
+/// action would end the process, is ignored.
 void waitForTermination();
 
 } // namespace lagoon::framework
--- a/src/framework/randomid.h
+++ b/src/framework/randomid.h
@@ -7,12 +7,12 @@
 
 namespace lagoon::framework {
 
-/// From the system's random device; never 0.
+/// Returns a number from the system's random device; never 0.
 std::uint64_t randomNumber();
-/// In [0, 1), for jitter.
+/// Returns a number in [0, 1), for jitter.
 double randomFraction();
 Incarnation newIncarnation();
-/// 16 hexadecimal digits, to recognise one's own write after its answer was lost.
+/// Returns 16 random hexadecimal digits. A process that lost the answer to its write recognises the write by them.
 std::string newNonce();
 
 } // namespace lagoon::framework
--- a/src/framework/tcpendpoint.h
+++ b/src/framework/tcpendpoint.h
@@ -8,7 +8,7 @@
 
 namespace lagoon::framework {
 
-/// Reads `address:port` with a numeric address; the error names the step.
+/// Parses `address:port` with a numeric address. `step` names the operation in errors.
 Result<boost::asio::ip::tcp::endpoint> parseTcpEndpoint(const Endpoint&, const char* step);
 Endpoint endpointOf(const boost::asio::ip::tcp::endpoint&);
 
--- a/src/framework/testing/manualcontrol.h
+++ b/src/framework/testing/manualcontrol.h
@@ -11,10 +11,10 @@
 #include <memory>
 #include <mutex>
 
-/// For the unit tests of all modules; never part of the program.
+/// Test doubles for the unit tests of all modules; not linked into the program.
 namespace lagoon::framework {
 
-/// A control thread and clock that a test moves by hand.
+/// A control thread and clock that a test advances explicitly.
 class ManualControl final : public IControlExecutor, public IClock {
 public:
     explicit ManualControl(SteadyTime start = SteadyTime(std::chrono::hours(1)))
@@ -22,18 +22,19 @@
     {
     }
 
-    /// From any thread, as with the real one.
+    /// Can be called from any thread, as with a real control thread.
     void post(std::function<void()> action) override;
     std::unique_ptr<Timer> runAt(Deadline, std::function<void()>) override;
     SteadyTime now() const override { return now_; }
 
-    /// Runs what was posted, and what that posts, until nothing is left.
+    /// Runs all posted actions, including those that they post, until none is left.
     void runPosted();
-    /// Waits until another thread has posted something, then runs as `runPosted`. False: nothing came in 30 s.
+    /// Waits until another thread has posted an action, then calls `runPosted`. Returns false if none is posted within
+    /// 30 s.
     [[nodiscard]] bool waitAndRunPosted();
-    /// Moves the clock to each timer that is due on the way, in order.
+    /// Advances the clock by the duration. Timers that expire on the way run in order, each at its own time.
     void advance(Milliseconds);
-    /// Forgets all that was posted or armed, as when the process dies.
+    /// Drops all posted actions and timers, as when a process dies.
     void dropAll();
 
 private:
@@ -42,7 +43,7 @@
         std::function<void()> action;
     };
 
-    // Read by other threads as well, which is why it is atomic; moved by the test's.
+    // Atomic because other threads read it too; only the test's thread changes it.
     std::atomic<SteadyTime> now_;
     std::function<void()> takePosted();
 
--- a/src/framework/tests/checkedjson_test.cpp
+++ b/src/framework/tests/checkedjson_test.cpp
@@ -45,8 +45,8 @@
     BOOST_TEST(parseJson(large, "x", ErrorCode::BadBundle).error().detail.find("larger") != std::string::npos);
 }
 
-// A text with half of a surrogate pair before an ordinary escape came from another writer. The parser threw in place of
-// reporting it, on the thread of all requests, and the process ended.
+// Prevents a crash on a text with half of a surrogate pair before an ordinary escape: the parser throws on it instead
+// of reporting an error, and the exception ended the process.
 BOOST_AUTO_TEST_CASE(aTextOnWhichTheParserThrowsIsRefused)
 {
     for (const std::string text : { R"({"a":"\ud800\u0041"})", R"({"\ud800\u0041":1})", R"(["\udbff\ud800"])" })
--- a/src/framework/tests/eventthread_test.cpp
+++ b/src/framework/tests/eventthread_test.cpp
@@ -8,9 +8,8 @@
 
 BOOST_AUTO_TEST_SUITE(EventThreads)
 
-// One line of a server's report had half a character in it, and the reader of it threw. The exception ended the
-// process, and with it every request that waited there: one message that can't be handled cost all callers their
-// answers.
+// Prevents one message whose handler throws from ending the process and all its requests. The parser had thrown on a
+// server's report that contained half a character.
 BOOST_AUTO_TEST_CASE(aThrowingHandlerStopsNeitherTheThreadNorLaterHandlers)
 {
     EventThread thread;
--- a/src/framework/tests/jsonrepair_test.cpp
+++ b/src/framework/tests/jsonrepair_test.cpp
@@ -34,7 +34,8 @@
     BOOST_TEST(readable("{\"other\":NaN}") == "{\"other\":NaN}");
 }
 
-// Depth counts from the beginning of the text, or a value that is allowed by itself would spoil the whole.
+// A value's depth counts from the beginning of the text: otherwise a value within the limit would make the whole text
+// exceed the limit.
 BOOST_AUTO_TEST_CASE(tooDeepValuesBecomeNull)
 {
     BOOST_TEST(readable(R"([[{"content":[[[1]]]}]])") == R"([[{"content":[[[1]]]}]])");
--- a/src/framework/tests/serviceend_test.cpp
+++ b/src/framework/tests/serviceend_test.cpp
@@ -14,8 +14,8 @@
 
 BOOST_AUTO_TEST_SUITE(ServiceEnds)
 
-// Operators gave routers two seconds to end. A router waited two and a half for its balancers to notice, and was ended
-// by force over the requests that it held.
+// Prevents a process from being killed before it has answered: with a grace period of 2 s, a router waited 2.5 s for
+// its balancers to notice its shutdown, and was killed while it still had requests.
 BOOST_AUTO_TEST_CASE(eachDeadlineLeavesTimeForTheNextAtAnyGracePeriod)
 {
     for (const Milliseconds grace : { minGrace, Milliseconds(1000), Milliseconds(2000), Milliseconds(2500),
--- a/src/framework/types/error.h
+++ b/src/framework/types/error.h
@@ -11,16 +11,16 @@
 
 namespace lagoon::framework {
 
-/// What is known about whether a refused request was executed by its upstream.
+/// Whether the upstream executed a request that was refused or failed.
 enum class Execution : std::uint8_t {
-    NotRun, ///< it was not, and never will be
-    Unknown, ///< it may have been, wholly or in part
+    NotRun, ///< the request was not executed and never will be
+    Unknown, ///< the request may have been executed, wholly or in part
 };
 
-/// Why something was refused or failed. The text form (`errorCodeText`) is stable: it is what callers read in a
-/// refusal's `code`, operators in the `code` label of counters.
+/// Why something was refused or failed. The text form (`errorCodeText`) is stable: callers read it in the `code` of a
+/// refusal, and operators in the `code` label of counters.
 enum class ErrorCode : std::uint8_t {
-    // The caller's request.
+    // Faults of the caller's request.
     BadRequest,
     TooLarge,
     UnknownModel,
@@ -28,7 +28,7 @@
     UnknownService,
     DuplicateKey,
     CallerGone,
-    // Capacity and time.
+    // Lack of capacity or time.
     TooManyWaiting,
     DeadlineHopeless,
     DeadlinePassed,
@@ -38,57 +38,57 @@
     NotLoaded,
     LoadFailed,
     RetryBudgetSpent,
-    // Life cycle.
+    // State of the process.
     ShuttingDown,
     Draining,
     NotReady,
-    // Links and upstreams.
+    // Failures of links and upstreams.
     LinkLost,
     AgentRestarted,
     UpstreamFailed,
     UpstreamBroken,
-    // The ledger's refusals of frames.
+    // Frames that the request ledger refuses.
     StaleIncarnation,
     StaleSession,
     BelowFloor,
     Fenced,
-    // The platform.
+    // Failures of calls to the platform.
     PlatformUnavailable,
     PlatformConflict,
     NotFound,
-    // Input that isn't a caller's.
+    // Invalid input from sources other than callers.
     BadFrame,
     BadSettings,
     BadBundle,
     BadObject,
-    // Everything else is a defect.
+    // Any other failure, which is a defect of this system.
     Internal,
 };
 
-/// Number of values of ErrorCode, for checks at the wire.
+/// Number of values of ErrorCode, used to validate codes read from the wire.
 inline constexpr std::uint8_t errorCodeCount = static_cast<std::uint8_t>(ErrorCode::Internal) + 1;
 
 std::string_view errorCodeText(ErrorCode);
 std::string_view executionText(Execution);
 
-/// A failure with the step and the peer at which it arose.
+/// A failure, with the step and the peer at which it occurred.
 struct Error {
     ErrorCode code = ErrorCode::Internal;
-    /// What was being done, such as `claim replica`.
+    /// The operation that failed, such as `claim replica`.
     std::string step = {};
-    /// The other side: an endpoint, a VM or a key. Empty when there is none.
+    /// The other side of the operation: an endpoint, a VM or a key. Empty if there is none.
     std::string peer = {};
-    /// For people; its text is not stable.
+    /// Human-readable explanation, whose text is not stable.
     std::string detail = {};
     Execution execution = Execution::NotRun;
-    /// When asking again makes sense, from now; empty when it never does.
+    /// Time from now after which a retry makes sense; std::nullopt if none ever does.
     std::optional<Milliseconds> retryAfter = std::nullopt;
 };
 
-/// `step at peer: code: detail`, for logs and the command line.
+/// Formats the error as `step at peer: code: detail` for logs and the command line.
 std::string describe(const Error&);
 
-/// A value or an Error. Observing the wrong one ends the process: it is a defect, not an outcome.
+/// A value or an Error. Accessing the one that is absent is a programming error and terminates the process.
 template <typename T> using Result = boost::outcome_v2::result<T, Error, boost::outcome_v2::policy::terminate>;
 
 using boost::outcome_v2::success;
--- a/src/framework/types/processidentity.h
+++ b/src/framework/types/processidentity.h
@@ -4,7 +4,7 @@
 
 namespace lagoon::framework {
 
-/// Who a process is and where; from its settings, never guessed.
+/// The VM of a process and its location. Both come from the settings and are never guessed.
 struct ProcessIdentity {
     VmName vm;
     SiteName site;
--- a/src/framework/types/serviceend.h
+++ b/src/framework/types/serviceend.h
@@ -4,27 +4,28 @@
 
 namespace lagoon::framework {
 
-/// What the platform usually leaves a process that it has told to end before it ends it by force.
+/// The time that the platform usually leaves a process between the termination signal and killing it.
 inline constexpr Milliseconds defaultGrace { 30000 };
-/// Below the first, no answer could be told in time; the second is only there to find a wrong unit.
+/// A shorter grace period leaves no time to deliver any answer.
 inline constexpr Milliseconds minGrace { 500 };
+/// Longer grace periods are refused, since they probably come from a wrong unit.
 inline constexpr Milliseconds maxGrace { 3600000 };
 
-/// Until when a process that was told to end does what, so that everyone who waits for it has an answer before it is
-/// ended by force. Pure.
+/// The deadlines of a process's shutdown. They ensure that everyone who waits for the process has an answer before it
+/// is killed.
 struct ServiceEnd {
-    /// The process stays that long at least, also when it is idle: those who don't know yet that it ends get a refusal
-    /// in place of a closed connection.
+    /// The process keeps running at least until then, even if it is idle: callers and balancers that haven't noticed
+    /// its shutdown yet get a refusal instead of a closed connection.
     Deadline noticedBy;
-    /// What no upstream has by then is refused as not run. Half of the time: the other half is for its caller to be
-    /// served elsewhere, and for what was started late to end.
+    /// Requests that no upstream has by then are refused as not run. This is half of the serving time: the other half
+    /// is left for their callers to be served elsewhere, and for requests that were started late to finish.
     Deadline startBy;
-    /// What still runs is given up, and who waits for it is told what is known.
+    /// Requests that still run then are given up, and their callers get what is known about the execution.
     Deadline answerBy;
-    /// The process ends, whatever is left.
+    /// The process exits then, whatever work is left.
     Deadline exitBy;
 
-    /// `grace` is the time from `signalledAt` until the process is ended by force.
+    /// `grace` is the time from the termination signal at `signalledAt` until the process is killed.
     static ServiceEnd after(SteadyTime signalledAt, Milliseconds grace);
 };
 
--- a/src/framework/types/strongtype.h
+++ b/src/framework/types/strongtype.h
@@ -8,8 +8,8 @@
 
 namespace lagoon::framework {
 
-/// A value that can't be mistaken for another of the same representation.
-/// `Tag` only tells the types apart; nothing converts implicitly in either direction.
+/// A value of its own type, so that it can't be confused with others of the same representation. `Tag` only
+/// distinguishes the types; there are no implicit conversions in either direction.
 template <typename Tag, typename Representation> class StrongType {
 public:
     StrongType() = default;
--- a/src/framework/types/time.h
+++ b/src/framework/types/time.h
@@ -4,11 +4,13 @@
 
 namespace lagoon::framework {
 
-/// All deadlines are points of this clock: it never jumps, and a stopped process finds its deadlines passed.
+/// All deadlines are times of this clock. It never jumps, and it goes on while a process is stopped, so that a resumed
+/// process sees which of its deadlines have passed.
 using SteadyTime = std::chrono::steady_clock::time_point;
 using Milliseconds = std::chrono::milliseconds;
 
-/// The point in time by which something must be over. Stored in place of durations, which lose their start.
+/// The point in time by which something must be finished. Deadlines are stored instead of durations, as a duration
+/// doesn't tell when it began.
 class Deadline {
 public:
     Deadline() = default;
@@ -20,7 +22,7 @@
 
     SteadyTime at() const { return at_; }
     bool hasPassed(SteadyTime now) const { return now >= at_; }
-    /// Never negative, so that it can go onto the wire as "this long from receipt".
+    /// Never negative, so that it can be sent over the wire as the time left from receipt.
     Milliseconds remaining(SteadyTime now) const
     {
         return hasPassed(now) ? Milliseconds(0) : std::chrono::duration_cast<Milliseconds>(at_ - now);
--- a/src/framework/workerpool.h
+++ b/src/framework/workerpool.h
@@ -6,7 +6,7 @@
 
 namespace lagoon::framework {
 
-/// A few threads for calls that block, such as the platform's. Results go back to the control thread by its `post`.
+/// Threads for blocking calls, such as those to the platform. Callers pass results to the control thread by its `post`.
 class WorkerPool {
 public:
     explicit WorkerPool(std::size_t threads);
@@ -15,7 +15,7 @@
     WorkerPool& operator=(const WorkerPool&) = delete;
 
     void run(std::function<void()>);
-    /// Drops what hasn't started, waits for what has.
+    /// Drops calls that haven't started and waits for those that have.
     void stop();
 
 private:
