--- a/src/app/icommand.h
+++ b/src/app/icommand.h
@@ -6,11 +6,11 @@
 
 namespace lagoon::app {
 
-/// Exit codes of the program.
+/// The program's exit codes.
 enum ExitCode : int {
     ExitSuccess = 0,
-    ExitFailure = 1, ///< it was tried and didn't work
-    ExitUsage = 2, ///< bad words, settings or bundle; nothing was started
+    ExitFailure = 1, ///< the command was run and failed
+    ExitUsage = 2, ///< invalid arguments, settings or bundle; nothing was started
 };
 
 /// One subcommand of the program.
@@ -20,7 +20,7 @@
     virtual std::string name() const = 0;
     /// One line for the program's help.
     virtual std::string summary() const = 0;
-    /// `arguments` are those after the command's name. Returns the exit code.
+    /// `arguments` are the ones after the command's name. Returns the exit code.
     virtual int run(const std::vector<std::string>& arguments) = 0;
 };
 
--- a/src/app/internal/agentcommand.cpp
+++ b/src/app/internal/agentcommand.cpp
@@ -24,7 +24,7 @@
 class AgentCommand final : public ICommand {
 public:
     std::string name() const override { return "agent"; }
-    std::string summary() const override { return "be the gate to one upstream"; }
+    std::string summary() const override { return "admit requests and forward them to one upstream"; }
     int run(const std::vector<std::string>& arguments) override
     {
         return runProcess<agent::AgentSettings>(name(), arguments, agent::parseAgentSettings, serve);
--- a/src/app/internal/bundlecommands.cpp
+++ b/src/app/internal/bundlecommands.cpp
@@ -61,7 +61,7 @@
 class SignOffCommand final : public ICommand {
 public:
     std::string name() const override { return "sign-off"; }
-    std::string summary() const override { return "store a bundle, for good and for all sites"; }
+    std::string summary() const override { return "store a bundle permanently for all sites"; }
 
     int run(const std::vector<std::string>& arguments) override
     {
@@ -105,7 +105,7 @@
         CommandLine line("bundle roll-out", "VERSION --platform URL --operator NAME");
         std::uint64_t version = 0;
         PlatformOptions platform;
-        line.options()("version", options::value(&version)->required(), "of a bundle that was signed off");
+        line.options()("version", options::value(&version)->required(), "version of a signed-off bundle");
         line.addPositional("version");
         addPlatformOptions(line, platform, OperatorOption::Required);
         if (const auto exitCode = line.parse(arguments))
--- a/src/app/internal/bundlecommands.h
+++ b/src/app/internal/bundlecommands.h
@@ -4,7 +4,7 @@
 
 namespace lagoon::app {
 
-/// `bundle check | sign-off | roll-out | status`.
+/// Makes the command `bundle check | sign-off | roll-out | status`.
 std::unique_ptr<ICommand> makeBundleCommand();
 
 } // namespace lagoon::app
--- a/src/app/internal/bundlestatuscommand.cpp
+++ b/src/app/internal/bundlestatuscommand.cpp
@@ -22,7 +22,7 @@
 using framework::Result;
 using framework::success;
 
-/// Prints what the platform and the processes say.
+/// Prints the bundle and replicas that the platform has, and the bundle versions that processes report.
 class StatusReport {
 public:
     StatusReport(objectstore::IObjectStore& store, Deadline deadline)
@@ -58,7 +58,7 @@
         return success();
     }
 
-    /// Returns whether the process answered and has the head's version in force.
+    /// Prints the process's version. Returns whether the process answered and this version is the bundle head's.
     bool printProcess(const Endpoint& endpoint) const
     {
         const auto status = readProcessStatus(endpoint, deadline_);
@@ -129,7 +129,8 @@
     }
 
 private:
-    /// What can't be read doesn't keep the rest from being shown.
+    /// Prints the bundle head, the processes and the replicas. If one of them can't be read, the others are still
+    /// printed, except that the replicas are only printed if the head could be read.
     static int print(const PlatformOptions& platform, const std::vector<std::string>& processes)
     {
         const auto client = connect(platform);
--- a/src/app/internal/claimcommand.cpp
+++ b/src/app/internal/claimcommand.cpp
@@ -26,7 +26,7 @@
 class ReleaseCommand final : public ICommand {
 public:
     std::string name() const override { return "release"; }
-    std::string summary() const override { return "free the claim of a VM that will never free it itself"; }
+    std::string summary() const override { return "release the claim of a VM that will never release it itself"; }
 
     int run(const std::vector<std::string>& arguments) override
     {
@@ -55,10 +55,12 @@
         auto add = line.options();
         add("site", options::value(&parsed.site)->required(), "site of the claim");
         add("model", options::value(&parsed.model)->required(), "model that is claimed");
-        add("adapter", options::value(&parsed.adapter), "adapter, if the claim is one's");
+        add("adapter", options::value(&parsed.adapter), "adapter, if the claim is for an adapter");
         add("vm", options::value(&parsed.vm)->required(), "VM that holds the claim");
         add("reason", options::value(&parsed.reason)->required(),
-            "why the model is certainly gone from the VM: its engine isn't asked, and another VM may load it at once");
+            "why the VM certainly doesn't have the model any more: its engine isn't queried, and another VM may load "
+            "the "
+            "model at once");
     }
 
     static bundle::ClaimRelease claimOf(const ReleaseArguments& parsed)
@@ -86,7 +88,7 @@
 {
     Commands commands;
     commands.push_back(std::make_unique<ReleaseCommand>());
-    return makeCommandGroup("claim", "free claims that nobody else can free", std::move(commands));
+    return makeCommandGroup("claim", "release claims that their VMs can't release", std::move(commands));
 }
 
 } // namespace lagoon::app
--- a/src/app/internal/claimcommand.h
+++ b/src/app/internal/claimcommand.h
@@ -4,7 +4,7 @@
 
 namespace lagoon::app {
 
-/// `claim release`.
+/// Makes the command `claim release`.
 std::unique_ptr<ICommand> makeClaimCommand();
 
 } // namespace lagoon::app
--- a/src/app/internal/commandgroup.h
+++ b/src/app/internal/commandgroup.h
@@ -6,12 +6,12 @@
 
 namespace lagoon::app {
 
-/// A command whose first word chooses among others, such as `bundle`.
+/// Makes a command whose first argument selects one of the subcommands, such as `bundle`.
 std::unique_ptr<ICommand> makeCommandGroup(std::string name, std::string summary, Commands);
 
-/// A line for each command.
+/// Prints one line with name and summary for each command.
 void printCommands(const Commands&, std::ostream&);
-/// The one of that name, or null.
+/// Returns the command with this name, or null if there is none.
 ICommand* findCommand(const Commands&, const std::string& name);
 
 } // namespace lagoon::app
--- a/src/app/internal/commandline.cpp
+++ b/src/app/internal/commandline.cpp
@@ -12,7 +12,7 @@
     : name_(std::move(name))
     , description_("usage: lagoonrouter " + name_ + " " + usage)
 {
-    description_.add_options()("help", "print this");
+    description_.add_options()("help", "print this help");
 }
 
 void CommandLine::addPositional(const std::string& option) { positionals_.add(option.c_str(), 1); }
--- a/src/app/internal/commandline.h
+++ b/src/app/internal/commandline.h
@@ -7,19 +7,20 @@
 
 namespace lagoon::app {
 
-/// The words of one command: `--help`, its options and the words that have a place. Faults and help are printed.
+/// Parses the arguments of one command: `--help`, its options and its positional arguments. Prints help and errors.
 class CommandLine {
 public:
-    /// `name` as in `bundle roll-out`; `usage` is what follows it.
+    /// `name` is the full name, such as `bundle roll-out`; `usage` is the text after the name in the usage line.
     CommandLine(std::string name, const std::string& usage);
 
     boost::program_options::options_description_easy_init options() { return description_.add_options(); }
-    /// The next word that isn't an option's goes to this one.
+    /// Assigns the next positional argument to this option.
     void addPositional(const std::string& option);
-    /// The exit code if there is nothing to run.
+    /// Parses the arguments. Returns the exit code if the command must not run, as help or an error was printed;
+    /// std::nullopt otherwise.
     std::optional<int> parse(const std::vector<std::string>& arguments);
     bool has(const std::string& option) const { return values_.count(option) > 0; }
-    /// Says what is wrong with the words. Returns the exit code.
+    /// Prints the error and the usage. Returns the exit code.
     int reportUsageError(const std::string& fault) const;
 
 private:
--- a/src/app/internal/directagentcommand.cpp
+++ b/src/app/internal/directagentcommand.cpp
@@ -26,17 +26,17 @@
     const auto endpoints = agent.start();
     if (endpoints.has_error())
         return reportStartFailure("direct-agent", endpoints.error(), ExitFailure);
-    // Nothing that it is told changes while it runs.
+    // None of the agent's settings can change while it runs, so a reload is only logged.
     process.waitForShutdown([](const direct::DirectAgentSettings&) { logDecision(framework::LogLine("reloaded")); });
     logDecision(framework::LogLine("stopped"));
-    // No request passes through it: what its engine does goes on, and the next agent takes it over.
+    // No request passes through the agent: its engine keeps running, and the next agent takes control of it.
     Process::exitProcess();
 }
 
 class DirectAgentCommand final : public ICommand {
 public:
     std::string name() const override { return "direct-agent"; }
-    std::string summary() const override { return "keep the models of the engine beside it as routers want them"; }
+    std::string summary() const override { return "load and unload models of the local engine as routers demand"; }
     int run(const std::vector<std::string>& arguments) override
     {
         return Process(name(), direct::parseDirectAgentSettings).run(arguments, serve);
--- a/src/app/internal/directprocess.h
+++ b/src/app/internal/directprocess.h
@@ -15,15 +15,15 @@
 
 namespace lagoon::app {
 
-/// The settings file may change without a signal; reading a few hundred bytes this often costs nothing.
+/// The settings file may change without a signal, so it is read at this interval. It has a few hundred bytes only.
 inline constexpr framework::Milliseconds settingsPollInterval { 2000 };
 
-/// For the last lines of the log, at a process's end. Writing takes under a millisecond a line; a reader that doesn't
-/// read may not keep the process from ending in time.
+/// Limits the time for writing the last log lines at exit. A line takes less than 1 ms; a reader of standard output
+/// that has stopped reading must not prevent the process from exiting in time.
 inline constexpr framework::Milliseconds logFlushTimeout { 150 };
 
-/// What the commands of direct processes have in common: `--settings FILE`, structured logs, checked settings, which
-/// are taken up anew on SIGHUP and when the file has changed.
+/// The common parts of the commands that run a direct process: `--settings FILE`, the structured log, and validated
+/// settings, which are reloaded on SIGHUP and when the file has changed.
 template <typename Settings> class DirectProcess {
 public:
     using Parse = framework::Result<Settings> (*)(const std::string& text, const std::string& source);
@@ -49,7 +49,8 @@
         return serve(*this, settings.value());
     }
 
-    /// Returns when the process is to end. Settings that can't be read are refused, and those in force stay.
+    /// Reloads changed settings until SIGTERM or SIGINT arrives, then returns. Invalid settings are refused, and the
+    /// current ones stay in force.
     void waitForShutdown(const Reload& reload)
     {
         while (true) {
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Ends the process without waiting for its threads, whose work is over: the system closes what they hold.
+    /// Exits without waiting for the threads, whose work is finished. The system closes their files and sockets.
     [[noreturn]] static void exitProcess()
     {
         framework::finishDecisionLog(logFlushTimeout);
@@ -68,8 +69,9 @@
     }
 
 private:
-    /// Also before the end. Guards against a grace period that was shortened just before: the process would be ended by
-    /// force over the requests that it still holds.
+    /// Reads the settings and applies them if they have changed or a reload `isRequested`. Also called before the
+    /// process ends: if the grace period was shortened just before, the process would otherwise be killed while it
+    /// still has requests.
     void reloadSettings(const Reload& reload, bool isRequested)
     {
         const std::string before = text_;
--- a/src/app/internal/directroutercommand.cpp
+++ b/src/app/internal/directroutercommand.cpp
@@ -37,7 +37,7 @@
 class DirectRouterCommand final : public ICommand {
 public:
     std::string name() const override { return "direct-router"; }
-    std::string summary() const override { return "serve callers, sending requests straight to servers"; }
+    std::string summary() const override { return "serve callers, sending requests directly to servers"; }
     int run(const std::vector<std::string>& arguments) override
     {
         return Process(name(), direct::parseDirectRouterSettings).run(arguments, serve);
--- a/src/app/internal/platformoptions.cpp
+++ b/src/app/internal/platformoptions.cpp
@@ -18,7 +18,8 @@
 
 constexpr std::size_t maxOperatorNameLength = 100;
 constexpr unsigned maxTimeoutSeconds = 3600;
-/// A command is one short process, so it may call faster than a daemon; still a fraction of what the platform serves.
+/// A command is one short process, so it may call the platform at a higher rate than a daemon. The rate is still a
+/// fraction of what the platform serves.
 constexpr double callsPerSecond = 300;
 constexpr framework::Milliseconds callTimeout { 2000 };
 
@@ -44,9 +45,11 @@
 {
     auto add = line.options();
     add("platform", options::value(&parsed.url)->required()->value_name("URL"), "the platform's object API");
-    add("timeout", options::value(&parsed.timeout)->value_name("SECONDS"), "for the whole command; 60 if not given");
+    add("timeout", options::value(&parsed.timeout)->value_name("SECONDS"),
+        "time limit of the whole command; 60 if not given");
     if (operatorOption == OperatorOption::Required)
-        add("operator", options::value(&parsed.operatorName)->required()->value_name("NAME"), "who does this");
+        add("operator", options::value(&parsed.operatorName)->required()->value_name("NAME"),
+            "operator who runs the command");
 }
 
 std::optional<std::string> validationError(const PlatformOptions& parsed, OperatorOption operatorOption)
--- a/src/app/internal/platformoptions.h
+++ b/src/app/internal/platformoptions.h
@@ -9,26 +9,26 @@
 
 namespace lagoon::app {
 
-/// What a command that works at the platform is told: `--platform`, `--timeout` and, if it changes something,
+/// The options of a command that calls the platform: `--platform`, `--timeout` and, if the command changes something,
 /// `--operator`.
 struct PlatformOptions {
     std::string url;
     std::string operatorName;
-    /// For the whole command, in seconds.
+    /// The time limit of the whole command, in seconds.
     unsigned timeout = 60;
 };
 
 enum class OperatorOption : std::uint8_t { None, Required };
 
 void addPlatformOptions(CommandLine&, PlatformOptions&, OperatorOption);
-/// What is wrong with them, if anything.
+/// Returns what is wrong with the options; std::nullopt if they are valid.
 std::optional<std::string> validationError(const PlatformOptions&, OperatorOption);
 
 objectstore::ObjectStoreClient connect(const PlatformOptions&);
 framework::Deadline deadlineOf(const PlatformOptions&);
-/// By the options' operator, now.
+/// Returns the operator from the options together with the current time.
 bundle::OperatorAct operatorAct(const PlatformOptions&);
-/// Prints why it didn't work, and whether it may have all the same. Returns the exit code.
+/// Prints the error, and a warning if the command may have taken effect nevertheless. Returns the exit code.
 int reportFailure(const framework::Error&);
 
 } // namespace lagoon::app
--- a/src/app/internal/processcommand.h
+++ b/src/app/internal/processcommand.h
@@ -13,15 +13,15 @@
 
 namespace lagoon::app {
 
-/// Says why the process of this role can't run.
+/// Prints why the process of this role can't start. Returns `exitCode`.
 inline int reportStartFailure(const std::string& role, const framework::Error& error, ExitCode exitCode)
 {
     std::cerr << "lagoonrouter " << role << ": " << describe(error) << "\n";
     return exitCode;
 }
 
-/// What the commands that run a process have in common: `--settings FILE`, logs, signals, checked settings. `serve`
-/// runs it to its end and returns the exit code.
+/// The common parts of the commands that run a process: `--settings FILE`, logging, signals and validated settings.
+/// `serve` runs the process until it ends and returns the exit code.
 template <typename Settings>
 int runProcess(const std::string& role, const std::vector<std::string>& arguments,
     framework::Result<Settings> (*parse)(const std::string& text, const std::string& source),
--- a/src/app/internal/processstatus.cpp
+++ b/src/app/internal/processstatus.cpp
@@ -26,7 +26,7 @@
     status.role = object.text("role");
     status.vm = framework::VmName(object.text("vm"));
     status.bundleVersion = framework::BundleVersion(object.number("bundle_version", 0, UINT64_MAX));
-    // Not finished: the rest of the status differs from role to role.
+    // `finish` isn't called, as it would refuse the other keys of the status, which depend on the role.
     if (status.role.empty() || status.vm.value().empty() || !object.has("bundle_version"))
         return Error { ErrorCode::BadObject, step, source, "expected \"role\", \"vm\" and \"bundle_version\"" };
     return status;
--- a/src/app/internal/processstatus.h
+++ b/src/app/internal/processstatus.h
@@ -7,14 +7,15 @@
 
 namespace lagoon::app {
 
-/// What a process says about itself on `GET /status`.
+/// The common part of the answers of all processes to `GET /status`.
 struct ProcessStatus {
     std::string role;
     framework::VmName vm;
-    /// 0 while it has none in force.
+    /// 0 while the process has no bundle in force.
     framework::BundleVersion bundleVersion;
 };
 
+/// Requests the status of the process with this ops endpoint.
 framework::Result<ProcessStatus> readProcessStatus(const framework::Endpoint& ops, framework::Deadline);
 
 } // namespace lagoon::app
--- a/src/app/internal/readyline.h
+++ b/src/app/internal/readyline.h
@@ -7,7 +7,7 @@
 
 namespace lagoon::app {
 
-/// Prints the line by which whoever started the process learns that it serves, and where.
+/// Prints a JSON line that tells the starter of the process that it is ready, and its endpoints.
 void printReadyLine(
     const std::string& role, const framework::VmName&, const std::map<std::string, framework::Endpoint>& endpoints);
 
--- a/src/app/internal/routercommand.cpp
+++ b/src/app/internal/routercommand.cpp
@@ -21,8 +21,8 @@
             { "ops", endpoints.value().ops } });
     framework::waitForTermination();
     router.drain();
-    // Every reply has left, or its time is over. Closing cpprest's listener while callers keep connections open may
-    // crash the process, and the system closes all of it anyway.
+    // All replies have been sent or have timed out. Closing cpprest's listener while callers keep connections open may
+    // crash the process, and the system closes the connections at exit anyway.
     std::cout.flush();
     std::_Exit(ExitSuccess);
 }
@@ -30,7 +30,7 @@
 class RouterCommand final : public ICommand {
 public:
     std::string name() const override { return "router"; }
-    std::string summary() const override { return "serve callers and decide who loads what"; }
+    std::string summary() const override { return "serve callers and decide which upstream loads which model"; }
     int run(const std::vector<std::string>& arguments) override
     {
         return runProcess<router::RouterSettings>(name(), arguments, router::parseRouterSettings, serve);
--- a/src/app/internal/settingscommand.cpp
+++ b/src/app/internal/settingscommand.cpp
@@ -17,7 +17,7 @@
 using framework::ErrorCode;
 using framework::Result;
 
-/// Returns the role whose settings these are.
+/// Validates a settings file. Returns the role of the process that it is for.
 Result<std::string> checkSettings(const std::string& file)
 {
     BOOST_OUTCOME_TRY(text, framework::readSettingsText(file));
--- a/src/app/internal/settingscommand.h
+++ b/src/app/internal/settingscommand.h
@@ -4,7 +4,7 @@
 
 namespace lagoon::app {
 
-/// `settings check`.
+/// Makes the command `settings check`.
 std::unique_ptr<ICommand> makeSettingsCommand();
 
 } // namespace lagoon::app
--- a/src/app/internal/settingsoption.h
+++ b/src/app/internal/settingsoption.h
@@ -6,14 +6,14 @@
 
 namespace lagoon::app {
 
-/// What the words of a command that takes only `--settings FILE` ask for.
+/// The parsed arguments of a command that takes only `--settings FILE`.
 struct SettingsOption {
-    /// Set when there is nothing to run: help was printed, or the words were bad.
+    /// Set if the command must not run, as help or a usage error was printed.
     std::optional<int> exitCode;
     std::string file;
 };
 
-/// Parses the words; prints help or what is wrong with them.
+/// Parses the arguments. Prints help if requested, or what is wrong with them.
 SettingsOption parseSettingsOption(const std::string& command, const std::vector<std::string>& arguments);
 
 } // namespace lagoon::app
