--- a/examples/claimreplica/main.cpp
+++ b/examples/claimreplica/main.cpp
@@ -35,16 +35,19 @@
         object = { value, ObjectVersion(expected.value() + 1) };
         return object.version;
     }
-    Result<std::vector<objectstore::ListedObject>> list(const std::string&, Deadline) override { return unused(); }
+    Result<std::vector<objectstore::ListedObject>> list(const std::string&, Deadline) override
+    {
+        return notSupported();
+    }
     Result<std::optional<objectstore::StoredObject>> watch(
         const objectstore::ObjectKey&, ObjectVersion, Deadline, std::stop_token) override
     {
-        return unused();
+        return notSupported();
     }
-    Result<void> remove(const objectstore::ObjectKey&, ObjectVersion, Deadline) override { return unused(); }
+    Result<void> remove(const objectstore::ObjectKey&, ObjectVersion, Deadline) override { return notSupported(); }
 
 private:
-    static Error unused() { return { ErrorCode::Internal, "example", "store", "not needed here" }; }
+    static Error notSupported() { return { ErrorCode::Internal, "example", "store", "not needed here" }; }
 
     std::map<std::string, objectstore::StoredObject> objects_;
 };
--- a/tests/benchmarks/overload.cpp
+++ b/tests/benchmarks/overload.cpp
@@ -47,9 +47,9 @@
 void addEngines(Deployment& deployment, int engines, std::uint64_t memoryMib)
 {
     UpstreamOptions options;
-    options.standinWords = { "--memory-mib", std::to_string(memoryMib), "--slots", std::to_string(slots), "--token-ms",
-        std::to_string(tokenMs) };
-    options.moreSettings["limits"]["running"] = web::json::value::number(slots);
+    options.standinArguments = { "--memory-mib", std::to_string(memoryMib), "--slots", std::to_string(slots),
+        "--token-ms", std::to_string(tokenMs) };
+    options.extraSettings["limits"]["running"] = web::json::value::number(slots);
     for (int number = 1; number <= engines; ++number)
         deployment.addUpstream(engineVm(number), options);
 }
@@ -82,7 +82,7 @@
 {
     addEngines(deployment, engines, 10000);
     RouterOptions eager;
-    eager.moreSettings = web::json::value::parse(R"({"dispatch": {"scale_up_in_flight": 1}})");
+    eager.extraSettings = web::json::value::parse(R"({"dispatch": {"scale_up_in_flight": 1}})");
     deployment.addRouter(routerVm, eager);
     deployment.rollOut(BundleBuilder(1)
                            .enginePool("engines", "old", 10000)
@@ -153,8 +153,8 @@
     double last = 0;
     for (const TimedAnswer& timed : answers) {
         if (timed.isServed())
-            last = std::max(
-                last, std::chrono::duration<double>(timed.begunAt - answers.front().begunAt).count() + timed.seconds);
+            last = std::max(last,
+                std::chrono::duration<double>(timed.startedAt - answers.front().startedAt).count() + timed.seconds);
     }
     return std::max(1.0, last);
 }
@@ -278,7 +278,7 @@
     for (int second = 0; second < seconds; second += step) {
         std::vector<TimedAnswer> begun;
         std::copy_if(answers.begin(), answers.end(), std::back_inserter(begun), [&](const TimedAnswer& timed) {
-            const double at = std::chrono::duration<double>(timed.begunAt - start).count();
+            const double at = std::chrono::duration<double>(timed.startedAt - start).count();
             return at >= second && at < second + step;
         });
         Summary summary = summarize(begun);
--- a/tests/benchmarks/processslopes.cpp
+++ b/tests/benchmarks/processslopes.cpp
@@ -167,7 +167,7 @@
 void addEngine(Deployment& deployment)
 {
     UpstreamOptions options;
-    options.standinWords = { "--memory-mib", std::to_string(poolMemoryMib) };
+    options.standinArguments = { "--memory-mib", std::to_string(poolMemoryMib) };
     options.hasLinkProxy = true;
     deployment.addUpstream(engineVm, options);
 }
--- a/tests/demo/demo.cpp
+++ b/tests/demo/demo.cpp
@@ -24,13 +24,13 @@
 const std::vector<std::string> models { "policy", "notes", "summary" };
 constexpr std::uint64_t acceleratorMib = 1000;
 /// As many as a site's engines hold at once: callers of a third would make them unload and load all the time.
-const std::vector<std::string> movedUnderTraffic { "policy", "notes" };
+const std::vector<std::string> modelsUnderTraffic { "policy", "notes" };
 /// Two of a site's engines hold one model each, so a third one needs an unload.
 constexpr std::uint64_t modelMib = 600;
 /// High, so that no replica is unloaded for being idle while the demonstration lasts.
 constexpr double coldStartWeight = 100;
 /// Of each caller, before the move, and after it took hold.
-constexpr std::size_t callsOnEitherSide = 20;
+constexpr std::size_t minCallsPerPhase = 20;
 
 std::string inMilliseconds(std::chrono::steady_clock::duration time)
 {
@@ -68,7 +68,7 @@
         callAService();
         callAModelThatIsNotInTheBundle();
         callMoreModelsThanFit();
-        move();
+        moveSites();
         showStatus();
         showCounters();
         if (!faults_.empty())
@@ -86,19 +86,19 @@
 
     void startSite(const std::string& site)
     {
-        const Place place { site, site + "-a" };
+        const VmLocation location { site, site + "-a" };
         UpstreamOptions engine;
-        engine.place = place;
+        engine.location = location;
         engine.pool = "engines-" + site;
-        engine.standinWords = { "--memory-mib", std::to_string(acceleratorMib), "--load-ms", "300" };
+        engine.standinArguments = { "--memory-mib", std::to_string(acceleratorMib), "--load-ms", "300" };
         deployment_.addUpstream("gpu-" + site + "-1", engine);
         deployment_.addUpstream("gpu-" + site + "-2", engine);
         UpstreamOptions booking;
         booking.kind = UpstreamKind::Service;
-        booking.place = place;
+        booking.location = location;
         booking.pool = "booking-" + site;
         deployment_.addUpstream("booking-" + site, booking);
-        deployment_.addRouter("entry-" + site, { .place = place });
+        deployment_.addRouter("entry-" + site, { .location = location });
         const std::string ops = deployment_.router("entry-" + site).ops();
         printLine(
             "site " + site + ": callers call " + urlOf(callers(site), "") + ", counters at " + urlOf(ops, "/metrics"));
@@ -115,8 +115,8 @@
     void callAColdModel()
     {
         printTitle("A request for a cold model: it waits at the router while an agent claims and loads a replica");
-        const auto cold = timeOf("policy", "may this university have a block");
-        const auto warm = timeOf("policy", "and this one");
+        const auto cold = measureCompletion("policy", "may this university have a block");
+        const auto warm = measureCompletion("policy", "and this one");
         printLine("cold " + inMilliseconds(cold) + ", warm " + inMilliseconds(warm));
         check(loadsOf(engines(oldSite), "policy") == 1, "the model was loaded once");
     }
@@ -126,7 +126,7 @@
         printTitle("A plain service takes the same path");
         const HttpAnswer answer = call(serviceCall(callers(newSite), "booking", "desk-4"));
         printBlock(std::to_string(answer.status) + " " + answer.body);
-        check(answer.status == 200 && answer.isWhole(), "it was answered");
+        check(answer.status == 200 && answer.isComplete(), "it was answered");
         check(executionsOf(deployment_.upstreams(UpstreamKind::Service), "desk-4") == 1, "the service ran it once");
     }
 
@@ -143,8 +143,8 @@
     void callMoreModelsThanFit()
     {
         printTitle("Three models on two accelerators that hold one each: the third needs an unload first");
-        timeOf("notes", "notes of a meeting");
-        printLine("the third, with the unload: " + inMilliseconds(timeOf("summary", "a summary of it")));
+        measureCompletion("notes", "notes of a meeting");
+        printLine("the third, with the unload: " + inMilliseconds(measureCompletion("summary", "a summary of it")));
         std::uint64_t loaded = 0;
         for (const std::string& model : models)
             loaded += replicasNow(engines(oldSite), model);
@@ -152,19 +152,19 @@
         checkEngines();
     }
 
-    void move()
+    void moveSites()
     {
         printTitle("The move: bundle 2 decides all replicas at the new site, while callers go on at both routers");
-        Traffic atOld("a caller at the old site", callers(oldSite), movedUnderTraffic);
-        Traffic atNew("a caller at the new site", callers(newSite), movedUnderTraffic);
+        Traffic atOld("a caller at the old site", callers(oldSite), modelsUnderTraffic);
+        Traffic atNew("a caller at the new site", callers(newSite), modelsUnderTraffic);
         waitFor("calls before the move",
-            [&] { return atOld.answered() >= callsOnEitherSide && atNew.answered() >= callsOnEitherSide; });
+            [&] { return atOld.answered() >= minCallsPerPhase && atNew.answered() >= minCallsPerPhase; });
         rollOut(2, newSite);
         waitUntilInForce();
         for (const std::string& model : models)
             waitFor("drained at the old site: " + model, [&] { return replicasNow(engines(oldSite), model) == 0; });
         const std::size_t before = atOld.answered();
-        waitFor("calls after the move", [&] { return atOld.answered() >= before + callsOnEitherSide; });
+        waitFor("calls after the move", [&] { return atOld.answered() >= before + minCallsPerPhase; });
         for (Traffic* traffic : { &atOld, &atNew })
             checkTraffic(traffic->stop());
         for (const std::string& model : models)
@@ -223,7 +223,7 @@
     }
 
     /// Time until the whole answer to a completion at the old site was there.
-    std::chrono::steady_clock::duration timeOf(const std::string& model, const std::string& prompt)
+    std::chrono::steady_clock::duration measureCompletion(const std::string& model, const std::string& prompt)
     {
         const auto start = std::chrono::steady_clock::now();
         const HttpAnswer answer = call(completionCall(callers(oldSite), model, prompt, { .isStream = true }));
@@ -234,14 +234,14 @@
     }
 
     /// Runs an operator's command and prints it with its output.
-    void runOperators(std::vector<std::string> words)
+    void runOperatorCommand(std::vector<std::string> arguments)
     {
-        words.insert(words.end(), { "--platform", "http://" + deployment_.platform(), "--operator", "ada" });
+        arguments.insert(arguments.end(), { "--platform", "http://" + deployment_.platform(), "--operator", "ada" });
         std::string line = "$ lagoonrouter";
-        for (const std::string& word : words)
-            line += " " + word;
+        for (const std::string& argument : arguments)
+            line += " " + argument;
         std::string output;
-        const int exitCode = deployment_.runCommand(words, &output);
+        const int exitCode = deployment_.runCommand(arguments, &output);
         printBlock(line + "\n" + output);
         if (exitCode != 0)
             throw std::runtime_error("exit code " + std::to_string(exitCode));
@@ -251,17 +251,17 @@
     {
         const std::string file = deployment_.folder().file("bundle-" + std::to_string(version) + ".json");
         writeFile(file, bundleText(version, servingSite));
-        runOperators({ "bundle", "sign-off", file });
-        runOperators({ "bundle", "roll-out", std::to_string(version) });
+        runOperatorCommand({ "bundle", "sign-off", file });
+        runOperatorCommand({ "bundle", "roll-out", std::to_string(version) });
     }
 
     int status(bool isPrinted)
     {
-        std::vector<std::string> words { "bundle", "status", "--platform", "http://" + deployment_.platform() };
+        std::vector<std::string> arguments { "bundle", "status", "--platform", "http://" + deployment_.platform() };
         for (const std::string& ops : processes())
-            words.insert(words.end(), { "--process", ops });
+            arguments.insert(arguments.end(), { "--process", ops });
         std::string output;
-        const int exitCode = deployment_.runCommand(words, &output);
+        const int exitCode = deployment_.runCommand(arguments, &output);
         if (isPrinted)
             printBlock("$ lagoonrouter bundle status --platform ... --process ...\n" + output);
         return exitCode;
@@ -294,8 +294,8 @@
     {
         check(violationsAt(deployment_.upstreams(UpstreamKind::Engine)).empty(), "no accelerator was overcommitted");
         for (const std::string& model : models) {
-            const bool isWithinCap
-                = mostReplicasAtOnce(engines(oldSite), model) <= 1 && mostReplicasAtOnce(engines(newSite), model) <= 1;
+            const bool isWithinCap = maxConcurrentReplicas(engines(oldSite), model) <= 1
+                && maxConcurrentReplicas(engines(newSite), model) <= 1;
             check(isWithinCap, "never more than one replica of " + model + " at either site");
         }
     }
--- a/tests/demo/narration.cpp
+++ b/tests/demo/narration.cpp
@@ -37,20 +37,20 @@
     std::cout << std::flush;
 }
 
-void printCounters(const std::string& ops, const std::vector<std::pair<std::string, std::string>>& meanings)
+void printCounters(const std::string& ops, const std::vector<std::pair<std::string, std::string>>& descriptions)
 {
     const std::string metrics = testsupport::getFrom(ops, "/metrics").body;
-    for (const auto& [name, meaning] : meanings) {
-        printLine(meaning + ":");
+    for (const auto& [name, description] : descriptions) {
+        printLine(description + ":");
         std::istringstream lines(metrics);
-        bool isShown = false;
+        bool hasSample = false;
         for (std::string line; std::getline(lines, line);) {
             if (!isSampleOf(line, name))
                 continue;
             printBlock(line);
-            isShown = true;
+            hasSample = true;
         }
-        if (!isShown)
+        if (!hasSample)
             printBlock(name + ": no sample, so it never happened");
     }
 }
--- a/tests/demo/traffic.cpp
+++ b/tests/demo/traffic.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Between one answer and the next call.
-constexpr std::chrono::milliseconds pause { 20 };
+constexpr std::chrono::milliseconds pauseBetweenCalls { 20 };
 
 } // namespace
 
@@ -33,7 +33,7 @@
 {
     while (!isStopped_) {
         callOnce();
-        std::this_thread::sleep_for(pause);
+        std::this_thread::sleep_for(pauseBetweenCalls);
     }
 }
 
--- a/tests/fleet/fleet.cpp
+++ b/tests/fleet/fleet.cpp
@@ -99,7 +99,7 @@
     for (const auto& field : parser.get().base())
         answer.headers[std::string(field.name_string())] = std::string(field.value());
     answer.body = parser.get().body();
-    answer.isWhole = parser.is_done();
+    answer.isComplete = parser.is_done();
     return answer;
 }
 
--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -20,7 +20,7 @@
     std::map<std::string, std::string> headers;
     std::string body;
     /// By its length or its last chunk.
-    bool isWhole = false;
+    bool isComplete = false;
 };
 
 /// Of all that came on the connection.
--- a/tests/integration/agentfailures_test.cpp
+++ b/tests/integration/agentfailures_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::uint64_t lateLoadMs = 1500;
+constexpr std::uint64_t lateLoadDelayMs = 1500;
 constexpr std::uint64_t settlingMs = 4000;
 
 /// One router before one engine that holds one of two models at a time.
@@ -16,7 +16,7 @@
     void start(bool checksFencing)
     {
         deployment.addUpstream("gpu-1",
-            { .standinWords = { "--memory-mib", "1000", "--load-ms", "600" },
+            { .standinArguments = { "--memory-mib", "1000", "--load-ms", "600" },
                 .checksFencing = checksFencing,
                 .settlingMs = settlingMs });
         deployment.addRouter("entry-1");
@@ -45,7 +45,7 @@
     /// Kills the agent and starts it anew at the same endpoint, as a VM's fixed settings do.
     void restartAgent()
     {
-        agent().options.moreSettings["link"] = web::json::value::string(agent().agent->readyText("link"));
+        agent().options.extraSettings["link"] = web::json::value::string(agent().agent->readyText("link"));
         agent().agent->kill();
         deployment.restartAgent("gpu-1");
     }
@@ -62,7 +62,7 @@
 
 // The agent dies in the middle of a load and is started anew. The caller who waits sees only a longer wait: the new
 // process finds the claim and the load in the engine and carries both on; nothing is loaded twice.
-BOOST_AUTO_TEST_CASE(aLoadGoesOnUnderARestartedAgent)
+BOOST_AUTO_TEST_CASE(aRestartedAgentContinuesItsLoad)
 {
     start(true);
     PendingCall waiting(completion("policy", "may this university have a block"));
@@ -79,7 +79,7 @@
 BOOST_AUTO_TEST_CASE(aLateLoadOrderDoesNotOvercommitTheEngine)
 {
     start(false);
-    setFaults(agent().upstream(), R"({"late_loads":{"count":1,"delay_ms":)" + std::to_string(lateLoadMs) + "}}");
+    setFaults(agent().upstream(), R"({"late_loads":{"count":1,"delay_ms":)" + std::to_string(lateLoadDelayMs) + "}}");
     PendingCall first(completion("policy", "first"));
     waitFor("the order is on its way", [this] { return status("replicas").find("\"loading\"") != std::string::npos; });
     restartAgent();
@@ -92,12 +92,12 @@
     BOOST_TEST(completionText(second) == "second");
     BOOST_TEST(completionText(first.answer()) == "first");
     BOOST_TEST(violationsAt(engines()).empty());
-    BOOST_TEST(mostReplicasAtOnce(engines(), "policy") == 1);
+    BOOST_TEST(maxConcurrentReplicas(engines(), "policy") == 1);
 }
 
 // The agent is paused in the middle of a load, far longer than anything is waited for, and goes on. Its claim hasn't
 // lapsed, so nobody else loaded the model meanwhile, and the caller gets the answer.
-BOOST_AUTO_TEST_CASE(aPausedAgentGoesOnWithItsClaim)
+BOOST_AUTO_TEST_CASE(aPausedAgentKeepsItsClaim)
 {
     start(true);
     PendingCall waiting(completion("policy", "after the pause"));
@@ -112,7 +112,7 @@
 
 // An operator stops an agent while answers stream through it. Each ends whole, what comes now is refused as not run,
 // and the process ends by itself with code 0.
-BOOST_AUTO_TEST_CASE(aGracefulShutdownCutsNoStream)
+BOOST_AUTO_TEST_CASE(aGracefulShutdownCompletesAllStreams)
 {
     start(true);
     BOOST_TEST(completionText(call(completion("policy", "warm"))) == "warm");
@@ -132,7 +132,7 @@
 
 // The agent dies while a draft is generated. The engine may have run it whole, so the caller is told that the outcome
 // is unknown, and the draft isn't made a second time.
-BOOST_AUTO_TEST_CASE(anAgentThatDiesMidAnswerRunsNothingTwice)
+BOOST_AUTO_TEST_CASE(aRequestIsNotRunTwiceIfTheAgentDiesDuringItsAnswer)
 {
     start(true);
     BOOST_TEST(completionText(call(completion("policy", "warm"))) == "warm");
@@ -140,7 +140,7 @@
     PendingCall streaming(completion("policy", "draft of a decision", 200));
     waitFor("the answer begins", [&streaming] { return streaming.bodySoFar().find("draft") != std::string::npos; });
     restartAgent();
-    BOOST_TEST(!streaming.answer().isWhole());
+    BOOST_TEST(!streaming.answer().isComplete());
     setFaults(agent().upstream(), R"({"slow_token_ms":0})");
     BOOST_TEST(completionText(call(completion("policy", "the next one"))) == "the next one");
     BOOST_TEST(executionsOf(engines(), "draft of a decision") == 1);
--- a/tests/integration/answers_test.cpp
+++ b/tests/integration/answers_test.cpp
@@ -21,11 +21,11 @@
 }
 
 /// One model on one engine behind a fault proxy, asked by many callers at once.
-struct Drafts {
-    Drafts()
+struct AnswersFixture {
+    AnswersFixture()
     {
         deployment.addUpstream("gpu-1",
-            { .standinWords = { "--memory-mib", "1000", "--token-ms", "20" },
+            { .standinArguments = { "--memory-mib", "1000", "--token-ms", "20" },
                 .hasLinkProxy = true,
                 .hasUpstreamProxy = true });
         deployment.addRouter("entry-1");
@@ -53,7 +53,7 @@
     }
 
     /// Waits until each stream has begun.
-    void waitForBeginnings(const std::vector<PendingCall>& calls)
+    void waitUntilAllStarted(const std::vector<PendingCall>& calls)
     {
         waitFor("all streams have begun", [&] {
             return std::all_of(
@@ -68,7 +68,7 @@
 };
 
 /// Whether one caller's words are in what another was given.
-bool hasOthersWords(const HttpAnswer& answer, int caller)
+bool hasTokensOfOthers(const HttpAnswer& answer, int caller)
 {
     for (int other = 0; other < callers; ++other) {
         if (other != caller && answer.body.find("c" + std::to_string(other) + "w") != std::string::npos)
@@ -79,9 +79,9 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(EachCallerGetsItsOwnWholeAnswer, Drafts)
+BOOST_FIXTURE_TEST_SUITE(CallersGetTheirOwnCompleteAnswers, AnswersFixture)
 
-BOOST_AUTO_TEST_CASE(manyStreamsAtOnceDoNotMix)
+BOOST_AUTO_TEST_CASE(concurrentStreamsDoNotMix)
 {
     std::vector<PendingCall> calls = askAll();
     for (int caller = 0; caller < callers; ++caller)
@@ -90,35 +90,35 @@
 
 // Frames of the agent's answers cross on their way to the router. A caller may see its answer break off, but never
 // another's words, nor its own in another order as if whole.
-BOOST_AUTO_TEST_CASE(crossedFramesNeverReachTheWrongCaller)
+BOOST_AUTO_TEST_CASE(reorderedFramesNeverReachTheWrongCaller)
 {
     std::vector<PendingCall> calls = askAll();
-    waitForBeginnings(calls);
+    waitUntilAllStarted(calls);
     setFaults(linkProxy(), R"({"swap": {"to_client": 40}})");
     for (int caller = 0; caller < callers; ++caller) {
         const HttpAnswer& answer = calls[caller].answer();
-        BOOST_TEST(!hasOthersWords(answer, caller));
-        if (answer.isWhole() && answer.status == 200)
+        BOOST_TEST(!hasTokensOfOthers(answer, caller));
+        if (answer.isComplete() && answer.status == 200)
             BOOST_TEST(completionText(answer) == promptOf(caller));
     }
     BOOST_TEST(getJson(linkProxy(), "/standin/record").at("swapped").as_integer() > 0);
 }
 
 // The link is cut in the middle of all streams. The router opens another and goes on where each had stopped.
-BOOST_AUTO_TEST_CASE(aCutLinkIsMendedInMidStream)
+BOOST_AUTO_TEST_CASE(aBrokenLinkIsReplacedDuringStreams)
 {
     std::vector<PendingCall> calls = askAll();
-    waitForBeginnings(calls);
+    waitUntilAllStarted(calls);
     setFaults(linkProxy(), R"({"cut": true})");
     for (int caller = 0; caller < callers; ++caller)
         BOOST_TEST(completionText(calls[caller].answer()) == promptOf(caller));
 }
 
 // The link goes silent for good in the middle of all streams; new connections work.
-BOOST_AUTO_TEST_CASE(aSilentLinkIsReplacedInMidStream)
+BOOST_AUTO_TEST_CASE(aSilentLinkIsReplacedDuringStreams)
 {
     std::vector<PendingCall> calls = askAll();
-    waitForBeginnings(calls);
+    waitUntilAllStarted(calls);
     setFaults(linkProxy(), R"({"silent": "both"})");
     for (int caller = 0; caller < callers; ++caller)
         BOOST_TEST(completionText(calls[caller].answer()) == promptOf(caller));
@@ -126,12 +126,12 @@
 
 // The engine's connection breaks in the middle of a stream. The caller must see an error, not a short answer that
 // looks whole.
-BOOST_AUTO_TEST_CASE(aCutUpstreamStreamEndsAsAnError)
+BOOST_AUTO_TEST_CASE(aBrokenUpstreamStreamEndsAsAnError)
 {
     PendingCall call = ask(3, true);
     waitFor("the stream has begun", [&] { return !call.bodySoFar().empty(); });
     setFaults(upstreamProxy(), R"({"cut": true})");
-    BOOST_TEST(!call.answer().isWhole());
+    BOOST_TEST(!call.answer().isComplete());
     BOOST_TEST(completionText(call.answer()) != promptOf(3));
 }
 
--- a/tests/integration/direct_test.cpp
+++ b/tests/integration/direct_test.cpp
@@ -23,18 +23,18 @@
 
 BOOST_FIXTURE_TEST_SUITE(DirectPathThroughSeparateProcesses, RunningFleet)
 
-BOOST_AUTO_TEST_CASE(aWarmModelsStreamIsPassedOnAsItIs)
+BOOST_AUTO_TEST_CASE(aLoadedModelsStreamIsForwardedUnchanged)
 {
     const CallerAnswer answer = call({ .target = "/model/1", .attempt = "a1", .model = "warm" });
     BOOST_TEST(answer.status == 200);
-    BOOST_TEST(answer.isWhole);
+    BOOST_TEST(answer.isComplete);
     BOOST_TEST(answer.body == events(1, 3));
     BOOST_TEST(answer.headers.at("X-Response-Seal") == "seal-e-1");
     BOOST_TEST(engine1.lastHeader("x-request-attempt") == "a1");
     BOOST_TEST(engine1.lastBody() == "body");
 }
 
-BOOST_AUTO_TEST_CASE(aColdModelIsLoadedForTheOneWhoWaits)
+BOOST_AUTO_TEST_CASE(aColdModelIsLoadedForAWaitingRequest)
 {
     const CallerAnswer answer = call({ .target = "/model/1", .attempt = "a1", .model = "cold" });
     BOOST_TEST(answer.status == 200);
@@ -50,7 +50,7 @@
     BOOST_TEST(engine1.holds("warm", "a2"));
 }
 
-BOOST_AUTO_TEST_CASE(moreModelsThanFitTakeTurns)
+BOOST_AUTO_TEST_CASE(modelsThatDoNotFitTogetherAreLoadedInTurn)
 {
     for (const std::string model : { "cold", "colder", "warm", "cold", "colder" }) {
         const CallerAnswer answer = call({ .target = "/model/1", .attempt = model + "-x", .model = model });
@@ -59,7 +59,7 @@
     BOOST_TEST(engine1.violations() + engine2.violations() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(bothKindsOfLookupAreServed)
+BOOST_AUTO_TEST_CASE(getAndPostRequestsAreServed)
 {
     const CallerAnswer get = call({ .method = "GET", .target = "/get/1?q=2", .attempt = "g1" });
     BOOST_TEST(get.status == 200);
@@ -70,7 +70,7 @@
 }
 
 // What only this system may state came from a caller and reached the engine: it reserved memory that nobody used.
-BOOST_AUTO_TEST_CASE(aCallersReservationsDontPass)
+BOOST_AUTO_TEST_CASE(reservationHeadersFromCallersAreDropped)
 {
     call({ .target = "/model/1",
         .attempt = "a1",
@@ -83,7 +83,7 @@
 }
 
 // A member's hold was booked twice: its server had run it and then lost the answer, and the router asked the other one.
-BOOST_AUTO_TEST_CASE(whatMayHaveRunIsNotSentAgain)
+BOOST_AUTO_TEST_CASE(aRequestThatMayHaveRunIsNotResent)
 {
     plain1.dropNext(1);
     plain2.dropNext(1);
@@ -92,7 +92,7 @@
     BOOST_TEST(plain1.runs("p1") + plain2.runs("p1") == 1);
 }
 
-BOOST_AUTO_TEST_CASE(whatMayRunTwiceIsSentToAnotherServer)
+BOOST_AUTO_TEST_CASE(anIdempotentRequestIsRetriedOnAnotherServer)
 {
     plain1.dropNext(1);
     const CallerAnswer first = call({ .method = "GET", .target = "/get/1", .attempt = "g1" });
@@ -103,7 +103,7 @@
 
 // A member's lookup came back as failed, though the server beside the one that failed it would have answered: one
 // lookup in seven ends so on an ordinary day, and each costs its caller a second try over a new connection.
-BOOST_AUTO_TEST_CASE(aLookupThatItsServerFailedIsAskedOfAnother)
+BOOST_AUTO_TEST_CASE(aFailedLookupIsRetriedOnAnotherServer)
 {
     plain1.failNext(1);
     plain2.failNext(1);
@@ -119,7 +119,7 @@
 }
 
 // A slot was held twice: the first server had failed after it wrote the hold down, and another was asked.
-BOOST_AUTO_TEST_CASE(aHoldThatItsServerFailedIsNotAskedOfAnother)
+BOOST_AUTO_TEST_CASE(aFailedHoldIsNotRetriedOnAnotherServer)
 {
     plain1.failNext(1);
     plain2.failNext(1);
@@ -128,7 +128,7 @@
     BOOST_TEST(plain1.runs("p1") + plain2.runs("p1") == 1);
 }
 
-BOOST_AUTO_TEST_CASE(whatWasRefusedAsNotRunIsSentToAnotherServer)
+BOOST_AUTO_TEST_CASE(aRequestRefusedAsNotRunIsRetriedOnAnotherServer)
 {
     plain1.refuseNext(1);
     plain2.refuseNext(1);
@@ -141,7 +141,7 @@
 
 // A server crashed in the middle of a review's eighth event. The caller saw the stream go on behind the seventh, from
 // another server, as if nothing had happened.
-BOOST_AUTO_TEST_CASE(aStreamThatMayBeResumedGoesOnAtAnotherServer)
+BOOST_AUTO_TEST_CASE(aResumableStreamContinuesOnAnotherServer)
 {
     engine2.hold("warm");
     engine1.setStream(12, 1);
@@ -154,10 +154,10 @@
         engine1.breakAfter(8);
         const CallerAnswer answer
             = call({ .target = "/resume/1", .attempt = id, .model = "warm", .prompt = id + ":100" });
-        const bool wentOn = engine1.runs(id) == 1 && engine2.runs(id) == 1;
-        BOOST_TEST((!wentOn || answer.body == events(1, 12)));
-        BOOST_TEST((!wentOn || answer.headers.at("X-Response-Seal") == "seal-e-1"));
-        resumed += wentOn ? 1 : 0;
+        const bool isResumed = engine1.runs(id) == 1 && engine2.runs(id) == 1;
+        BOOST_TEST((!isResumed || answer.body == events(1, 12)));
+        BOOST_TEST((!isResumed || answer.headers.at("X-Response-Seal") == "seal-e-1"));
+        resumed += isResumed ? 1 : 0;
         return resumed >= 3;
     });
 }
@@ -168,13 +168,13 @@
     engine1.breakAfter(8);
     const CallerAnswer answer = call({ .target = "/model/1", .attempt = "a1", .model = "warm" });
     BOOST_TEST(answer.status == 200);
-    BOOST_TEST(!answer.isWhole);
+    BOOST_TEST(!answer.isComplete);
     BOOST_TEST(answer.body == events(1, 7));
     BOOST_TEST(engine1.runs("a1") == 1);
 }
 
 // A hostmaster closed the page, and the review went on at a model that others waited for.
-BOOST_AUTO_TEST_CASE(aCallerThatLeavesEndsItsServersWork)
+BOOST_AUTO_TEST_CASE(aDisconnectedCallersWorkIsCancelled)
 {
     engine1.setStream(1000, 20);
     RawCaller caller { lagoon::framework::Endpoint(fleet.callers()) };
@@ -184,7 +184,7 @@
     waitFor("the engine to drop the work", [this] { return engine1.cancelled() == 1; });
 }
 
-BOOST_AUTO_TEST_CASE(aNewConfigurationIsInForceAndNoOlderOneComesBack)
+BOOST_AUTO_TEST_CASE(aNewConfigurationTakesEffectAndNoOlderOneReturns)
 {
     auto routes = Fleet::usualRoutes();
     routes.push_back(Fleet::route("/new/", "idempotent", "plain"));
@@ -197,7 +197,7 @@
         [this] { return call({ .method = "GET", .target = "/new/1", .attempt = "n2" }).status == 404; });
 }
 
-BOOST_AUTO_TEST_CASE(aLeavingServerGetsNothingMore)
+BOOST_AUTO_TEST_CASE(aDrainingServerGetsNoNewRequests)
 {
     fleet.list(plain1, "plain", "draining");
     waitFor("the router to know",
@@ -210,7 +210,7 @@
 }
 
 // The store was away for some seconds, and members were told that their pages didn't exist.
-BOOST_AUTO_TEST_CASE(requestsGoOnWhileTheStoreIsAway)
+BOOST_AUTO_TEST_CASE(requestsAreServedDuringAStoreOutage)
 {
     store.setAway(true);
     waitFor("the router to notice", [this] { return fleet.router().output().find("store_lost") != std::string::npos; });
@@ -222,7 +222,7 @@
         [this] { return fleet.router().output().find("store_regained") != std::string::npos; });
 }
 
-BOOST_AUTO_TEST_CASE(aRouterThatIsEndedFinishesItsStreams)
+BOOST_AUTO_TEST_CASE(aRouterCompletesItsStreamsOnSigterm)
 {
     engine1.setStream(40, 20);
     RawCaller caller { lagoon::framework::Endpoint(fleet.callers()) };
@@ -237,7 +237,7 @@
     BOOST_TEST(fleet.router().output().find("\"stopped\",\"unanswered\":0") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(aHangupReloadsTheSettings)
+BOOST_AUTO_TEST_CASE(sighupReloadsTheSettings)
 {
     fleet.router().sendSignal(SIGHUP);
     waitFor("the reload", [this] { return fleet.router().output().find("\"reloaded\"") != std::string::npos; });
@@ -247,7 +247,7 @@
 BOOST_AUTO_TEST_SUITE_END()
 
 // A router was started while the store was down, and answered 404 to all that came.
-BOOST_AUTO_TEST_CASE(aRouterWithoutConfigurationSaysComeBack)
+BOOST_AUTO_TEST_CASE(aRouterWithoutConfigurationRefusesWithRetryAfter)
 {
     Fleet& fleet = Fleet::make();
     fleet.store.setAway(true);
--- a/tests/integration/leaving_test.cpp
+++ b/tests/integration/leaving_test.cpp
@@ -20,98 +20,98 @@
         deployment.addRouter("entry-1");
         deployment.rollOut(BundleBuilder(1).servicePool("booking", "old").service(service, { "booking" }).text());
         deployment.waitUntilReady();
-        askUntil("both serve", [&] { return callsAt("booking-1") > 0 && callsAt("booking-2") > 0; });
+        callUntil("both serve", [&] { return callsAt("booking-1") > 0 && callsAt("booking-2") > 0; });
         // The VM that stays is the slow one: were the other allowed work, it would get nearly all. Between two alike
         // the router's choice stays with one for hundreds of calls, and they would pass the leaving one by all the
         // same.
         setFaults(deployment.upstream(staying).upstream(), R"({"work_ms": 40})");
-        askUntil("the faster is preferred", [&] { return isPreferred(leaving); });
+        callUntil("the faster is preferred", [&] { return isPreferred(leaving); });
     }
 
     /// Whether nearly all of some calls went there.
     bool isPreferred(const std::string& vm)
     {
-        constexpr std::size_t looks = 20;
+        constexpr std::size_t sampleCalls = 20;
         const std::size_t before = callsAt(vm);
-        for (std::size_t look = 0; look < looks; ++look)
-            ask();
-        return callsAt(vm) - before > looks * 3 / 4;
+        for (std::size_t sampleCall = 0; sampleCall < sampleCalls; ++sampleCall)
+            callOnce();
+        return callsAt(vm) - before > sampleCalls * 3 / 4;
     }
 
     std::size_t callsAt(const std::string& vm) { return executionsAt({ deployment.upstream(vm).upstream() }).size(); }
-    HttpAnswer ask()
+    HttpAnswer callOnce()
     {
-        const std::string token = "hold-" + std::to_string(asked_++);
+        const std::string token = "hold-" + std::to_string(callCount_++);
         return call(serviceCall(deployment.router("entry-1").callers(), service, token));
     }
-    void askUntil(const std::string& what, const std::function<bool()>& condition)
+    void callUntil(const std::string& what, const std::function<bool()>& condition)
     {
         waitFor(what, [&] {
-            BOOST_TEST(ask().status == 200);
+            BOOST_TEST(callOnce().status == 200);
             return condition();
         });
     }
     /// Asks again and again until so many calls in a row went past the VM, far more than chance allows.
-    void askUntilNothingReaches(const std::string& vm)
+    void callUntilAvoided(const std::string& vm)
     {
         std::size_t before = callsAt(vm);
-        std::size_t inARow = 0;
-        askUntil("no new work reaches " + vm, [&] {
+        std::size_t consecutiveMisses = 0;
+        callUntil("no new work reaches " + vm, [&] {
             const std::size_t now = callsAt(vm);
-            inARow = now == before ? inARow + 1 : 0;
+            consecutiveMisses = now == before ? consecutiveMisses + 1 : 0;
             before = now;
-            return inARow >= callsPastLeaving;
+            return consecutiveMisses >= minConsecutiveMisses;
         });
     }
 
-    static constexpr std::size_t callsPastLeaving = 60;
+    static constexpr std::size_t minConsecutiveMisses = 60;
     Deployment deployment;
     const std::string leaving = "booking-1";
     const std::string staying = "booking-2";
 
 private:
-    std::size_t asked_ = 0;
+    std::size_t callCount_ = 0;
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(Leaving, LeavingFixture)
+BOOST_FIXTURE_TEST_SUITE(LeavingVms, LeavingFixture)
 
 // The platform is about to take a VM back and says so in its list. Work that still went there would die with it.
-BOOST_AUTO_TEST_CASE(byThePlatformsList)
+BOOST_AUTO_TEST_CASE(announcedByThePlatformsList)
 {
     deployment.setVmState(leaving, "leaving");
-    askUntilNothingReaches(leaving);
+    callUntilAvoided(leaving);
 }
 
 // An operator ends the agent while the list still calls its VM live. The agent says itself that it takes no more.
-BOOST_AUTO_TEST_CASE(bySigtermToTheAgentWithAListThatKnowsNothing)
+BOOST_AUTO_TEST_CASE(announcedByAnAgentWhileTheListIsStale)
 {
     setFaults(deployment.platform(), R"({"vms_frozen": true})");
     deployment.upstream(leaving).agent->sendSignal(SIGTERM);
     BOOST_TEST(deployment.upstream(leaving).agent->waitForExit() == 0);
-    askUntilNothingReaches(leaving);
+    callUntilAvoided(leaving);
 }
 
 // The same while the platform can't be reached at all.
-BOOST_AUTO_TEST_CASE(bySigtermToTheAgentWithThePlatformDown)
+BOOST_AUTO_TEST_CASE(announcedByAnAgentDuringAPlatformOutage)
 {
     setFaults(deployment.platform(), R"({"mode": "refuse"})");
     deployment.upstream(leaving).agent->sendSignal(SIGTERM);
     BOOST_TEST(deployment.upstream(leaving).agent->waitForExit() == 0);
-    askUntilNothingReaches(leaving);
+    callUntilAvoided(leaving);
 }
 
 // The list says "leaving" late. What the VM still gets until then is answered; nothing is lost.
-BOOST_AUTO_TEST_CASE(byAListThatIsLate)
+BOOST_AUTO_TEST_CASE(announcedByADelayedList)
 {
     setFaults(deployment.platform(), R"({"vms_late_ms": 1500})");
     deployment.setVmState(leaving, "leaving");
-    askUntilNothingReaches(leaving);
+    callUntilAvoided(leaving);
 }
 
 // A call is under way at the upstream when its agent is told to go. It is answered before the agent goes.
-BOOST_AUTO_TEST_CASE(workUnderWayIsFinished)
+BOOST_AUTO_TEST_CASE(callsInProgressAreCompleted)
 {
     setFaults(deployment.upstream("booking-1").upstream(), R"({"work_ms": 2000})");
     setFaults(deployment.upstream("booking-2").upstream(), R"({"work_ms": 2000})");
--- a/tests/integration/memory_test.cpp
+++ b/tests/integration/memory_test.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t modelCount = 6;
 constexpr std::size_t callsPerModel = 3;
-constexpr std::uint64_t looksPerBurst = 20;
+constexpr std::uint64_t pollsPerBurst = 20;
 /// How long an order may lie unread, as the agents are told.
 constexpr std::uint64_t settlingMs = 3000;
 const std::vector<std::string> engineVms { "gpu-1", "gpu-2" };
@@ -22,10 +22,10 @@
 struct MemoryFixture {
     void start(bool checksFencing)
     {
-        const std::vector<std::string> words { "--memory-mib", "1000", "--load-ms", "300", "--unload-ms", "200" };
+        const std::vector<std::string> arguments { "--memory-mib", "1000", "--load-ms", "300", "--unload-ms", "200" };
         for (const std::string& vm : engineVms)
             deployment.addUpstream(
-                vm, { .standinWords = words, .checksFencing = checksFencing, .settlingMs = settlingMs });
+                vm, { .standinArguments = arguments, .checksFencing = checksFencing, .settlingMs = settlingMs });
         deployment.addRouter("entry-1");
         deployment.addRouter("entry-2");
         BundleBuilder bundle(1);
@@ -52,7 +52,7 @@
     /// Bursts again and again, until each model was loaded: the engines have to unload for most of them. While all are
     /// asked for at once the same ones may be refused each time, so after each burst those that weren't loaded yet are
     /// asked for alone.
-    void burstUntilEachWasLoaded(const std::string& adapter = "")
+    void burstUntilAllWereLoaded(const std::string& adapter = "")
     {
         const std::string suffix = adapter.empty() ? "" : "/" + adapter;
         waitFor("each was loaded", [&] {
@@ -70,7 +70,7 @@
     {
         std::vector<std::size_t> indexes;
         for (std::size_t index = 0; index < modelCount; ++index) {
-            if (mostReplicasAtOnce(engines(), modelName(index), adapter) == 0)
+            if (maxConcurrentReplicas(engines(), modelName(index), adapter) == 0)
                 indexes.push_back(index);
         }
         return indexes;
@@ -84,7 +84,7 @@
             BOOST_ERROR(violation);
     }
     /// Waits until an engine has a replica in this state and names the VM.
-    std::string vmWith(const std::string& state)
+    std::string waitForVmWithState(const std::string& state)
     {
         std::string found;
         waitFor("a replica is " + state, [&] {
@@ -105,7 +105,7 @@
         return getJson(deployment.upstream(vm).upstream(), "/standin/record").at("held_loads").as_integer();
     }
     /// Waits until an order to load lies unread in an engine and names the VM.
-    std::string vmWithHeldLoad()
+    std::string waitForVmWithHeldLoad()
     {
         std::string found;
         waitFor("an order to load lies unread", [&] {
@@ -143,50 +143,50 @@
 BOOST_AUTO_TEST_CASE(aBurstForMoreModelsThanFit)
 {
     start(true);
-    burstUntilEachWasLoaded();
+    burstUntilAllWereLoaded();
 }
 
 // Adapters need memory beside their models, which were counted when they were loaded without them.
 BOOST_AUTO_TEST_CASE(adaptersBesideModels)
 {
     start(true);
-    burstUntilEachWasLoaded();
-    burstUntilEachWasLoaded("adapter");
+    burstUntilAllWereLoaded();
+    burstUntilAllWereLoaded("adapter");
 }
 
 // An agent dies while its engine loads. Its successor finds memory that nobody remembers having given away.
-BOOST_AUTO_TEST_CASE(anAgentKilledInMidLoad)
+BOOST_AUTO_TEST_CASE(anAgentKilledDuringALoad)
 {
     start(true);
     beginBurst(burst);
-    killAndRestartAgent(vmWith("loading"));
+    killAndRestartAgent(waitForVmWithState("loading"));
     checkAll(burst.finish(engines()));
     checkServes();
 }
 
 // The same while its engine unloads: what is on its way out still takes its memory.
-BOOST_AUTO_TEST_CASE(anAgentKilledInMidUnload)
+BOOST_AUTO_TEST_CASE(anAgentKilledDuringAnUnload)
 {
     start(true);
     beginBurst(burst);
-    killAndRestartAgent(vmWith("unloading"));
+    killAndRestartAgent(waitForVmWithState("unloading"));
     checkAll(burst.finish(engines()));
     checkServes();
 }
 
 // An engine that ignores fencing numbers holds an order to load unread while the agent that sent it dies. The engine
 // shows no trace of it. Its successor loads something else, and then the old load begins: both don't fit.
-BOOST_AUTO_TEST_CASE(aFormerAgentsLoadBeginsLate)
+BOOST_AUTO_TEST_CASE(aPreviousAgentsLoadOrderIsReadLate)
 {
     start(false);
     for (const std::string& vm : engineVms)
         setFaults(deployment.upstream(vm).upstream(), R"({"late_loads": {"count": 1, "delay_ms": 1500}})");
     beginBurst(burst);
-    const std::string vm = vmWithHeldLoad();
+    const std::string vm = waitForVmWithHeldLoad();
     killAndRestartAgent(vm);
-    std::uint64_t looks = 0;
+    std::uint64_t polls = 0;
     waitFor("the order was read", [&] {
-        if (looks++ % looksPerBurst == 0)
+        if (polls++ % pollsPerBurst == 0)
             beginBurst(burst);
         return heldLoadsAt(vm) == 0;
     });
--- a/tests/integration/notrun_test.cpp
+++ b/tests/integration/notrun_test.cpp
@@ -13,8 +13,8 @@
 
 /// One booking service behind two fault proxies: one between router and agent, one between agent and service. Its
 /// calls may not be repeated. The service's own record says what was executed.
-struct Booking {
-    Booking()
+struct BookingFixture {
+    BookingFixture()
     {
         deployment.addUpstream("booking-1",
             { .kind = UpstreamKind::Service, .pool = "booking", .hasLinkProxy = true, .hasUpstreamProxy = true });
@@ -61,11 +61,11 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(NotRunIsTrueAndNothingRunsTwice, Booking)
+BOOST_FIXTURE_TEST_SUITE(NotRunIsReliableAndNothingRunsTwice, BookingFixture)
 
 // The link to the agent goes silent for good just before a slot hold is sent; new connections work. The caller hears
 // "not run". Minutes later the network delivers the old frame after all: the hold must not be made even then.
-BOOST_AUTO_TEST_CASE(aFrameThatComesAfterItsFenceNeverRuns)
+BOOST_AUTO_TEST_CASE(aDispatchDeliveredAfterItsFenceIsNotRun)
 {
     setFaults(linkProxy(), R"({"hold": "to_server"})");
     PendingCall call = hold("entry-1");
@@ -86,7 +86,7 @@
 
 // The link goes silent while the service works. The hold is made; the caller must get its answer over a new link, and
 // the hold must be made once.
-BOOST_AUTO_TEST_CASE(aLinkSilentDuringTheWorkLosesNothing)
+BOOST_AUTO_TEST_CASE(anAnswerSurvivesALinkThatGoesSilent)
 {
     setFaults(booking().upstream(), R"({"work_ms": 4000})");
     PendingCall call = hold("entry-1");
@@ -101,7 +101,7 @@
 
 // The service has made the hold and the agent's answer is swallowed by the link. The agent kept it: the caller gets it
 // over a new link, and nothing runs again.
-BOOST_AUTO_TEST_CASE(anAnswerLostOnTheLinkIsSentAgain)
+BOOST_AUTO_TEST_CASE(anAnswerLostOnTheLinkIsResent)
 {
     setFaults(linkProxy(), R"({"silent": "to_client"})");
     PendingCall call = hold("entry-1");
@@ -112,7 +112,7 @@
 
 // The agent is killed while the service makes the hold, and started anew. Its ledger is gone, so the caller must hear
 // "unknown", and neither router nor agent may send the hold again.
-BOOST_AUTO_TEST_CASE(anAgentKilledDuringTheWorkLeavesItUnknown)
+BOOST_AUTO_TEST_CASE(aCallIsUnknownIfItsAgentIsKilled)
 {
     setFaults(booking().upstream(), R"({"work_ms": 1000})");
     PendingCall call = hold("entry-1");
@@ -125,7 +125,7 @@
 }
 
 // The agent is killed and nothing was sent to it yet: that is "not run", and true.
-BOOST_AUTO_TEST_CASE(anAgentThatIsDeadBeforeIsNotRun)
+BOOST_AUTO_TEST_CASE(aCallToADeadAgentIsNotRun)
 {
     booking().agent->kill();
     setFaults(linkProxy(), R"({"cut": true, "refuse": true})");
@@ -148,7 +148,7 @@
 }
 
 // As before, with a second booking service that would gladly take the hold as well: it must not get it.
-BOOST_AUTO_TEST_CASE(whatMayHaveRunIsNotSentToAnotherUpstream)
+BOOST_AUTO_TEST_CASE(aCallThatMayHaveRunIsNotSentToAnotherUpstream)
 {
     deployment.addUpstream("booking-2", { .kind = UpstreamKind::Service, .pool = "booking" });
     const std::vector<std::string> services = deployment.upstreams(UpstreamKind::Service);
@@ -175,7 +175,7 @@
 }
 
 // A kiosk's connection breaks and it sends the same hold with the same key through two routers at once. One may run.
-BOOST_AUTO_TEST_CASE(oneKeyAtTwoRoutersAtOnceRunsOnce)
+BOOST_AUTO_TEST_CASE(aKeySentToTwoRoutersConcurrentlyRunsOnce)
 {
     setFaults(booking().upstream(), R"({"work_ms": 300})");
     PendingCall first = hold("entry-1", token, "kiosk-9");
@@ -189,7 +189,7 @@
 }
 
 // As before, one after the other, and the platform's answer to the first key's write is lost.
-BOOST_AUTO_TEST_CASE(oneKeyAtTwoRoutersInTurnRunsOnce)
+BOOST_AUTO_TEST_CASE(aKeySentToTwoRoutersInSequenceRunsOnce)
 {
     setFaults(deployment.platform(), R"({"lose_answers": {"count": 1, "prefix": "keys/"}})");
     BOOST_TEST(hold("entry-1", token, "kiosk-9").answer().status == 200);
@@ -199,7 +199,7 @@
 }
 
 // The platform is down and a keyed hold comes: nobody can tell whether its key is new, so it isn't run, and says so.
-BOOST_AUTO_TEST_CASE(aKeyDuringAnOutageIsNotRun)
+BOOST_AUTO_TEST_CASE(aKeyedCallDuringAPlatformOutageIsNotRun)
 {
     setFaults(deployment.platform(), R"({"mode": "refuse"})");
     PendingCall call = hold("entry-1", token, "kiosk-9");
--- a/tests/integration/operators_test.cpp
+++ b/tests/integration/operators_test.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 /// Two sites with a router each, an engine at the old one, and an operator's shell.
-struct Operators {
-    Operators()
+struct OperatorsFixture {
+    OperatorsFixture()
     {
-        deployment.addUpstream("gpu-1", { .standinWords = { "--memory-mib", "1000" } });
+        deployment.addUpstream("gpu-1", { .standinArguments = { "--memory-mib", "1000" } });
         deployment.addRouter("entry-1");
-        deployment.addRouter("entry-2", { .place = { "new", "b" } });
+        deployment.addRouter("entry-2", { .location = { "new", "b" } });
     }
 
     static std::string bundleText(std::uint64_t version, std::uint32_t replicas = 1)
@@ -33,27 +33,27 @@
     }
 
     /// Runs a command; its words and, if it works at the platform, where that is.
-    int run(std::vector<std::string> words) { return deployment.runCommand(words, &output); }
-    std::vector<std::string> atPlatform(std::vector<std::string> words, const std::string& operatorName = "")
+    int run(std::vector<std::string> arguments) { return deployment.runCommand(arguments, &output); }
+    std::vector<std::string> withPlatform(std::vector<std::string> arguments, const std::string& operatorName = "")
     {
-        words.insert(words.end(), { "--platform", "http://" + deployment.platform() });
+        arguments.insert(arguments.end(), { "--platform", "http://" + deployment.platform() });
         if (!operatorName.empty())
-            words.insert(words.end(), { "--operator", operatorName });
-        return words;
+            arguments.insert(arguments.end(), { "--operator", operatorName });
+        return arguments;
     }
     int signOff(std::uint64_t version, std::uint32_t replicas = 1)
     {
         const std::string path = file(std::to_string(version) + ".json", bundleText(version, replicas));
-        return run(atPlatform({ "bundle", "sign-off", path }, "ada"));
+        return run(withPlatform({ "bundle", "sign-off", path }, "ada"));
     }
     int rollOut(std::uint64_t version, const std::string& operatorName = "ada")
     {
-        return run(atPlatform({ "bundle", "roll-out", std::to_string(version) }, operatorName));
+        return run(withPlatform({ "bundle", "roll-out", std::to_string(version) }, operatorName));
     }
     /// 0 once both routers and the agent have the head's version in force.
     int status()
     {
-        return run(atPlatform({ "bundle", "status", "--process", deployment.router("entry-1").ops(), "--process",
+        return run(withPlatform({ "bundle", "status", "--process", deployment.router("entry-1").ops(), "--process",
             deployment.router("entry-2").ops(), "--process", deployment.upstream("gpu-1").ops() }));
     }
     /// `settings check` of otherwise good settings of this role refuses them with this fault.
@@ -62,9 +62,9 @@
         const std::string text = R"({"role":")" + role + R"(","vm":"a","site":"old","failure_domain":"a",)"
             + R"("link":"127.0.0.1:0","ops":"127.0.0.1:0","platform":{"url":"http://127.0.0.1:1"},)" + more + "}";
         BOOST_TEST(run({ "settings", "check", file("settings.json", text) }) == 2);
-        BOOST_TEST(shows(fault), output);
+        BOOST_TEST(outputContains(fault), output);
     }
-    bool shows(const std::string& text) const { return output.find(text) != std::string::npos; }
+    bool outputContains(const std::string& text) const { return output.find(text) != std::string::npos; }
 
     Deployment deployment;
     /// Of the last command.
@@ -73,35 +73,35 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(OperatorsCommands, Operators)
+BOOST_FIXTURE_TEST_SUITE(OperatorsCommands, OperatorsFixture)
 
-BOOST_AUTO_TEST_CASE(badWordsAndFilesExitWithTwoAndEachCommandHasHelp)
+BOOST_AUTO_TEST_CASE(invalidArgumentsAndFilesExitWithTwoAndEachCommandHasHelp)
 {
     const std::vector<std::vector<std::string>> commands { { "bundle", "check" }, { "bundle", "sign-off" },
         { "bundle", "roll-out" }, { "bundle", "status" }, { "claim", "release" }, { "settings", "check" }, { "router" },
         { "agent" }, { "bundle" }, { "claim" }, { "settings" } };
-    for (std::vector<std::string> words : commands) {
-        BOOST_TEST_INFO(words.back());
-        BOOST_TEST(run(words) == 2);
-        words.emplace_back("--help");
-        BOOST_TEST(run(words) == 0);
-        BOOST_TEST(shows("usage: lagoonrouter " + words.front()), output);
+    for (std::vector<std::string> arguments : commands) {
+        BOOST_TEST_INFO(arguments.back());
+        BOOST_TEST(run(arguments) == 2);
+        arguments.emplace_back("--help");
+        BOOST_TEST(run(arguments) == 0);
+        BOOST_TEST(outputContains("usage: lagoonrouter " + arguments.front()), output);
     }
     const std::string bad = file("bad.json", R"({"format":1,"version":1,"models":[{"name":"a"}]})");
-    BOOST_TEST(run(atPlatform({ "bundle", "sign-off", bad }, "ada")) == 2);
-    BOOST_TEST(shows("bad.json: bad_bundle: key \"models[0].version\""), output);
+    BOOST_TEST(run(withPlatform({ "bundle", "sign-off", bad }, "ada")) == 2);
+    BOOST_TEST(outputContains("bad.json: bad_bundle: key \"models[0].version\""), output);
     BOOST_TEST(run({ "bundle", "check", "missing.json" }) == 2);
     BOOST_TEST(run({ "bundle", "roll-out", "1", "--platform", "http://x/y", "--operator", "ada" }) == 2);
     BOOST_TEST(run({ "settings", "check", file("s.json", R"({"role":"agent","vm":3})") }) == 2);
-    BOOST_TEST(shows("key \"vm\""), output);
+    BOOST_TEST(outputContains("key \"vm\""), output);
     checkSettings("router", R"("callers":"127.0.0.1:0","limits":{"tpyo":1})", "key \"limits.tpyo\": unknown key");
     checkSettings("router", R"("callers":"127.0.0.1:0","dispatch":{"tpyo":1})", "key \"dispatch.tpyo\": unknown key");
     checkSettings("agent", R"("pool":"p","upstream":{"url":"http://127.0.0.1:1","tpyo":1})",
         "key \"upstream.tpyo\": unknown key");
     checkSettings("agent", R"("pool":"p","upstream":{"url":"http://127.0.0.1:1"},"limits":{"tpyo":1})",
         "key \"limits.tpyo\": unknown key");
-    BOOST_TEST(run(atPlatform({ "bundle", "status" })) == 0);
-    BOOST_TEST(shows("none was rolled out"), output);
+    BOOST_TEST(run(withPlatform({ "bundle", "status" })) == 0);
+    BOOST_TEST(outputContains("none was rolled out"), output);
 }
 
 BOOST_AUTO_TEST_CASE(aRolledOutBundleIsInForceAtEveryProcess)
@@ -111,15 +111,15 @@
     BOOST_TEST(isReached([&] { return status() == 0; }));
     BOOST_TEST(signOff(2, 0) == 0);
     BOOST_TEST(rollOut(2, "bob") == 0);
-    BOOST_TEST(shows("1 replica counts lowered"), output);
+    BOOST_TEST(outputContains("1 replica counts lowered"), output);
     BOOST_TEST(isReached([&] { return status() == 0; }));
-    BOOST_TEST(shows("bundle: version 2, rolled out by bob"), output);
+    BOOST_TEST(outputContains("bundle: version 2, rolled out by bob"), output);
     BOOST_TEST(rollOut(1) == 1);
-    BOOST_TEST(shows("version 2 is in force, rolled out by bob"), output);
+    BOOST_TEST(outputContains("version 2 is in force, rolled out by bob"), output);
 }
 
 // Two operators each believe that their bundle is in force. Both rolled out in the same moment.
-BOOST_AUTO_TEST_CASE(ofOperatorsThatRaceOneWinsAndEachOtherIsToldByWhom)
+BOOST_AUTO_TEST_CASE(losersOfConcurrentRollOutsAreToldTheWinner)
 {
     constexpr std::uint64_t operators = 4;
     for (std::uint64_t version = 1; version <= operators; ++version)
@@ -127,9 +127,9 @@
     std::vector<std::unique_ptr<ChildProcess>> racers;
     for (std::uint64_t version = 1; version <= operators; ++version) {
         const std::string name = "operator-" + std::to_string(version);
-        const auto words = atPlatform({ "bundle", "roll-out", std::to_string(version) }, name);
+        const auto arguments = withPlatform({ "bundle", "roll-out", std::to_string(version) }, name);
         racers.push_back(
-            std::make_unique<ChildProcess>(name, pathOf(Program::Lagoonrouter), words, deployment.folder()));
+            std::make_unique<ChildProcess>(name, pathOf(Program::Lagoonrouter), arguments, deployment.folder()));
     }
     std::uint64_t highestWinner = 0;
     for (const auto& racer : racers) {
@@ -141,12 +141,13 @@
             highestWinner = std::max<std::uint64_t>(highestWinner, std::stoul(racer->name().substr(9)));
     }
     BOOST_TEST(isReached([&] { return status() == 0; }));
-    BOOST_TEST(shows("bundle: version " + std::to_string(highestWinner) + ", rolled out by operator-"), output);
+    BOOST_TEST(
+        outputContains("bundle: version " + std::to_string(highestWinner) + ", rolled out by operator-"), output);
 }
 
 // An operator is told that the roll-out failed, and the bundle is in force all the same. The platform wrote, and its
 // answer was lost.
-BOOST_AUTO_TEST_CASE(lostAnswersOfTheHeadAreSettled)
+BOOST_AUTO_TEST_CASE(aRollOutSucceedsWhenThePlatformsResponseIsLost)
 {
     BOOST_TEST(signOff(1) == 0);
     setFaults(deployment.platform(), R"({"lose_answers":{"count":2,"prefix":"bundle"}})");
@@ -158,7 +159,7 @@
 }
 
 // A router that starts while the platform is down must become ready once it is back, and never serve an older bundle.
-BOOST_AUTO_TEST_CASE(aRouterThatStartsInAnOutageIsNotReadyAndThenHasTheBundle)
+BOOST_AUTO_TEST_CASE(aRouterStartedDuringAnOutageBecomesReadyAfterIt)
 {
     BOOST_TEST(signOff(1) == 0);
     BOOST_TEST(rollOut(1) == 0);
@@ -186,13 +187,13 @@
         "--reason", "its host burnt down" };
     std::vector<std::string> tooShort = release;
     tooShort.back() = "burnt";
-    BOOST_TEST(run(atPlatform(tooShort, "ada")) == 2);
-    BOOST_TEST(run(atPlatform(release, "ada")) == 0);
-    BOOST_TEST(run(atPlatform(release, "ada")) == 1);
-    BOOST_TEST(run(atPlatform({ "bundle", "status" })) == 0);
-    BOOST_TEST(shows("claimed 0"), output);
-    BOOST_TEST(shows("gpu-9 released by ada"), output);
-    BOOST_TEST(shows("its host burnt down"), output);
+    BOOST_TEST(run(withPlatform(tooShort, "ada")) == 2);
+    BOOST_TEST(run(withPlatform(release, "ada")) == 0);
+    BOOST_TEST(run(withPlatform(release, "ada")) == 1);
+    BOOST_TEST(run(withPlatform({ "bundle", "status" })) == 0);
+    BOOST_TEST(outputContains("claimed 0"), output);
+    BOOST_TEST(outputContains("gpu-9 released by ada"), output);
+    BOOST_TEST(outputContains("its host burnt down"), output);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/integration/overload_test.cpp
+++ b/tests/integration/overload_test.cpp
@@ -26,14 +26,14 @@
     BusyEngines()
     {
         UpstreamOptions options;
-        options.standinWords = { "--slots", std::to_string(slots), "--token-ms", std::to_string(tokenMs) };
-        options.moreSettings["limits"]["running"] = web::json::value::number(slots);
+        options.standinArguments = { "--slots", std::to_string(slots), "--token-ms", std::to_string(tokenMs) };
+        options.extraSettings["limits"]["running"] = web::json::value::number(slots);
         for (const char* vm : { "gpu-1", "gpu-2" })
             deployment.addUpstream(vm, options);
         RouterOptions router;
-        router.moreSettings["dispatch"]["scale_up_in_flight"] = web::json::value::number(1);
-        router.moreSettings["dispatch"]["retry_share"] = web::json::value::number(retryShare);
-        router.moreSettings["dispatch"]["retry_reserve"] = web::json::value::number(retryReserve);
+        router.extraSettings["dispatch"]["scale_up_in_flight"] = web::json::value::number(1);
+        router.extraSettings["dispatch"]["retry_share"] = web::json::value::number(retryShare);
+        router.extraSettings["dispatch"]["retry_reserve"] = web::json::value::number(retryReserve);
         deployment.addRouter(entry, router);
         deployment.rollOut(BundleBuilder(1)
                                .enginePool("engines", "old", 40000)
@@ -57,7 +57,7 @@
     }
     static std::string promptOf(const std::string& name) { return name + " has five words here"; }
     std::vector<std::string> upstreams() { return deployment.upstreams(UpstreamKind::Engine); }
-    double atAgents()
+    double dispatchesAtAgents()
     {
         return metricSumAt(deployment.upstream("gpu-1").ops(), "lagoon_dispatches_total")
             + metricSumAt(deployment.upstream("gpu-2").ops(), "lagoon_dispatches_total");
@@ -73,9 +73,9 @@
 // All callers come at once with four times the work that fits before their deadlines. Queues longer than the deadlines
 // would leave most of them with "unknown" at the end of their patience, and retries would multiply the load. Each must
 // be served or told that it wasn't run and when to come back, and one of high priority that comes last is served.
-BOOST_AUTO_TEST_CASE(eachIsServedOrRefusedAsNotRunAndTheUrgentOneIsServed)
+BOOST_AUTO_TEST_CASE(requestsAreServedOrRefusedAsNotRunAndTheUrgentOneIsServed)
 {
-    const double before = atAgents();
+    const double before = dispatchesAtAgents();
     OpenLoop load;
     for (int number = 0; number < calls; ++number)
         load.begin(ask("call-" + std::to_string(number), 0, timeoutMs));
@@ -83,22 +83,22 @@
     const HttpAnswer served = call(ask(urgent, 9, 20000));
     BOOST_TEST(completionText(served) == promptOf(urgent));
 
-    int whole = 0;
+    int servedCount = 0;
     int number = 0;
     for (const TimedAnswer& timed : load.finish()) {
         const std::string name = "call-" + std::to_string(number++);
         if (timed.isServed()) {
             BOOST_TEST(completionText(timed.answer) == promptOf(name));
-            ++whole;
+            ++servedCount;
             continue;
         }
         BOOST_TEST(refusalField(timed.answer, "execution") == "not_run", name << ": " << timed.answer.body);
         BOOST_TEST(timed.answer.headers.count("retry-after") == 1u, name << ": " << timed.answer.body);
         BOOST_TEST(executionsOf(upstreams(), promptOf(name)) == 0u);
     }
-    BOOST_TEST(whole > 0);
-    BOOST_TEST(whole < calls);
-    BOOST_TEST(atAgents() - before <= (calls + 1) * (1 + retryShare) + retryReserve);
+    BOOST_TEST(servedCount > 0);
+    BOOST_TEST(servedCount < calls);
+    BOOST_TEST(dispatchesAtAgents() - before <= (calls + 1) * (1 + retryShare) + retryReserve);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/integration/replicacap_test.cpp
+++ b/tests/integration/replicacap_test.cpp
@@ -11,22 +11,22 @@
 
 const std::string model = "policy";
 constexpr std::size_t callsPerRouter = 8;
-constexpr std::uint64_t looksPerRequest = 10;
+constexpr std::uint64_t pollsPerRequest = 10;
 const std::vector<std::string> routerVms { "entry-1", "entry-2", "entry-3" };
 
 /// Three routers that want as many replicas as they can get, before three engines with room for one each.
 struct CapFixture {
     CapFixture()
     {
-        const std::vector<std::string> words { "--memory-mib", "1000", "--load-ms", "800", "--token-ms", "400" };
+        const std::vector<std::string> arguments { "--memory-mib", "1000", "--load-ms", "800", "--token-ms", "400" };
         for (const char* vm : { "gpu-1", "gpu-2", "gpu-3" })
-            deployment.addUpstream(vm, { .standinWords = words });
+            deployment.addUpstream(vm, { .standinArguments = arguments });
         for (const std::string& vm : routerVms)
-            deployment.addRouter(vm, { .moreSettings = eagerRouter() });
+            deployment.addRouter(vm, { .extraSettings = eagerScaleUpSettings() });
     }
 
     /// Rolls out the first bundle, with so many replicas.
-    void decide(std::uint32_t replicas)
+    void rollOutFirstBundle(std::uint32_t replicas)
     {
         cap = replicas;
         rollOut(1, replicas);
@@ -34,7 +34,7 @@
     }
 
     /// Asks for another replica as soon as two of its requests wait.
-    static web::json::value eagerRouter()
+    static web::json::value eagerScaleUpSettings()
     {
         return web::json::value::parse(R"({"dispatch": {"scale_up_in_flight": 1}})");
     }
@@ -51,12 +51,12 @@
             burst.begin(deployment.router(vm).callers(), model, callsPerRouter, options);
     }
     /// Further requests come in at each router, since only a new one makes a busy router ask for another replica.
-    void keepAskingUntilReplicas(std::uint64_t count)
+    void sendCallsUntilReplicas(std::uint64_t count)
     {
         const std::string what = std::to_string(count) + " replicas are there or load";
-        std::uint64_t looks = 0;
+        std::uint64_t polls = 0;
         waitFor(what, [&] {
-            if (looks++ % looksPerRequest == 0) {
+            if (polls++ % pollsPerRequest == 0) {
                 for (const std::string& vm : routerVms)
                     burst.begin(deployment.router(vm).callers(), model, 1);
             }
@@ -74,14 +74,14 @@
                 += metricAt(deployment.router(vm).ops(), "lagoon_load_failures_total{code=\"replica_cap_reached\"}");
         return refusals;
     }
-    void waitUntilTheCapRefused()
+    void waitForRefusalByCap()
     {
         waitFor("the cap has refused another replica, or failed to",
-            [&] { return refusalsByCap() > 0 || mostReplicasAtOnce(engines(), model) > cap; });
+            [&] { return refusalsByCap() > 0 || maxConcurrentReplicas(engines(), model) > cap; });
     }
 
     /// Waits until some engine has a load under way and names its VM.
-    std::string loadingVm()
+    std::string waitForLoadingVm()
     {
         std::string vm;
         waitFor("a load has begun", [&] {
@@ -97,7 +97,7 @@
     {
         for (const std::string& fault : outcome.faults)
             BOOST_ERROR(fault);
-        BOOST_TEST(mostReplicasAtOnce(engines(), model) <= cap);
+        BOOST_TEST(maxConcurrentReplicas(engines(), model) <= cap);
         BOOST_TEST(violationsAt(engines()).empty());
     }
     /// The system still serves: nothing that the failure left behind is in the way.
@@ -106,7 +106,7 @@
         const std::string callers = deployment.router("entry-1").callers();
         waitFor("it serves: " + prompt,
             [&] { return completionText(call(completionCall(callers, model, prompt))) == prompt; });
-        BOOST_TEST(mostReplicasAtOnce(engines(), model) <= cap);
+        BOOST_TEST(maxConcurrentReplicas(engines(), model) <= cap);
     }
 
     std::uint64_t cap = 0;
@@ -120,11 +120,11 @@
 
 // A cold model is asked for at three routers in one moment, each wanting replicas for itself. The engines have room
 // for three. Two are decided, and every caller gets its answer from one of those.
-BOOST_AUTO_TEST_CASE(aColdBurstAtThreeRouters)
+BOOST_AUTO_TEST_CASE(aBurstForAColdModelAtThreeRouters)
 {
-    decide(2);
+    rollOutFirstBundle(2);
     beginBurst();
-    keepAskingUntilReplicas(2);
+    sendCallsUntilReplicas(2);
     const BurstOutcome outcome = burst.finish(engines());
     checkAll(outcome);
     BOOST_TEST(outcome.answered == burst.size());
@@ -132,13 +132,13 @@
 
 // The agent that has claimed the one replica dies while its engine loads. The home hears nothing more of that load and
 // orders another elsewhere, which only the dead agent's claim prevents. Its successor takes the claim over.
-BOOST_AUTO_TEST_CASE(anAgentKilledInMidLoadAndStartedAnew)
+BOOST_AUTO_TEST_CASE(anAgentKilledDuringALoadAndRestarted)
 {
-    decide(1);
+    rollOutFirstBundle(1);
     beginBurst();
-    const std::string vm = loadingVm();
+    const std::string vm = waitForLoadingVm();
     deployment.upstream(vm).agent->kill();
-    waitUntilTheCapRefused();
+    waitForRefusalByCap();
     deployment.restartAgent(vm);
     checkAll(burst.finish(engines()));
     checkServes("after the restart");
@@ -146,13 +146,13 @@
 
 // An agent stops for longer than any timeout while its engine loads, and then goes on as if nothing had been. A lease
 // that lapsed meanwhile would have let another engine load beyond the cap.
-BOOST_AUTO_TEST_CASE(anAgentPausedInMidLoadAndContinued)
+BOOST_AUTO_TEST_CASE(anAgentPausedDuringALoadAndContinued)
 {
-    decide(1);
+    rollOutFirstBundle(1);
     beginBurst();
-    const std::string vm = loadingVm();
+    const std::string vm = waitForLoadingVm();
     deployment.upstream(vm).agent->sendSignal(SIGSTOP);
-    waitUntilTheCapRefused();
+    waitForRefusalByCap();
     const BurstOutcome outcome = burst.finish(engines());
     deployment.upstream(vm).agent->sendSignal(SIGCONT);
     checkAll(outcome);
@@ -161,9 +161,9 @@
 
 // The platform applies claims, but their answers are lost. A claimer that took that for a failure would claim again
 // and leave a claim that nobody knows; one that took it for success could be wrong.
-BOOST_AUTO_TEST_CASE(theClaimsAnswersAreLost)
+BOOST_AUTO_TEST_CASE(thePlatformsResponsesToClaimsAreLost)
 {
-    decide(2);
+    rollOutFirstBundle(2);
     setFaults(deployment.platform(), R"({"lose_answers": {"count": 4, "prefix": "replicas/"}})");
     beginBurst();
     const BurstOutcome outcome = burst.finish(engines());
@@ -176,7 +176,7 @@
 // request wasn't run. When it is back, the system serves again by itself.
 BOOST_AUTO_TEST_CASE(thePlatformIsDownForLongerThanTheDeadlines)
 {
-    decide(2);
+    rollOutFirstBundle(2);
     setFaults(deployment.platform(), R"({"mode": "hang"})");
     beginBurst({ .timeoutMs = 2500 });
     const BurstOutcome outcome = burst.finish(engines());
@@ -191,9 +191,9 @@
 // one in its place.
 BOOST_AUTO_TEST_CASE(aBundleLowersTheCountDuringTheLoads)
 {
-    decide(2);
+    rollOutFirstBundle(2);
     beginBurst();
-    keepAskingUntilReplicas(2);
+    sendCallsUntilReplicas(2);
     rollOut(2, 1);
     checkAll(burst.finish(engines()));
     waitFor("one replica is left", [&] { return replicasNow(engines(), model) <= 1; });
--- a/tests/integration/restartedserver_test.cpp
+++ b/tests/integration/restartedserver_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-struct WatchedFleet : RunningFleet {
+struct FleetWithLogs : RunningFleet {
     CallerAnswer lookup(const std::string& attempt)
     {
         return call({ .method = "GET", .target = "/get/1", .attempt = attempt });
@@ -35,11 +35,11 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(ServersThatStartAgainAndEntriesOfOthers, WatchedFleet)
+BOOST_FIXTURE_TEST_SUITE(RestartedServersAndForeignEntries, FleetWithLogs)
 
 // An engine crashed and started again under its id, empty. Its list entry and its count of orders looked like before,
 // and callers of the model that it had held were sent there and refused.
-BOOST_AUTO_TEST_CASE(aRestartedEngineIsLoadedAnew)
+BOOST_AUTO_TEST_CASE(modelsAreReloadedAfterAnEngineRestart)
 {
     BOOST_TEST(call({ .target = "/model/1", .attempt = "a1", .model = "warm" }).status == 200);
     engine1.restart();
@@ -51,7 +51,7 @@
 }
 
 // The same, but the list goes on showing the former run: the agent's word is enough.
-BOOST_AUTO_TEST_CASE(aRestartThatTheListLacksIsSeenByTheAgent)
+BOOST_AUTO_TEST_CASE(theAgentDetectsARestartThatTheListLacks)
 {
     engine1.restart();
     const CallerAnswer answer = call({ .target = "/model/1", .attempt = "a1", .model = "warm" });
@@ -62,7 +62,7 @@
 
 // The id is the same before and after, so a refusal by it says nothing of what the former run did: a stream that had
 // begun there was begun once more.
-BOOST_AUTO_TEST_CASE(whatTheFormerRunBeganIsNotBegunAgainByTheNext)
+BOOST_AUTO_TEST_CASE(aStreamStartedBeforeARestartIsNotStartedAgain)
 {
     engine1.setStream(100, 20);
     RawCaller caller { lagoon::framework::Endpoint(fleet.callers()) };
@@ -77,7 +77,7 @@
     BOOST_TEST(engine1.runs("a1") + engine2.runs("a1") == 1);
 }
 
-BOOST_AUTO_TEST_CASE(aRestartedPlainServerServesOn)
+BOOST_AUTO_TEST_CASE(aRestartedPlainServerIsUsedAgain)
 {
     plain1.restart();
     plain2.restart();
@@ -90,7 +90,7 @@
 
 // Someone wrote over the entry of one server. The router is to go on by the others, and to take the server back when it
 // writes its entry again; each change is one line of its log, however often the list is read.
-BOOST_AUTO_TEST_CASE(aServerWhoseEntryWasOverwrittenGetsNothingUntilItWritesAgain)
+BOOST_AUTO_TEST_CASE(aServerWithAnOverwrittenEntryGetsNoRequestsUntilItRewritesIt)
 {
     value entry = Fleet::entry(plain1, "plain", plain1.endpoint());
     entry["state"] = value::string("Ready!");
@@ -112,7 +112,7 @@
 }
 
 // Entries of other writers lay beside those of servers: none may hide a server, end a process, or be sent a request.
-BOOST_AUTO_TEST_CASE(entriesOfOtherWritersLeaveTheServers)
+BOOST_AUTO_TEST_CASE(foreignEntriesDoNotAffectTheServers)
 {
     const std::vector<std::string> specs { "null", "7", "\"text\"", "[]", "{}", R"({"service":7,"address":[]})",
         R"({"service":"plain","address":")" + plain1.endpoint() + R"(","state":"ready"})", "{\"a\":\"\xff\xfe\"}",
--- a/tests/integration/shutdown_test.cpp
+++ b/tests/integration/shutdown_test.cpp
@@ -24,11 +24,11 @@
 }
 
 /// Two engines with a replica of the model each, and two routers.
-struct TwoOfEach {
-    TwoOfEach()
+struct TwoRoutersTwoEngines {
+    TwoRoutersTwoEngines()
     {
         for (const std::string vm : { "gpu-1", "gpu-2" })
-            deployment.addUpstream(vm, { .standinWords = { "--memory-mib", "1000", "--token-ms", tokenMs } });
+            deployment.addUpstream(vm, { .standinArguments = { "--memory-mib", "1000", "--token-ms", tokenMs } });
         deployment.addRouter("entry-1");
         deployment.addRouter("entry-2");
         deployment.rollOut(BundleBuilder(1)
@@ -46,7 +46,7 @@
             completionCall(deployment.router(entry).callers(), "notes", promptOf(caller), { .isStream = true }));
     }
 
-    std::vector<PendingCall> begunStreams()
+    std::vector<PendingCall> startStreams()
     {
         std::vector<PendingCall> calls;
         for (int caller = 0; caller < streams; ++caller)
@@ -73,13 +73,13 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(AGracefulShutdownCutsNothing, TwoOfEach)
+BOOST_FIXTURE_TEST_SUITE(AGracefulShutdownLosesNoAnswer, TwoRoutersTwoEngines)
 
 // A router is told to end while streams run through it. Each must come out whole; a new request is refused as not run
 // with a time to come back, or finds the port closed; the process ends by itself.
-BOOST_AUTO_TEST_CASE(aRoutersStreamsFinishWhole)
+BOOST_AUTO_TEST_CASE(aRoutersStreamsAreCompleted)
 {
-    std::vector<PendingCall> calls = begunStreams();
+    std::vector<PendingCall> calls = startStreams();
     deployment.router("entry-1").process->sendSignal(SIGTERM);
     waitFor("the router isn't ready any more",
         [&] { return getFrom(deployment.router("entry-1").ops(), "/readyz").status != 200; });
@@ -93,10 +93,10 @@
 
 // An agent is told to end while streams run through it. Each must come out whole, also in pair with an outage of the
 // platform; new requests go to the other upstream.
-BOOST_AUTO_TEST_CASE(anAgentsStreamsFinishWhole)
+BOOST_AUTO_TEST_CASE(anAgentsStreamsAreCompleted)
 {
     const std::string vm = loadedVm();
-    std::vector<PendingCall> calls = begunStreams();
+    std::vector<PendingCall> calls = startStreams();
     const std::string other = vm == "gpu-1" ? "gpu-2" : "gpu-1";
     const auto before = executionsAt({ deployment.upstream(vm).upstream() }).size();
     deployment.upstream(vm).agent->sendSignal(SIGTERM);
@@ -110,9 +110,9 @@
 }
 
 // As before while the platform is down: the streams need nothing from it.
-BOOST_AUTO_TEST_CASE(anAgentsStreamsFinishWholeDuringAnOutage)
+BOOST_AUTO_TEST_CASE(anAgentsStreamsAreCompletedDuringAnOutage)
 {
-    std::vector<PendingCall> calls = begunStreams();
+    std::vector<PendingCall> calls = startStreams();
     setFaults(deployment.platform(), R"({"mode": "refuse"})");
     const std::string vm = loadedVm();
     deployment.upstream(vm).agent->sendSignal(SIGTERM);
--- a/tests/integration/shutdowngrace_test.cpp
+++ b/tests/integration/shutdowngrace_test.cpp
@@ -15,7 +15,7 @@
 constexpr std::uint64_t veryLongMs = 120000;
 constexpr int graceMs = 4000;
 
-web::json::value withGrace(const std::string& more = "")
+web::json::value graceSettings(const std::string& more = "")
 {
     return web::json::value::parse(R"({"shutdown_grace_ms": )" + std::to_string(graceMs) + more + "}");
 }
@@ -34,9 +34,9 @@
     SlowEngine()
     {
         deployment.addUpstream("gpu-1",
-            { .standinWords = { "--memory-mib", "1000", "--token-ms", "1000" },
-                .moreSettings = withGrace(R"(, "limits": {"running": 1})") });
-        deployment.addRouter("entry-1", { .moreSettings = withGrace() });
+            { .standinArguments = { "--memory-mib", "1000", "--token-ms", "1000" },
+                .extraSettings = graceSettings(R"(, "limits": {"running": 1})") });
+        deployment.addRouter("entry-1", { .extraSettings = graceSettings() });
         deployment.addRouter("entry-2");
         BundleBuilder bundle(1);
         bundle.enginePool("engines", "old", 1000);
@@ -51,11 +51,11 @@
 
     PendingCall ask(const std::string& entry, const std::string& model, const CompletionOptions& options)
     {
-        return PendingCall(
-            completionCall(deployment.router(entry).callers(), model, longPrompt(std::to_string(++asked)), options));
+        return PendingCall(completionCall(
+            deployment.router(entry).callers(), model, longPrompt(std::to_string(++promptCount)), options));
     }
 
-    PendingCall begunStream(const std::string& entry)
+    PendingCall startStream(const std::string& entry)
     {
         PendingCall stream = ask(entry, "notes", { .isStream = true, .timeoutMs = veryLongMs });
         waitFor("the stream has begun", [&] { return !stream.bodySoFar().empty(); });
@@ -69,7 +69,7 @@
     }
 
     /// Waits at the router for a load that doesn't end.
-    PendingCall askForHeldLoad(const std::map<std::string, std::string>& headers = {})
+    PendingCall requestHeldLoad(const std::map<std::string, std::string>& headers = {})
     {
         holdLoads();
         PendingCall waiting = ask("entry-1", "cold", { .timeoutMs = veryLongMs, .headers = headers });
@@ -94,7 +94,7 @@
     }
 
     /// As the platform does it: told to end, and ended by force when it doesn't. The exit code, or the signal's.
-    static int end(ChildProcess& process)
+    static int terminate(ChildProcess& process)
     {
         process.sendSignal(SIGTERM);
         if (!isReached([&] { return !process.isRunning(); }))
@@ -103,39 +103,39 @@
     }
 
     Deployment deployment;
-    int asked = 0;
+    int promptCount = 0;
 };
 
-bool hasTimeToComeBack(const HttpAnswer& answer) { return answer.headers.contains("retry-after"); }
+bool hasRetryAfter(const HttpAnswer& answer) { return answer.headers.contains("retry-after"); }
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(EachWaitingRequestHasItsAnswerBeforeTheEnd, SlowEngine)
+BOOST_FIXTURE_TEST_SUITE(RequestsAreAnsweredBeforeTheGracePeriodEnds, SlowEngine)
 
 // A router is told to end while a request waits there for a model whose load takes longer than the grace period, and
 // the request's own deadline is later still. It was never sent anywhere. Its caller must hear that it didn't run, and
 // when to come back, before the platform ends the process by force.
-BOOST_AUTO_TEST_CASE(whatWaitsForALoadIsRefusedAsNotRun)
+BOOST_AUTO_TEST_CASE(aRequestWaitingForALoadIsRefusedAsNotRun)
 {
-    PendingCall waiting = askForHeldLoad();
+    PendingCall waiting = requestHeldLoad();
     ChildProcess& router = *deployment.router("entry-1").process;
-    BOOST_TEST(end(router) == 0);
+    BOOST_TEST(terminate(router) == 0);
     const HttpAnswer& answer = waiting.answer();
-    BOOST_TEST(answer.isWhole());
+    BOOST_TEST(answer.isComplete());
     BOOST_TEST(answer.status == 503);
     BOOST_TEST(refusalField(answer, "code") == "shutting_down");
     BOOST_TEST(refusalField(answer, "execution") == "not_run");
-    BOOST_TEST(hasTimeToComeBack(answer));
+    BOOST_TEST(hasRetryAfter(answer));
     BOOST_TEST(router.log().find("drained") != std::string::npos, "the last line of the log arrives");
 }
 
 // The same with an idempotency key. The caller brings the key again to another router, as it was told to: it must not
 // be taken for a repetition of something that may have run.
-BOOST_AUTO_TEST_CASE(theKeyOfWhatDidNotRunMayBeBroughtAgain)
+BOOST_AUTO_TEST_CASE(theKeyOfARequestThatDidNotRunMayBeReused)
 {
     const auto key = keyHeaders("slot-5");
-    PendingCall waiting = askForHeldLoad(key);
-    BOOST_TEST(end(*deployment.router("entry-1").process) == 0);
+    PendingCall waiting = requestHeldLoad(key);
+    BOOST_TEST(terminate(*deployment.router("entry-1").process) == 0);
     BOOST_TEST(refusalField(waiting.answer(), "execution") == "not_run");
     PendingCall again = ask("entry-2", "cold", { .timeoutMs = 1000, .headers = key });
     BOOST_TEST(refusalField(again.answer(), "code") != "duplicate_key");
@@ -144,22 +144,22 @@
 
 // A router is told to end while an engine works on two requests for longer than the grace period. The one whose answer
 // hasn't begun may have run, and its caller is told so; the begun stream must end as cut, never as if it were whole.
-BOOST_AUTO_TEST_CASE(whatRunsAtTheEndIsUnknownOrBrokenOff)
+BOOST_AUTO_TEST_CASE(aRunningRequestIsUnknownOrBrokenOff)
 {
-    PendingCall stream = begunStream("entry-1");
+    PendingCall stream = startStream("entry-1");
     PendingCall whole = ask("entry-1", "notes", { .timeoutMs = veryLongMs });
     waitFor("both are under way", [&] { return agentCount("waiting") == 1; });
-    BOOST_TEST(end(*deployment.router("entry-1").process) == 0);
+    BOOST_TEST(terminate(*deployment.router("entry-1").process) == 0);
     BOOST_TEST(refusalField(whole.answer(), "code") == "shutting_down");
     BOOST_TEST(refusalField(whole.answer(), "execution") == "unknown");
     BOOST_TEST(whole.answer().status == 502);
     BOOST_TEST(stream.answer().status == 200);
-    BOOST_TEST(!stream.answer().isWhole());
+    BOOST_TEST(!stream.answer().isComplete());
 }
 
 // Callers keep their connections. A router that is told to end while it is idle must tell the next request on each that
 // it didn't run, in place of closing the connection over it.
-BOOST_AUTO_TEST_CASE(aKeptConnectionGetsARefusal)
+BOOST_AUTO_TEST_CASE(aKeepAliveConnectionGetsARefusal)
 {
     const std::string request = "GET /v1/models HTTP/1.1\r\nHost: x\r\n\r\n";
     std::vector<std::unique_ptr<RawCaller>> callers;
@@ -186,23 +186,23 @@
 // An agent is told to end while its engine works on one request for longer than the grace period and another waits for
 // its turn. The second has not been given to the engine: its caller must hear that it didn't run. The first is cut, and
 // the process ends by itself.
-BOOST_AUTO_TEST_CASE(whatWaitsAtAnAgentIsNotRun)
+BOOST_AUTO_TEST_CASE(aRequestQueuedAtAnAgentIsNotRun)
 {
-    PendingCall stream = begunStream("entry-1");
+    PendingCall stream = startStream("entry-1");
     PendingCall queued = ask("entry-2", "notes", { .timeoutMs = veryLongMs });
     waitFor("the second waits at the agent", [&] { return agentCount("waiting") == 1; });
-    BOOST_TEST(end(*deployment.upstream("gpu-1").agent) == 0);
+    BOOST_TEST(terminate(*deployment.upstream("gpu-1").agent) == 0);
     BOOST_TEST(refusalField(queued.answer(), "execution") == "not_run");
-    BOOST_TEST(hasTimeToComeBack(queued.answer()));
-    BOOST_TEST(!stream.answer().isWhole());
+    BOOST_TEST(hasRetryAfter(queued.answer()));
+    BOOST_TEST(!stream.answer().isComplete());
 }
 
 // As before, but the engine has said nothing yet of what it works on: only that it may have run is known.
-BOOST_AUTO_TEST_CASE(whatASilentEngineHasIsUnknown)
+BOOST_AUTO_TEST_CASE(aRequestAtAnEngineWithoutOutputIsUnknown)
 {
     PendingCall whole = ask("entry-1", "notes", { .timeoutMs = veryLongMs });
     waitFor("it runs", [&] { return agentCount("running") == 1; });
-    BOOST_TEST(end(*deployment.upstream("gpu-1").agent) == 0);
+    BOOST_TEST(terminate(*deployment.upstream("gpu-1").agent) == 0);
     BOOST_TEST(refusalField(whole.answer(), "execution") == "unknown");
     BOOST_TEST(refusalField(whole.answer(), "code") == "draining");
     BOOST_TEST(whole.answer().status == 502);
@@ -210,37 +210,37 @@
 
 // The platform hangs and the engine is frozen when an agent is told to end. Nothing that the agent still waits for may
 // keep it until it is ended by force, nor keep its caller from hearing that the request may have run.
-BOOST_AUTO_TEST_CASE(anAgentEndsBesideAFrozenEngineWhileThePlatformHangs)
+BOOST_AUTO_TEST_CASE(anAgentExitsWithAFrozenEngineWhileThePlatformHangs)
 {
     PendingCall whole = ask("entry-1", "notes", { .timeoutMs = veryLongMs });
     waitFor("it runs", [&] { return agentCount("running") == 1; });
     ChildProcess& engine = *deployment.upstream("gpu-1").standin;
     engine.sendSignal(SIGSTOP);
     setFaults(deployment.platform(), R"({"mode": "hang"})");
-    BOOST_TEST(end(*deployment.upstream("gpu-1").agent) == 0);
+    BOOST_TEST(terminate(*deployment.upstream("gpu-1").agent) == 0);
     engine.sendSignal(SIGCONT);
     BOOST_TEST(refusalField(whole.answer(), "execution") == "unknown");
 }
 
 // A router gives back a key at its end while the platform hangs. It must not wait for that longer than it may.
-BOOST_AUTO_TEST_CASE(aRouterEndsWhileThePlatformHangs)
+BOOST_AUTO_TEST_CASE(aRouterExitsWhileThePlatformHangs)
 {
-    PendingCall waiting = askForHeldLoad(keyHeaders("slot-6"));
+    PendingCall waiting = requestHeldLoad(keyHeaders("slot-6"));
     setFaults(deployment.platform(), R"({"mode": "hang"})");
-    BOOST_TEST(end(*deployment.router("entry-1").process) == 0);
+    BOOST_TEST(terminate(*deployment.router("entry-1").process) == 0);
     BOOST_TEST(refusalField(waiting.answer(), "execution") == "not_run");
 }
 
 // Requests wait at one router for loads that another, their home, has ordered. The home is told to end. Nobody may be
 // refused or held for that: the other router takes the loads over.
-BOOST_AUTO_TEST_CASE(theRequestsOfOtherRoutersOutliveTheirHome)
+BOOST_AUTO_TEST_CASE(requestsOfOtherRoutersSurviveTheirHomesShutdown)
 {
     setFaults(deployment.upstream("gpu-1").upstream(), R"({"slow_load_ms": 6000})");
     std::vector<PendingCall> calls;
     for (const std::string& model : models())
         calls.push_back(ask("entry-2", model, { .timeoutMs = veryLongMs, .maxTokens = 1 }));
     waitFor("all wait", [&] { return requestsOf("entry-2") == static_cast<int>(models().size()); });
-    BOOST_TEST(end(*deployment.router("entry-1").process) == 0);
+    BOOST_TEST(terminate(*deployment.router("entry-1").process) == 0);
     const std::string counters = getFrom(deployment.router("entry-2").ops(), "/metrics").body;
     BOOST_TEST(counters.find("\nlagoon_home_failovers_total ") != std::string::npos);
     for (PendingCall& call : calls)
--- a/tests/integration/waiting_test.cpp
+++ b/tests/integration/waiting_test.cpp
@@ -18,7 +18,7 @@
     SlowLoads()
     {
         for (const std::string vm : { "gpu-1", "gpu-2" })
-            deployment.addUpstream(vm, { .standinWords = { "--memory-mib", "10000" } });
+            deployment.addUpstream(vm, { .standinArguments = { "--memory-mib", "10000" } });
         deployment.addRouter("entry-1");
         deployment.addRouter("entry-2");
         deployment.rollOut(bundleText(1));
@@ -79,7 +79,7 @@
 
 // Requests for several cold models wait at one router while the other, which is home for some of them, is killed in
 // the middle of their loads. Each must be served all the same.
-BOOST_AUTO_TEST_CASE(aDeadHomeLosesNoWaitingRequest)
+BOOST_AUTO_TEST_CASE(waitingRequestsSurviveTheDeathOfTheirHome)
 {
     setLoadTime(1500);
     std::vector<PendingCall> calls;
@@ -90,12 +90,12 @@
     for (int model = 0; model < models; ++model)
         BOOST_TEST(completionText(calls[model].answer()) == "prompt of " + modelName(model));
     for (int model = 0; model < models; ++model)
-        BOOST_TEST(mostReplicasAtOnce(deployment.upstreams(UpstreamKind::Engine), modelName(model)) == 1u);
+        BOOST_TEST(maxConcurrentReplicas(deployment.upstreams(UpstreamKind::Engine), modelName(model)) == 1u);
 }
 
 // The router that is home for some of the models is frozen: its connections stay open and say nothing. Requests at the
 // other router must be served all the same, long before their deadlines.
-BOOST_AUTO_TEST_CASE(aFrozenHomeHoldsNobodyUp)
+BOOST_AUTO_TEST_CASE(aFrozenHomeDoesNotDelayRequests)
 {
     // Opens the links between the routers.
     for (int model = 0; model < models; ++model)
@@ -114,7 +114,7 @@
 
 // The agent that loads for waiting requests is killed and doesn't come back. Its claim stays, so nobody else may load:
 // the callers hear "not run" long before their deadline, with a time to come back.
-BOOST_AUTO_TEST_CASE(aDeadLoaderEndsInAnEarlyRefusal)
+BOOST_AUTO_TEST_CASE(theDeathOfALoadingAgentCausesAnEarlyRefusal)
 {
     setLoadTime(60000);
     PendingCall call = ask("entry-1", 0, 25000);
@@ -125,7 +125,7 @@
     BOOST_TEST(refusalField(answer, "code") == "replica_cap_reached");
     BOOST_TEST(refusalField(answer, "execution") == "not_run");
     BOOST_TEST(answer.headers.count("retry-after") == 1u);
-    BOOST_TEST(mostReplicasAtOnce(deployment.upstreams(UpstreamKind::Engine), modelName(0)) == 1u);
+    BOOST_TEST(maxConcurrentReplicas(deployment.upstreams(UpstreamKind::Engine), modelName(0)) == 1u);
 }
 
 // The weight store crawls. A request whose deadline comes before the load can end is refused for that at once, while a
@@ -143,13 +143,13 @@
     const HttpAnswer& refused = hasty.answer();
     BOOST_TEST(refusalField(refused, "execution") == "not_run");
     BOOST_TEST(refusalField(refused, "code") == "deadline_hopeless");
-    BOOST_TEST(!patient.isOver());
+    BOOST_TEST(!patient.isFinished());
     BOOST_TEST(refusalField(patient.answer(), "execution") == "not_run");
 }
 
 // A burst of all kinds of requests meets a router's death, an agent's death and an outage of the platform. Each call
 // that a living router accepted has exactly one end.
-BOOST_AUTO_TEST_CASE(eachAcceptedRequestHasOneEnd)
+BOOST_AUTO_TEST_CASE(eachAcceptedRequestHasExactlyOneOutcome)
 {
     setLoadTime(200);
     std::vector<PendingCall> calls;
@@ -171,7 +171,7 @@
     int refused = 0;
     for (PendingCall& call : calls) {
         const HttpAnswer& answer = call.answer();
-        served += answer.status == 200 && answer.isWhole();
+        served += answer.status == 200 && answer.isComplete();
         refused += answer.status != 200 && !refusalField(answer, "code").empty();
     }
     BOOST_TEST(served + refused == static_cast<int>(calls.size()));
--- a/tests/integration/wholepath_test.cpp
+++ b/tests/integration/wholepath_test.cpp
@@ -12,7 +12,7 @@
 struct WholePath {
     WholePath()
     {
-        deployment.addUpstream("gpu-1", { .standinWords = { "--memory-mib", "1000" } });
+        deployment.addUpstream("gpu-1", { .standinArguments = { "--memory-mib", "1000" } });
         deployment.addUpstream("booking-1", { .kind = UpstreamKind::Service, .pool = "booking" });
         deployment.addRouter("entry-1");
         deployment.rollOut(BundleBuilder(1)
@@ -40,7 +40,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(WholePathThroughSeparateProcesses, WholePath)
 
-BOOST_AUTO_TEST_CASE(aColdModelIsLoadedAndItsAnswerStreamsWhole)
+BOOST_AUTO_TEST_CASE(aColdModelIsLoadedAndItsAnswerStreamsCompletely)
 {
     const HttpAnswer answer = complete("policy", "may this university have a block", true);
     BOOST_TEST(answer.status == 200);
@@ -51,7 +51,7 @@
     BOOST_TEST(loadsOf(engines(), "policy") == 1);
 }
 
-BOOST_AUTO_TEST_CASE(aSecondModelNeedsAnUnloadFirst)
+BOOST_AUTO_TEST_CASE(aSecondModelIsLoadedAfterAnUnload)
 {
     BOOST_TEST(completionText(complete("policy", "first", true)) == "first");
     BOOST_TEST(completionText(complete("notes", "second", true)) == "second");
@@ -63,11 +63,11 @@
 BOOST_AUTO_TEST_CASE(anAdapterIsLoadedBesideItsModel)
 {
     BOOST_TEST(completionText(complete("notes/kiosk", "a reminder", true)) == "a reminder");
-    BOOST_TEST(mostReplicasAtOnce(engines(), "notes", "kiosk") == 1);
+    BOOST_TEST(maxConcurrentReplicas(engines(), "notes", "kiosk") == 1);
     BOOST_TEST(violationsAt(engines()).empty());
 }
 
-BOOST_AUTO_TEST_CASE(aPlainServiceIsCalledByTheSamePath)
+BOOST_AUTO_TEST_CASE(aPlainServiceIsCalledThroughTheSamePath)
 {
     const HttpAnswer answer = call(serviceCall(callers(), "slots", "slot-4"));
     BOOST_REQUIRE(answer.status == 200);
@@ -79,7 +79,7 @@
     BOOST_TEST(executionsOf(deployment.upstreams(UpstreamKind::Service), "slot-4") == 1);
 }
 
-BOOST_AUTO_TEST_CASE(aModelThatIsNotInTheBundleIsRefusedInWords)
+BOOST_AUTO_TEST_CASE(aModelThatIsNotInTheBundleIsRefusedWithAMessage)
 {
     const HttpAnswer answer = complete("unheard", "anything", false);
     BOOST_TEST(answer.status == 404);
@@ -89,7 +89,7 @@
     BOOST_TEST(executionsAt(engines()).empty());
 }
 
-BOOST_AUTO_TEST_CASE(allEndOnTheirOwnWhenAsked)
+BOOST_AUTO_TEST_CASE(processesExitCleanlyOnSigterm)
 {
     BOOST_TEST(completionText(complete("policy", "before", false)) == "before");
     deployment.router("entry-1").process->sendSignal(SIGTERM);
--- a/tests/soak/caller.h
+++ b/tests/soak/caller.h
@@ -28,7 +28,7 @@
     framework::SteadyTime sentAt {};
     framework::SteadyTime endedAt {};
 
-    bool isWhole() const { return end == End::Answered; }
+    bool isComplete() const { return end == End::Answered; }
 };
 
 /// A caller that keeps its connection for the next request until the connection's end, or until an answer says that it
--- a/tests/soak/promises.cpp
+++ b/tests/soak/promises.cpp
@@ -65,7 +65,7 @@
 {
     const int runs = runsOf(sent.attempt);
     ++report_.requests;
-    report_.served += sent.outcome.status == 200 && sent.outcome.isWhole() ? 1 : 0;
+    report_.served += sent.outcome.status == 200 && sent.outcome.isComplete() ? 1 : 0;
     report_.refused += saysNotRun(sent.outcome.status) ? 1 : 0;
     checkRuns(sent, runs);
     checkContent(sent, runs);
@@ -88,11 +88,11 @@
     const Outcome& outcome = sent.outcome;
     if (outcome.status != 200)
         return;
-    if (isStream(sent.kind) && outcome.isWhole() && outcome.body != wholeStream())
+    if (isStream(sent.kind) && outcome.isComplete() && outcome.body != wholeStream())
         fail("looks whole, but isn't", sent, runs);
-    if (isStream(sent.kind) && !outcome.isWhole() && !wholeStream().starts_with(outcome.body))
+    if (isStream(sent.kind) && !outcome.isComplete() && !wholeStream().starts_with(outcome.body))
         fail("events out of order", sent, runs);
-    if (!isStream(sent.kind) && outcome.isWhole() && outcome.body.find(sent.attempt) == std::string::npos)
+    if (!isStream(sent.kind) && outcome.isComplete() && outcome.body.find(sent.attempt) == std::string::npos)
         fail("another request's answer", sent, runs);
 }
 
@@ -109,7 +109,7 @@
 void Promises::checkAnswered(const Sent& sent, int runs)
 {
     const Outcome& outcome = sent.outcome;
-    const bool isAnswer = outcome.isWhole() && (outcome.status == 200 || saysNotRun(outcome.status));
+    const bool isAnswer = outcome.isComplete() && (outcome.status == 200 || saysNotRun(outcome.status));
     if (isAnswer || outcome.end == End::NotConnected)
         return;
     if (isClosedUnread(sent, runs)) {
@@ -120,7 +120,7 @@
         ++report_.struck;
         return;
     }
-    fail(outcome.isWhole() ? "failed though no server did" : "neither an answer nor a refusal", sent, runs);
+    fail(outcome.isComplete() ? "failed though no server did" : "neither an answer nor a refusal", sent, runs);
 }
 
 void Promises::checkEngines()
--- a/tests/standins/proxy/faultproxy.cpp
+++ b/tests/standins/proxy/faultproxy.cpp
@@ -46,7 +46,7 @@
     boost::system::error_code ignored;
     client.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
     server.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
-    std::erase_if(connections_, [](const auto& connection) { return connection->isOver(); });
+    std::erase_if(connections_, [](const auto& connection) { return connection->isFinished(); });
     connections_.push_back(std::make_shared<ProxiedConnection>(
         std::make_shared<Socket>(std::move(client)), std::make_shared<Socket>(std::move(server)), framing_, faults_));
     connections_.back()->start();
@@ -91,7 +91,7 @@
     StreamCounts sums[2];
     std::uint64_t open = 0;
     for (const auto& connection : connections_) {
-        open += connection->isOver() ? 0 : 1;
+        open += connection->isFinished() ? 0 : 1;
         for (const Direction direction : { Direction::ToServer, Direction::ToClient }) {
             const StreamCounts counts = connection->stream(direction).counts();
             StreamCounts& sum = sums[static_cast<std::size_t>(direction)];
--- a/tests/standins/proxy/proxiedconnection.h
+++ b/tests/standins/proxy/proxiedconnection.h
@@ -19,7 +19,7 @@
     void cut();
     DirectedStream& stream(Direction direction) { return direction == Direction::ToServer ? toServer_ : toClient_; }
     /// Whether both directions have ended or it was cut.
-    bool isOver() const { return isCut_ || endedStreams_ == 2; }
+    bool isFinished() const { return isCut_ || endedStreams_ == 2; }
 
 private:
     void move(DirectedStream&);
--- a/tests/standins/tests/enginestandin_test.cpp
+++ b/tests/standins/tests/enginestandin_test.cpp
@@ -133,7 +133,7 @@
         .url = urlOf(endpoint, "/v1/orders"),
         .body = R"({"order":"load","model":"m","adapter":"","version":"v1","memory_mib":10,"fence":1})" });
     BOOST_TEST(order("unload", "m") == 409);
-    late.hangUp();
+    late.disconnect();
     waitFor("it is loaded all the same", [&] { return stateOf("m") == "loaded"; });
 }
 
@@ -151,7 +151,7 @@
     load("m");
     setFaults(endpoint, R"({"calls": {"at": "after", "do": "close", "count": 1}})");
     const HttpAnswer answer = call(completion("m", "once", false));
-    BOOST_TEST(!answer.isWhole());
+    BOOST_TEST(!answer.isComplete());
     BOOST_TEST(answer.status == 0);
     BOOST_TEST(executionsOf({ endpoint }, "once") == 1);
     BOOST_TEST(executionState() == "done");
@@ -165,15 +165,15 @@
     waitFor("it has come", [&] { return getJson(endpoint, "/v1/state").at("running").as_integer() == 1; });
     BOOST_TEST(executionsOf({ endpoint }, "before it") == 0);
     setFaults(endpoint, R"({"calls": {"at": "during", "do": "hang"}})");
-    BOOST_TEST(!before.answer().isWhole());
+    BOOST_TEST(!before.answer().isComplete());
     PendingCall during(completion("m", "during it", true));
     waitFor("a part has come", [&] { return during.bodySoFar().find("during") != std::string::npos; });
     BOOST_TEST(executionState() == "running");
     setFaults(endpoint, R"({"calls": {"at": "after", "do": "hang"}})");
-    BOOST_TEST(!during.answer().isWhole());
+    BOOST_TEST(!during.answer().isComplete());
     PendingCall after(completion("m", "after it", true));
     waitFor("it is done", [&] { return executionState() == "done"; });
-    BOOST_TEST(!after.isOver());
+    BOOST_TEST(!after.isFinished());
 }
 
 BOOST_AUTO_TEST_CASE(aCallerThatHangsUpCancelsTheWork)
@@ -182,7 +182,7 @@
     setFaults(endpoint, R"({"slow_token_ms": 600000})");
     PendingCall pending(completion("m", "never", true));
     waitFor("it runs", [&] { return executionState() == "running"; });
-    pending.hangUp();
+    pending.disconnect();
     waitFor("it is cancelled", [&] { return executionState() == "cancelled"; });
 }
 
--- a/tests/standins/tests/faultproxy_test.cpp
+++ b/tests/standins/tests/faultproxy_test.cpp
@@ -95,11 +95,11 @@
     waitFor("both were swallowed", [&] {
         return all.number("to_server", "swallowed_bytes") == 13 && all.number("to_client", "swallowed_bytes") == 11;
     });
-    BOOST_TEST(!all.client.hasNews());
+    BOOST_TEST(!all.client.hasInput());
     all.checkNewConnectionWorks();
     all.client.close();
     all.checkNewConnectionWorks();
-    BOOST_TEST(!all.serverSide.hasNews());
+    BOOST_TEST(!all.serverSide.hasInput());
 }
 
 BOOST_AUTO_TEST_CASE(silencesOneDirection)
@@ -110,7 +110,7 @@
     all.client.send("heard");
     BOOST_TEST(all.serverSide.receive(5) == "heard");
     waitFor("it was swallowed", [&] { return all.number("to_client", "swallowed_bytes") == 4; });
-    BOOST_TEST(!all.client.hasNews());
+    BOOST_TEST(!all.client.hasInput());
 }
 
 // A request lies in a buffer on the way. The client gives up and closes. Then the request arrives after all.
@@ -121,7 +121,7 @@
     all.client.send("late request");
     waitFor("it is held", [&] { return all.number("to_server", "held_bytes") == 12; });
     all.client.close();
-    BOOST_TEST(!all.serverSide.hasNews());
+    BOOST_TEST(!all.serverSide.hasInput());
     all.set(R"({"release": true})");
     BOOST_TEST(all.serverSide.receive(12) == "late request");
     BOOST_TEST(all.serverSide.reachesEnd());
--- a/tests/standins/tests/otherstandins_test.cpp
+++ b/tests/standins/tests/otherstandins_test.cpp
@@ -101,7 +101,7 @@
 BOOST_AUTO_TEST_CASE(closesAfterItExecuted)
 {
     setFaults(endpoint, R"({"calls": {"at": "after", "do": "close"}})");
-    BOOST_TEST(!call(hold("slot-5")).isWhole());
+    BOOST_TEST(!call(hold("slot-5")).isComplete());
     BOOST_TEST(executionsOf({ endpoint }, "slot-5") == 1);
     BOOST_TEST(call(hold("slot-6")).status == 200);
 }
@@ -109,7 +109,7 @@
 BOOST_AUTO_TEST_CASE(closesBeforeItExecuted)
 {
     setFaults(endpoint, R"({"calls": {"at": "before", "do": "close"}})");
-    BOOST_TEST(!call(hold("slot-7")).isWhole());
+    BOOST_TEST(!call(hold("slot-7")).isComplete());
     BOOST_TEST(executionsOf({ endpoint }, "slot-7") == 0);
 }
 
@@ -118,7 +118,7 @@
     setFaults(endpoint, R"({"work_ms": 600000})");
     PendingCall pending(hold("slot-8"));
     waitFor("it runs", [&] { return executionsOf({ endpoint }, "slot-8") == 1; });
-    pending.hangUp();
+    pending.disconnect();
     waitFor("it is cancelled", [&] { return executionsAt({ endpoint }).front().state == "cancelled"; });
 }
 
--- a/tests/standins/tests/platformstandin_test.cpp
+++ b/tests/standins/tests/platformstandin_test.cpp
@@ -93,7 +93,7 @@
 {
     setFaults(endpoint, R"({"lose_answers": {"count": 1, "prefix": "replicas/"}})");
     BOOST_TEST(put("other", "x", "*").status == 200);
-    BOOST_TEST(!put("replicas/a", "x", "*").isWhole());
+    BOOST_TEST(!put("replicas/a", "x", "*").isComplete());
     BOOST_TEST(get("replicas/a").body == "x");
     BOOST_TEST(put("replicas/b", "x", "*").status == 200);
 }
@@ -107,9 +107,9 @@
     setFaults(endpoint, R"({"mode": "hang"})");
     PendingCall hanging({ .url = objectUrl("a") });
     waitFor("the call hangs", [&] { return callsOf("get") == 2; });
-    BOOST_TEST(!hanging.isOver());
+    BOOST_TEST(!hanging.isFinished());
     setFaults(endpoint, R"({"mode": "up"})");
-    BOOST_TEST(!hanging.answer().isWhole());
+    BOOST_TEST(!hanging.answer().isComplete());
     BOOST_TEST(get("a").status == 200);
     BOOST_TEST(get("b").status == 404);
 }
--- a/tests/support/burst.cpp
+++ b/tests/support/burst.cpp
@@ -12,12 +12,12 @@
 std::uint64_t lastPrompt = 0;
 
 /// Adds one call's end to the outcome. `executions` is what the engines recorded of its prompt.
-void addEnd(BurstOutcome& outcome, const std::string& prompt, const HttpAnswer& answer, std::size_t executions)
+void addOutcome(BurstOutcome& outcome, const std::string& prompt, const HttpAnswer& answer, std::size_t executions)
 {
     const std::string execution = refusalField(answer, "execution");
     if (executions > 1)
         outcome.faults.push_back(prompt + ": executed " + std::to_string(executions) + " times");
-    if (answer.isWhole() && answer.status == 200) {
+    if (answer.isComplete() && answer.status == 200) {
         ++outcome.answered;
         if (completionText(answer) != prompt)
             outcome.faults.push_back(prompt + ": another answer: " + completionText(answer));
@@ -28,7 +28,7 @@
     } else if (execution == "unknown") {
         ++outcome.refusedUnknown;
     } else if (answer.status == 200) {
-        ++outcome.cut;
+        ++outcome.brokenOff;
     } else {
         outcome.faults.push_back(prompt + ": no honest end: " + completionText(answer));
     }
@@ -39,11 +39,11 @@
 void Burst::begin(
     const std::string& callers, const std::string& model, std::size_t calls, const CompletionOptions& options)
 {
-    CompletionOptions own = options;
-    own.headers["X-Lagoon-Repeatable"] = "false";
+    CompletionOptions callOptions = options;
+    callOptions.headers["X-Lagoon-Repeatable"] = "false";
     for (std::size_t index = 0; index < calls; ++index) {
         const std::string prompt = model + " question number " + std::to_string(++lastPrompt);
-        calls_.push_back({ prompt, PendingCall(completionCall(callers, model, prompt, own)) });
+        calls_.push_back({ prompt, PendingCall(completionCall(callers, model, prompt, callOptions)) });
     }
 }
 
@@ -56,7 +56,7 @@
         ++executions[execution.content];
     BurstOutcome outcome;
     for (Call& call : calls_)
-        addEnd(outcome, call.prompt, call.pending.answer(), executions[call.prompt]);
+        addOutcome(outcome, call.prompt, call.pending.answer(), executions[call.prompt]);
     return outcome;
 }
 
--- a/tests/support/burst.h
+++ b/tests/support/burst.h
@@ -14,7 +14,7 @@
     std::size_t refusedNotRun = 0;
     std::size_t refusedUnknown = 0;
     /// Began and broke off.
-    std::size_t cut = 0;
+    std::size_t brokenOff = 0;
     /// What was wrong: another call's answer, a "not run" that was executed, a call executed twice, no end at all.
     std::vector<std::string> faults;
 };
--- a/tests/support/callers.cpp
+++ b/tests/support/callers.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 const std::string dataPrefix = "data: ";
-const std::string lastData = "[DONE]";
+const std::string endOfStream = "[DONE]";
 
 std::string textOfChoice(const value& json)
 {
@@ -34,7 +34,7 @@
         if (line.compare(0, dataPrefix.size(), dataPrefix) != 0)
             continue;
         const std::string data = line.substr(dataPrefix.size());
-        if (data == lastData)
+        if (data == endOfStream)
             return text;
         std::error_code error;
         const value json = value::parse(data, error);
@@ -75,7 +75,7 @@
 
 std::string completionText(const HttpAnswer& answer)
 {
-    if (!answer.isWhole() || answer.status != 200)
+    if (!answer.isComplete() || answer.status != 200)
         return describeFailure(answer);
     const value json = answer.json();
     if (!json.is_null())
--- a/tests/support/childprocess.cpp
+++ b/tests/support/childprocess.cpp
@@ -16,7 +16,7 @@
 constexpr int exitWithoutProgram = 127;
 
 /// In the child: only calls that are safe between fork and exec.
-[[noreturn]] void execute(char* const* words, int output, int log)
+[[noreturn]] void execute(char* const* arguments, int output, int log)
 {
     // Without this a test that is killed at its time limit would leave its processes behind.
     prctl(PR_SET_PDEATHSIG, SIGKILL);
@@ -25,7 +25,7 @@
     sigset_t none;
     sigemptyset(&none);
     sigprocmask(SIG_SETMASK, &none, nullptr);
-    execv(words[0], words);
+    execv(arguments[0], arguments);
     _exit(exitWithoutProgram);
 }
 
@@ -36,7 +36,7 @@
 
 /// The JSON of the first whole line that is an object, or that is the structured log's line of the start. Empty if
 /// there is none.
-std::string readyLine(const std::string& output)
+std::string findReadyLine(const std::string& output)
 {
     std::size_t begin = 0;
     for (std::size_t end = output.find('\n'); end != std::string::npos; end = output.find('\n', begin)) {
@@ -51,17 +51,17 @@
 
 } // namespace
 
-ChildProcess::ChildProcess(
-    std::string name, const std::string& program, const std::vector<std::string>& words, const TemporaryFolder& folder)
+ChildProcess::ChildProcess(std::string name, const std::string& program, const std::vector<std::string>& arguments,
+    const TemporaryFolder& folder)
     : name_(std::move(name))
     , outputFile_(folder.file(name_ + ".out"))
     , logFile_(folder.file(name_ + ".log"))
 {
     std::vector<std::string> all { program };
-    all.insert(all.end(), words.begin(), words.end());
+    all.insert(all.end(), arguments.begin(), arguments.end());
     std::vector<char*> pointers;
-    for (std::string& word : all)
-        pointers.push_back(word.data());
+    for (std::string& argument : all)
+        pointers.push_back(argument.data());
     pointers.push_back(nullptr);
     const int output = openOutput(outputFile_);
     const int log = openOutput(logFile_);
@@ -78,10 +78,10 @@
 
 void ChildProcess::waitUntilReady()
 {
-    const bool isOver = isReached([this] { return !readyLine(output()).empty() || !isRunning(); });
+    const bool isFinished = isReached([this] { return !findReadyLine(output()).empty() || !isRunning(); });
     std::error_code error;
-    ready_ = web::json::value::parse(readyLine(output()), error);
-    if (!isOver || error)
+    ready_ = web::json::value::parse(findReadyLine(output()), error);
+    if (!isFinished || error)
         throw std::runtime_error(name_ + " didn't become ready; its log:\n" + log());
 }
 
--- a/tests/support/childprocess.h
+++ b/tests/support/childprocess.h
@@ -15,8 +15,8 @@
 class ChildProcess {
 public:
     /// `name` is for messages and unique in the folder, which takes the process's output.
-    ChildProcess(
-        std::string name, const std::string& program, const std::vector<std::string>& words, const TemporaryFolder&);
+    ChildProcess(std::string name, const std::string& program, const std::vector<std::string>& arguments,
+        const TemporaryFolder&);
     ~ChildProcess();
     ChildProcess(const ChildProcess&) = delete;
     ChildProcess& operator=(const ChildProcess&) = delete;
--- a/tests/support/deployment.cpp
+++ b/tests/support/deployment.cpp
@@ -16,26 +16,26 @@
 
 const std::string anyPort = "127.0.0.1:0";
 
-value text(const std::string& words) { return value::string(words); }
+value jsonString(const std::string& content) { return value::string(content); }
 
-void addAll(value& json, const value& more)
+void mergeSettings(value& json, const value& more)
 {
     for (const auto& [key, part] : more.as_object()) {
         if (part.is_object() && json.has_object_field(key))
-            addAll(json[key], part);
+            mergeSettings(json[key], part);
         else
             json[key] = part;
     }
 }
 
-value vmJson(const std::string& vm, const std::string& role, const std::string& state, const Place& place)
+value vmJson(const std::string& vm, const std::string& role, const std::string& state, const VmLocation& location)
 {
     value json;
-    json["vm"] = text(vm);
-    json["role"] = text(role);
-    json["state"] = text(state);
-    json["site"] = text(place.site);
-    json["failure_domain"] = text(place.failureDomain);
+    json["vm"] = jsonString(vm);
+    json["role"] = jsonString(role);
+    json["state"] = jsonString(state);
+    json["site"] = jsonString(location.site);
+    json["failure_domain"] = jsonString(location.failureDomain);
     return json;
 }
 
@@ -75,9 +75,9 @@
 
 } // namespace
 
-Deployment::Deployment(const std::vector<std::string>& weightWords)
+Deployment::Deployment(const std::vector<std::string>& weightStoreArguments)
     : platform_(start("platform", Program::PlatformStandin, {}))
-    , weights_(start("weights", Program::WeightStandin, weightWords))
+    , weights_(start("weights", Program::WeightStandin, weightStoreArguments))
 {
 }
 
@@ -97,17 +97,17 @@
 }
 
 std::unique_ptr<ChildProcess> Deployment::start(
-    const std::string& name, Program program, const std::vector<std::string>& words)
+    const std::string& name, Program program, const std::vector<std::string>& arguments)
 {
-    return startProgram(program, name + "." + std::to_string(++started_), words, folder_);
+    return startProgram(program, name + "." + std::to_string(++started_), arguments, folder_);
 }
 
 std::unique_ptr<ChildProcess> Deployment::startProxy(const std::string& name, const std::string& to, bool hasFrames)
 {
-    std::vector<std::string> words { "--to", to };
+    std::vector<std::string> arguments { "--to", to };
     if (hasFrames)
-        words.push_back("--frames");
-    return start(name, Program::FaultProxy, words);
+        arguments.push_back("--frames");
+    return start(name, Program::FaultProxy, arguments);
 }
 
 std::unique_ptr<ChildProcess> Deployment::startWithSettings(const std::string& command, const value& settings)
@@ -118,16 +118,16 @@
     return start(name, Program::Lagoonrouter, { command, "--settings", file });
 }
 
-value Deployment::commonSettings(const std::string& role, const std::string& vm, const Place& place) const
+value Deployment::commonSettings(const std::string& role, const std::string& vm, const VmLocation& location) const
 {
     value settings;
-    settings["role"] = text(role);
-    settings["vm"] = text(vm);
-    settings["site"] = text(place.site);
-    settings["failure_domain"] = text(place.failureDomain);
-    settings["link"] = text(anyPort);
-    settings["ops"] = text(anyPort);
-    settings["platform"]["url"] = text(urlOf(platform(), ""));
+    settings["role"] = jsonString(role);
+    settings["vm"] = jsonString(vm);
+    settings["site"] = jsonString(location.site);
+    settings["failure_domain"] = jsonString(location.failureDomain);
+    settings["link"] = jsonString(anyPort);
+    settings["ops"] = jsonString(anyPort);
+    settings["platform"]["url"] = jsonString(urlOf(platform(), ""));
     return settings;
 }
 
@@ -135,25 +135,25 @@
 {
     const UpstreamOptions& options = upstream.options;
     const bool isEngine = options.kind == UpstreamKind::Engine;
-    value settings = commonSettings("agent", vm, options.place);
-    settings["pool"] = text(options.pool);
-    settings["upstream"]["kind"] = text(isEngine ? "engine" : "service");
+    value settings = commonSettings("agent", vm, options.location);
+    settings["pool"] = jsonString(options.pool);
+    settings["upstream"]["kind"] = jsonString(isEngine ? "engine" : "service");
     const std::string endpoint
         = upstream.upstreamProxy ? upstream.upstreamProxy->readyText("proxy") : upstream.upstream();
-    settings["upstream"]["url"] = text(urlOf(endpoint, ""));
+    settings["upstream"]["url"] = jsonString(urlOf(endpoint, ""));
     if (isEngine) {
         settings["upstream"]["checks_fencing"] = value::boolean(options.checksFencing);
         settings["upstream"]["settling_ms"] = value::number(options.settlingMs);
     }
-    addAll(settings, options.moreSettings);
+    mergeSettings(settings, options.extraSettings);
     return startWithSettings("agent", settings);
 }
 
 std::unique_ptr<ChildProcess> Deployment::startRouter(const std::string& vm, const RouterVm& router)
 {
-    value settings = commonSettings("router", vm, router.options.place);
-    settings["callers"] = text(anyPort);
-    addAll(settings, router.options.moreSettings);
+    value settings = commonSettings("router", vm, router.options.location);
+    settings["callers"] = jsonString(anyPort);
+    mergeSettings(settings, router.options.extraSettings);
     return startWithSettings("router", settings);
 }
 
@@ -161,13 +161,13 @@
 {
     UpstreamVm& upstream = upstreams_[vm];
     upstream.options = options;
-    std::vector<std::string> words = options.standinWords;
+    std::vector<std::string> arguments = options.standinArguments;
     const bool isEngine = options.kind == UpstreamKind::Engine;
     if (isEngine) {
-        words.insert(words.end(), { "--weights", urlOf(weights(), "") });
-        words.insert(words.end(), { "--checks-fencing", options.checksFencing ? "1" : "0" });
+        arguments.insert(arguments.end(), { "--weights", urlOf(weights(), "") });
+        arguments.insert(arguments.end(), { "--checks-fencing", options.checksFencing ? "1" : "0" });
     }
-    upstream.standin = start(vm + "-upstream", isEngine ? Program::EngineStandin : Program::ServiceStandin, words);
+    upstream.standin = start(vm + "-upstream", isEngine ? Program::EngineStandin : Program::ServiceStandin, arguments);
     if (options.hasUpstreamProxy)
         upstream.upstreamProxy = startProxy(vm + "-upstreamproxy", upstream.upstream(), false);
     upstream.agent = startAgent(vm, upstream);
@@ -219,17 +219,17 @@
     for (const auto& [vm, router] : routers_) {
         if (!router.process)
             continue;
-        value json = vmJson(vm, "router", router.state, router.options.place);
-        json["pool"] = text("");
-        json["endpoint"] = text(router.process->readyText("link"));
+        value json = vmJson(vm, "router", router.state, router.options.location);
+        json["pool"] = jsonString("");
+        json["endpoint"] = jsonString(router.process->readyText("link"));
         vms[vms.size()] = json;
     }
     for (const auto& [vm, upstream] : upstreams_) {
         if (!upstream.agent)
             continue;
-        value json = vmJson(vm, "upstream", upstream.state, upstream.options.place);
-        json["pool"] = text(upstream.options.pool);
-        json["endpoint"] = text(upstream.link());
+        value json = vmJson(vm, "upstream", upstream.state, upstream.options.location);
+        json["pool"] = jsonString(upstream.options.pool);
+        json["endpoint"] = jsonString(upstream.link());
         vms[vms.size()] = json;
     }
     value body;
@@ -240,7 +240,7 @@
 void Deployment::rollOut(const std::string& bundleText)
 {
     const bundle::OperatorAct act { "tester", "2026-12-02T20:00:00Z" };
-    const auto deadline = framework::Deadline::after(std::chrono::steady_clock::now(), generousLimit);
+    const auto deadline = framework::Deadline::after(std::chrono::steady_clock::now(), conditionTimeout);
     objectstore::ObjectStoreSettings settings;
     settings.url = urlOf(platform(), "");
     const auto client = objectstore::makeObjectStoreClient(settings, std::make_shared<framework::Metrics>());
@@ -268,9 +268,9 @@
     return endpoints;
 }
 
-int Deployment::runCommand(const std::vector<std::string>& words, std::string* output)
+int Deployment::runCommand(const std::vector<std::string>& arguments, std::string* output)
 {
-    ChildProcess process("command." + std::to_string(++started_), pathOf(Program::Lagoonrouter), words, folder_);
+    ChildProcess process("command." + std::to_string(++started_), pathOf(Program::Lagoonrouter), arguments, folder_);
     const int exitCode = process.waitForExit();
     if (output)
         *output = process.output() + process.log();
--- a/tests/support/deployment.h
+++ b/tests/support/deployment.h
@@ -16,7 +16,7 @@
 namespace lagoon::testsupport {
 
 /// Where a VM is.
-struct Place {
+struct VmLocation {
     std::string site = "old";
     std::string failureDomain = "a";
 };
@@ -26,10 +26,10 @@
 /// An upstream VM: the stand-in and the agent beside it.
 struct UpstreamOptions {
     UpstreamKind kind = UpstreamKind::Engine;
-    Place place = {};
+    VmLocation location = {};
     std::string pool = "engines";
     /// Words of the stand-in's command line, such as `--memory-mib`, `40000`.
-    std::vector<std::string> standinWords = {};
+    std::vector<std::string> standinArguments = {};
     bool checksFencing = true;
     std::uint64_t settlingMs = 500;
     /// Puts a fault proxy between routers and the agent.
@@ -37,12 +37,12 @@
     /// Puts a fault proxy between the agent and its upstream.
     bool hasUpstreamProxy = false;
     /// Keys that the agent's settings have besides.
-    web::json::value moreSettings = web::json::value::object();
+    web::json::value extraSettings = web::json::value::object();
 };
 
 struct RouterOptions {
-    Place place = {};
-    web::json::value moreSettings = web::json::value::object();
+    VmLocation location = {};
+    web::json::value extraSettings = web::json::value::object();
 };
 
 /// An entry VM.
@@ -74,8 +74,8 @@
 /// with this object; logs are printed if a test of Boost.Test failed by then.
 class Deployment {
 public:
-    /// Starts the platform and the weight store. `weightWords` are for the latter's command line.
-    explicit Deployment(const std::vector<std::string>& weightWords = { "--loads-per-second", "100" });
+    /// Starts the platform and the weight store. `weightStoreArguments` are for the latter's command line.
+    explicit Deployment(const std::vector<std::string>& weightStoreArguments = { "--loads-per-second", "100" });
     ~Deployment();
     Deployment(const Deployment&) = delete;
     Deployment& operator=(const Deployment&) = delete;
@@ -103,15 +103,15 @@
     const TemporaryFolder& folder() const { return folder_; }
 
     /// Runs the program's command to its end and returns its exit code; the output comes back by `output`.
-    int runCommand(const std::vector<std::string>& words, std::string* output = nullptr);
+    int runCommand(const std::vector<std::string>& arguments, std::string* output = nullptr);
 
 private:
-    std::unique_ptr<ChildProcess> start(const std::string& name, Program, const std::vector<std::string>& words);
+    std::unique_ptr<ChildProcess> start(const std::string& name, Program, const std::vector<std::string>& arguments);
     std::unique_ptr<ChildProcess> startProxy(const std::string& name, const std::string& to, bool hasFrames);
     std::unique_ptr<ChildProcess> startAgent(const std::string& vm, const UpstreamVm&);
     std::unique_ptr<ChildProcess> startRouter(const std::string& vm, const RouterVm&);
     std::unique_ptr<ChildProcess> startWithSettings(const std::string& command, const web::json::value& settings);
-    web::json::value commonSettings(const std::string& role, const std::string& vm, const Place&) const;
+    web::json::value commonSettings(const std::string& role, const std::string& vm, const VmLocation&) const;
     void publishVms();
 
     TemporaryFolder folder_;
--- a/tests/support/httpcall.cpp
+++ b/tests/support/httpcall.cpp
@@ -15,7 +15,7 @@
     std::mutex mutex;
     HttpAnswer answer;
     pplx::cancellation_token_source cancellation;
-    std::future<void> over;
+    std::future<void> finished;
 };
 
 namespace {
@@ -43,7 +43,7 @@
 PendingCall::PendingCall(const HttpCall& call)
     : state_(std::make_shared<State>())
 {
-    state_->over = std::async(std::launch::async, [call, state = state_] {
+    state_->finished = std::async(std::launch::async, [call, state = state_] {
         const auto fail = [&](const std::string& why) {
             const std::lock_guard lock(state->mutex);
             state->answer.failure = why.empty() ? "failed" : why;
@@ -76,17 +76,20 @@
 
 PendingCall::~PendingCall()
 {
-    if (state_ && !isOver())
-        hangUp();
+    if (state_ && !isFinished())
+        disconnect();
 }
 
-bool PendingCall::isOver() const { return state_->over.wait_for(std::chrono::seconds(0)) == std::future_status::ready; }
+bool PendingCall::isFinished() const
+{
+    return state_->finished.wait_for(std::chrono::seconds(0)) == std::future_status::ready;
+}
 
-void PendingCall::hangUp() { state_->cancellation.cancel(); }
+void PendingCall::disconnect() { state_->cancellation.cancel(); }
 
 const HttpAnswer& PendingCall::answer()
 {
-    state_->over.wait();
+    state_->finished.wait();
     return state_->answer;
 }
 
@@ -115,7 +118,7 @@
 web::json::value getJson(const std::string& endpoint, const std::string& path)
 {
     const HttpAnswer answer = getFrom(endpoint, path);
-    if (!answer.isWhole() || answer.status / 100 != 2)
+    if (!answer.isComplete() || answer.status / 100 != 2)
         throw std::runtime_error("GET " + path + ": " + std::to_string(answer.status) + " " + answer.failure);
     return answer.json();
 }
@@ -124,7 +127,7 @@
     const std::string& method, const std::string& endpoint, const std::string& path, const web::json::value& value)
 {
     const HttpAnswer answer = call({ .method = method, .url = urlOf(endpoint, path), .body = value.serialize() });
-    if (!answer.isWhole() || answer.status / 100 != 2)
+    if (!answer.isComplete() || answer.status / 100 != 2)
         throw std::runtime_error(
             method + " " + path + ": " + std::to_string(answer.status) + " " + answer.failure + " " + answer.body);
 }
--- a/tests/support/httpcall.h
+++ b/tests/support/httpcall.h
@@ -32,7 +32,7 @@
     /// Why the answer isn't whole; empty if it is.
     std::string failure;
 
-    bool isWhole() const { return failure.empty(); }
+    bool isComplete() const { return failure.empty(); }
     /// Null if the body isn't JSON.
     web::json::value json() const;
 };
@@ -47,9 +47,9 @@
     PendingCall(PendingCall&&) noexcept;
     PendingCall& operator=(PendingCall&&) noexcept;
 
-    bool isOver() const;
+    bool isFinished() const;
     /// Closes the connection as a caller that loses patience does.
-    void hangUp();
+    void disconnect();
     /// Waits for the answer's end.
     const HttpAnswer& answer();
     /// What has come so far.
--- a/tests/support/openloop.cpp
+++ b/tests/support/openloop.cpp
@@ -10,7 +10,7 @@
 struct OpenLoop::Call {
     TimedAnswer timed;
     std::unique_ptr<web::http::client::http_client> client;
-    pplx::task<void> over;
+    pplx::task<void> finished;
 };
 
 OpenLoop::OpenLoop() = default;
@@ -30,23 +30,23 @@
         request.set_body(call.body, "application/json");
     for (const auto& [name, value] : call.headers)
         request.headers()[name] = value;
-    pending->timed.begunAt = Clock::now();
+    pending->timed.startedAt = Clock::now();
     TimedAnswer& timed = pending->timed;
-    pending->over = pending->client->request(request)
-                        .then([&timed](const web::http::http_response& response) {
-                            timed.answer.status = response.status_code();
-                            for (const auto& [name, value] : response.headers())
-                                timed.answer.headers[boost::to_lower_copy(name)] = value;
-                            return response.extract_utf8string(true);
-                        })
-                        .then([&timed](const pplx::task<std::string>& body) {
-                            try {
-                                timed.answer.body = body.get();
-                            } catch (const std::exception& exception) {
-                                timed.answer.failure = std::string("failed: ") + exception.what();
-                            }
-                            timed.seconds = std::chrono::duration<double>(Clock::now() - timed.begunAt).count();
-                        });
+    pending->finished = pending->client->request(request)
+                            .then([&timed](const web::http::http_response& response) {
+                                timed.answer.status = response.status_code();
+                                for (const auto& [name, value] : response.headers())
+                                    timed.answer.headers[boost::to_lower_copy(name)] = value;
+                                return response.extract_utf8string(true);
+                            })
+                            .then([&timed](const pplx::task<std::string>& body) {
+                                try {
+                                    timed.answer.body = body.get();
+                                } catch (const std::exception& exception) {
+                                    timed.answer.failure = std::string("failed: ") + exception.what();
+                                }
+                                timed.seconds = std::chrono::duration<double>(Clock::now() - timed.startedAt).count();
+                            });
     calls_.push_back(pending);
 }
 
@@ -56,7 +56,7 @@
 {
     std::vector<TimedAnswer> answers;
     for (const std::shared_ptr<Call>& call : calls_) {
-        call->over.wait();
+        call->finished.wait();
         answers.push_back(std::move(call->timed));
     }
     calls_.clear();
--- a/tests/support/openloop.h
+++ b/tests/support/openloop.h
@@ -12,11 +12,11 @@
 struct TimedAnswer {
     /// What the call belongs to, such as a priority.
     std::string label;
-    framework::SteadyTime begunAt {};
+    framework::SteadyTime startedAt {};
     double seconds = 0;
     HttpAnswer answer;
 
-    bool isServed() const { return answer.isWhole() && answer.status == 200; }
+    bool isServed() const { return answer.isComplete() && answer.status == 200; }
 };
 
 /// Calls that begin when the caller says, whether or not earlier ones have ended; each on a connection of its own.
--- a/tests/support/programs.cpp
+++ b/tests/support/programs.cpp
@@ -22,9 +22,9 @@
 }
 
 std::unique_ptr<ChildProcess> startProgram(
-    Program program, const std::string& name, const std::vector<std::string>& words, const TemporaryFolder& folder)
+    Program program, const std::string& name, const std::vector<std::string>& arguments, const TemporaryFolder& folder)
 {
-    auto process = std::make_unique<ChildProcess>(name, pathOf(program), words, folder);
+    auto process = std::make_unique<ChildProcess>(name, pathOf(program), arguments, folder);
     process->waitUntilReady();
     return process;
 }
--- a/tests/support/programs.h
+++ b/tests/support/programs.h
@@ -21,6 +21,6 @@
 std::string pathOf(Program);
 /// Starts it and waits for its ready line. `name` is unique in the folder.
 std::unique_ptr<ChildProcess> startProgram(
-    Program, const std::string& name, const std::vector<std::string>& words, const TemporaryFolder&);
+    Program, const std::string& name, const std::vector<std::string>& arguments, const TemporaryFolder&);
 
 } // namespace lagoon::testsupport
--- a/tests/support/record.cpp
+++ b/tests/support/record.cpp
@@ -11,7 +11,7 @@
 
 const std::string recordPath = "/standin/record";
 
-std::string textOf(const web::json::value& json, const std::string& key)
+std::string stringField(const web::json::value& json, const std::string& key)
 {
     return json.has_string_field(key) ? json.at(key).as_string() : std::string();
 }
@@ -36,9 +36,9 @@
     for (const std::string& endpoint : endpoints) {
         const web::json::value record = getJson(endpoint, recordPath);
         for (const web::json::value& event : record.at("events").as_array()) {
-            if (textOf(event, "model") != model || textOf(event, "adapter") != adapter)
+            if (stringField(event, "model") != model || stringField(event, "adapter") != adapter)
                 continue;
-            steps.push_back({ event.at("at_us").as_number().to_uint64(), changeBy(textOf(event, "event")) });
+            steps.push_back({ event.at("at_us").as_number().to_uint64(), changeBy(stringField(event, "event")) });
         }
     }
     std::stable_sort(steps.begin(), steps.end(), [](const Step& one, const Step& other) { return one.at < other.at; });
@@ -53,8 +53,8 @@
     for (const std::string& endpoint : endpoints) {
         const web::json::value record = getJson(endpoint, recordPath);
         for (const web::json::value& json : record.at("executions").as_array())
-            executions.push_back(
-                { textOf(json, "request_id"), textOf(json, "prompt") + textOf(json, "token"), textOf(json, "state") });
+            executions.push_back({ stringField(json, "request_id"),
+                stringField(json, "prompt") + stringField(json, "token"), stringField(json, "state") });
     }
     return executions;
 }
@@ -77,16 +77,16 @@
     return violations;
 }
 
-std::uint64_t mostReplicasAtOnce(
+std::uint64_t maxConcurrentReplicas(
     const std::vector<std::string>& endpoints, const std::string& model, const std::string& adapter)
 {
     std::int64_t present = 0;
-    std::int64_t most = 0;
+    std::int64_t maxPresent = 0;
     for (const Step& step : stepsAt(endpoints, model, adapter)) {
         present += step.change;
-        most = std::max(most, present);
+        maxPresent = std::max(maxPresent, present);
     }
-    return static_cast<std::uint64_t>(most);
+    return static_cast<std::uint64_t>(maxPresent);
 }
 
 std::uint64_t replicasNow(
--- a/tests/support/record.h
+++ b/tests/support/record.h
@@ -24,7 +24,7 @@
 std::vector<std::string> violationsAt(const std::vector<std::string>& endpoints);
 /// The most replicas of the model (and adapter) that these engines held at any one time, from the beginning of the
 /// load to the end of the unload, by the engines' own record.
-std::uint64_t mostReplicasAtOnce(
+std::uint64_t maxConcurrentReplicas(
     const std::vector<std::string>& endpoints, const std::string& model, const std::string& adapter = "");
 /// How many replicas they hold now, in whatever state.
 std::uint64_t replicasNow(
--- a/tests/support/tcppeer.cpp
+++ b/tests/support/tcppeer.cpp
@@ -18,10 +18,10 @@
     return context;
 }
 
-bool isReadable(int descriptor, framework::Milliseconds limit)
+bool isReadable(int descriptor, framework::Milliseconds timeout)
 {
     pollfd entry { descriptor, POLLIN, 0 };
-    return ::poll(&entry, 1, static_cast<int>(limit.count())) > 0;
+    return ::poll(&entry, 1, static_cast<int>(timeout.count())) > 0;
 }
 
 tcp::endpoint parse(const std::string& endpoint)
@@ -51,7 +51,7 @@
 {
     std::string bytes;
     while (bytes.size() < size) {
-        if (!isReadable(socket_.native_handle(), generousLimit))
+        if (!isReadable(socket_.native_handle(), conditionTimeout))
             throw std::runtime_error("neither bytes nor the connection's end came");
         std::string part(size - bytes.size(), '\0');
         boost::system::error_code error;
@@ -63,7 +63,7 @@
     return bytes;
 }
 
-bool TcpPeer::hasNews() { return isReadable(socket_.native_handle(), framework::Milliseconds(0)); }
+bool TcpPeer::hasInput() { return isReadable(socket_.native_handle(), framework::Milliseconds(0)); }
 
 void TcpPeer::close()
 {
@@ -80,7 +80,7 @@
 
 TcpPeer TcpServer::accept()
 {
-    if (!isReadable(acceptor_.native_handle(), generousLimit))
+    if (!isReadable(acceptor_.native_handle(), conditionTimeout))
         throw std::runtime_error("no connection came");
     tcp::socket socket = acceptor_.accept();
     socket.set_option(tcp::no_delay(true));
--- a/tests/support/tcppeer.h
+++ b/tests/support/tcppeer.h
@@ -18,7 +18,7 @@
     /// Waits for so many bytes; fewer come only when the connection ends. Throws when neither happens.
     std::string receive(std::size_t size);
     /// Whether bytes or the end could be read now.
-    bool hasNews();
+    bool hasInput();
     /// Waits for the end; false if bytes come instead.
     bool reachesEnd() { return receive(1).empty(); }
     void close();
--- a/tests/support/waitfor.cpp
+++ b/tests/support/waitfor.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 
-constexpr framework::Milliseconds lookInterval { 10 };
+constexpr framework::Milliseconds pollInterval { 10 };
 
 } // namespace
 
-bool isReached(const std::function<bool()>& condition, framework::Milliseconds limit)
+bool isReached(const std::function<bool()>& condition, framework::Milliseconds timeout)
 {
-    const auto deadline = framework::Deadline::after(std::chrono::steady_clock::now(), limit);
+    const auto deadline = framework::Deadline::after(std::chrono::steady_clock::now(), timeout);
     while (!condition()) {
         if (deadline.hasPassed(std::chrono::steady_clock::now()))
             return false;
-        std::this_thread::sleep_for(lookInterval);
+        std::this_thread::sleep_for(pollInterval);
     }
     return true;
 }
--- a/tests/support/waitfor.h
+++ b/tests/support/waitfor.h
@@ -8,10 +8,10 @@
 namespace lagoon::testsupport {
 
 /// Far longer than anything takes on a busy machine: tests wait for conditions, this only ends those that never come.
-inline constexpr framework::Milliseconds generousLimit { 30000 };
+inline constexpr framework::Milliseconds conditionTimeout { 30000 };
 
 /// Looks at the condition again and again; false if it didn't come true.
-bool isReached(const std::function<bool()>& condition, framework::Milliseconds limit = generousLimit);
+bool isReached(const std::function<bool()>& condition, framework::Milliseconds timeout = conditionTimeout);
 
 /// As `isReached`, but throws std::runtime_error naming `what`.
 void waitFor(const std::string& what, const std::function<bool()>& condition);
