--- a/tests/integration/shutdowngrace_test.cpp
+++ b/tests/integration/shutdowngrace_test.cpp
@@ -147,12 +147,12 @@
 BOOST_AUTO_TEST_CASE(aRunningRequestIsUnknownOrBrokenOff)
 {
     PendingCall stream = startStream("entry-1");
-    PendingCall whole = ask("entry-1", "notes", { .timeoutMs = veryLongMs });
+    PendingCall unstreamed = ask("entry-1", "notes", { .timeoutMs = veryLongMs });
     waitFor("both are under way", [&] { return agentCount("waiting") == 1; });
     BOOST_TEST(terminate(*deployment.router("entry-1").process) == 0);
-    BOOST_TEST(refusalField(whole.answer(), "code") == "shutting_down");
-    BOOST_TEST(refusalField(whole.answer(), "execution") == "unknown");
-    BOOST_TEST(whole.answer().status == 502);
+    BOOST_TEST(refusalField(unstreamed.answer(), "code") == "shutting_down");
+    BOOST_TEST(refusalField(unstreamed.answer(), "execution") == "unknown");
+    BOOST_TEST(unstreamed.answer().status == 502);
     BOOST_TEST(stream.answer().status == 200);
     BOOST_TEST(!stream.answer().isComplete());
 }
@@ -200,26 +200,26 @@
 // As before, but the engine has said nothing yet of what it works on: only that it may have run is known.
 BOOST_AUTO_TEST_CASE(aRequestAtAnEngineWithoutOutputIsUnknown)
 {
-    PendingCall whole = ask("entry-1", "notes", { .timeoutMs = veryLongMs });
+    PendingCall unstreamed = ask("entry-1", "notes", { .timeoutMs = veryLongMs });
     waitFor("it runs", [&] { return agentCount("running") == 1; });
     BOOST_TEST(terminate(*deployment.upstream("gpu-1").agent) == 0);
-    BOOST_TEST(refusalField(whole.answer(), "execution") == "unknown");
-    BOOST_TEST(refusalField(whole.answer(), "code") == "draining");
-    BOOST_TEST(whole.answer().status == 502);
+    BOOST_TEST(refusalField(unstreamed.answer(), "execution") == "unknown");
+    BOOST_TEST(refusalField(unstreamed.answer(), "code") == "draining");
+    BOOST_TEST(unstreamed.answer().status == 502);
 }
 
 // The platform hangs and the engine is frozen when an agent is told to end. Nothing that the agent still waits for may
 // keep it until it is ended by force, nor keep its caller from hearing that the request may have run.
 BOOST_AUTO_TEST_CASE(anAgentExitsWithAFrozenEngineWhileThePlatformHangs)
 {
-    PendingCall whole = ask("entry-1", "notes", { .timeoutMs = veryLongMs });
+    PendingCall unstreamed = ask("entry-1", "notes", { .timeoutMs = veryLongMs });
     waitFor("it runs", [&] { return agentCount("running") == 1; });
     ChildProcess& engine = *deployment.upstream("gpu-1").standin;
     engine.sendSignal(SIGSTOP);
     setFaults(deployment.platform(), R"({"mode": "hang"})");
     BOOST_TEST(terminate(*deployment.upstream("gpu-1").agent) == 0);
     engine.sendSignal(SIGCONT);
-    BOOST_TEST(refusalField(whole.answer(), "execution") == "unknown");
+    BOOST_TEST(refusalField(unstreamed.answer(), "execution") == "unknown");
 }
 
 // A router gives back a key at its end while the platform hangs. It must not wait for that longer than it may.
