--- a/tests/support/bundlebuilder.cpp
+++ b/tests/support/bundlebuilder.cpp
@@ -22,7 +22,7 @@
     return json;
 }
 
-/// What models and adapters have in common.
+/// The fields that models and adapters have in common.
 value weightsJson(const std::string& name, std::uint64_t memoryMib, const Replicas& replicas)
 {
     value json;
--- a/tests/support/bundlebuilder.h
+++ b/tests/support/bundlebuilder.h
@@ -8,11 +8,11 @@
 
 namespace lagoon::testsupport {
 
-/// Decided replicas by site.
+/// The decided number of replicas for each site.
 using Replicas = std::map<std::string, std::uint32_t>;
 using Names = std::vector<std::string>;
 
-/// Puts a bundle's JSON together.
+/// Builds the JSON text of a bundle.
 class BundleBuilder {
 public:
     explicit BundleBuilder(std::uint64_t version);
@@ -24,7 +24,7 @@
     BundleBuilder& adapter(
         const std::string& model, const std::string& name, std::uint64_t memoryMib, const Replicas& replicas);
     BundleBuilder& service(const std::string& name, const Names& pools);
-    /// Sets a number of the policy, such as `weight_loads_per_second`.
+    /// Sets a number in the bundle's policy, such as `weight_loads_per_second`.
     BundleBuilder& policy(const std::string& key, double number);
 
     std::string text() const { return json_.serialize(); }
--- a/tests/support/burst.cpp
+++ b/tests/support/burst.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// Of all bursts of the test program, so that no two prompts are the same.
+/// The number of the last prompt, shared by all bursts of the test program, so that prompts are unique.
 std::uint64_t lastPrompt = 0;
 
-/// Adds one call's end to the outcome. `executions` is what the engines recorded of its prompt.
+/// Adds the result of one call to the outcome. `executions` is how often the engines have executed its prompt.
 void addOutcome(BurstOutcome& outcome, const std::string& prompt, const HttpAnswer& answer, std::size_t executions)
 {
     const std::string execution = refusalField(answer, "execution");
@@ -30,7 +30,7 @@
     } else if (answer.status == 200) {
         ++outcome.brokenOff;
     } else {
-        outcome.faults.push_back(prompt + ": no honest end: " + completionText(answer));
+        outcome.faults.push_back(prompt + ": neither an answer nor a refusal: " + completionText(answer));
     }
 }
 
--- a/tests/support/burst.h
+++ b/tests/support/burst.h
@@ -13,20 +13,22 @@
     std::size_t answered = 0;
     std::size_t refusedNotRun = 0;
     std::size_t refusedUnknown = 0;
-    /// Began and broke off.
+    /// Answers that began and broke off.
     std::size_t brokenOff = 0;
-    /// What was wrong: another call's answer, a "not run" that was executed, a call executed twice, no end at all.
+    /// Errors: another call's answer, a call refused as "not run" but executed, a call executed twice, a call that
+    /// ended with neither an answer nor a refusal.
     std::vector<std::string> faults;
 };
 
-/// Many completions at once, each with a prompt of its own among all bursts. Begin them on one thread.
+/// Concurrent completions whose prompts are unique among all bursts of the test program. All bursts must be begun on
+/// the same thread.
 class Burst {
 public:
-    /// Begins so many calls at the router. They may not be repeated.
+    /// Begins this number of calls at the router. They are sent as not repeatable, so they must not be executed twice.
     void begin(const std::string& callers, const std::string& model, std::size_t calls, const CompletionOptions& = {});
     std::size_t size() const { return calls_.size(); }
 
-    /// Waits for all ends and holds them against what the engines executed.
+    /// Waits until all calls have ended and checks them against the engines' records of executions.
     BurstOutcome finish(const std::vector<std::string>& engines);
 
 private:
--- a/tests/support/callers.cpp
+++ b/tests/support/callers.cpp
@@ -25,7 +25,7 @@
     return "(no completion: " + std::to_string(answer.status) + " " + answer.failure + " " + answer.body + ")";
 }
 
-/// Nothing unless the stream has its last event: a cut one is no answer.
+/// The text of a streamed completion; std::nullopt if the stream lacks its last event, that is, if it was cut off.
 std::optional<std::string> textOfStream(const std::string& body)
 {
     std::string text;
--- a/tests/support/childprocess.cpp
+++ b/tests/support/childprocess.cpp
@@ -15,10 +15,10 @@
 
 constexpr int exitWithoutProgram = 127;
 
-/// In the child: only calls that are safe between fork and exec.
+/// Runs in the child process: makes only calls that are safe between fork and exec.
 [[noreturn]] void execute(char* const* arguments, int output, int log)
 {
-    // Without this a test that is killed at its time limit would leave its processes behind.
+    // Otherwise a test that is killed at its time limit would leave its child processes running.
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     dup2(output, STDOUT_FILENO);
     dup2(log, STDERR_FILENO);
@@ -34,8 +34,8 @@
     return ::open(file.c_str(), O_CREAT | O_TRUNC | O_WRONLY | O_APPEND | O_CLOEXEC, 0600);
 }
 
-/// The JSON of the first whole line that is an object, or that is the structured log's line of the start. Empty if
-/// there is none.
+/// The JSON of the first complete line that is an object or the `started` event of the structured log; empty if there
+/// is no such line.
 std::string findReadyLine(const std::string& output)
 {
     std::size_t begin = 0;
@@ -71,7 +71,7 @@
     ::close(output);
     ::close(log);
     if (pid_ < 0)
-        throw std::runtime_error("no process can be started for " + name_);
+        throw std::runtime_error("failed to start a process for " + name_);
 }
 
 ChildProcess::~ChildProcess() { kill(); }
@@ -82,13 +82,13 @@
     std::error_code error;
     ready_ = web::json::value::parse(findReadyLine(output()), error);
     if (!isFinished || error)
-        throw std::runtime_error(name_ + " didn't become ready; its log:\n" + log());
+        throw std::runtime_error(name_ + " did not become ready; its log:\n" + log());
 }
 
 std::string ChildProcess::readyText(const std::string& key) const
 {
     if (!ready_.has_string_field(key))
-        throw std::runtime_error(name_ + " didn't say its " + key);
+        throw std::runtime_error(name_ + " did not report its " + key);
     return ready_.at(key).as_string();
 }
 
@@ -121,7 +121,7 @@
 int ChildProcess::waitForExit()
 {
     if (!isReached([this] { return !isRunning(); }))
-        throw std::runtime_error(name_ + " didn't end; its log:\n" + log());
+        throw std::runtime_error(name_ + " did not exit; its log:\n" + log());
     return *exit_;
 }
 
--- a/tests/support/childprocess.h
+++ b/tests/support/childprocess.h
@@ -10,34 +10,36 @@
 
 namespace lagoon::testsupport {
 
-/// A process that the test starts, and ends by its id at the latest when this is destroyed. It dies with the thread
-/// that started it, so start it from the test's main thread. Failures throw std::runtime_error with the process's log.
+/// A child process, which the destructor kills if it is still running. The process is also killed when the thread that
+/// started it ends, so it must be started on the test's main thread. Failures throw std::runtime_error; if the process
+/// does not become ready or does not exit in time, with its log.
 class ChildProcess {
 public:
-    /// `name` is for messages and unique in the folder, which takes the process's output.
+    /// `name` stands in error messages and must be unique in the folder, where the files of the process's output are
+    /// put.
     ChildProcess(std::string name, const std::string& program, const std::vector<std::string>& arguments,
         const TemporaryFolder&);
     ~ChildProcess();
     ChildProcess(const ChildProcess&) = delete;
     ChildProcess& operator=(const ChildProcess&) = delete;
 
-    /// Waits for the ready line.
+    /// Waits for the ready line, the JSON line on standard output that reports the endpoints.
     void waitUntilReady();
-    /// A text of the ready line, such as an endpoint.
+    /// A text field of the ready line, such as an endpoint.
     std::string readyText(const std::string& key) const;
 
     pid_t pid() const { return pid_; }
     const std::string& name() const { return name_; }
     bool isRunning();
     void sendSignal(int signal);
-    /// Ends it at once and waits until it is gone.
+    /// Sends SIGKILL and waits until the process has ended.
     void kill();
-    /// The exit code, or the negative number of the signal that ended it.
+    /// Waits until the process has ended. Returns its exit code, or the negative number of the signal that ended it.
     int waitForExit();
 
-    /// What it wrote to standard output.
+    /// The process's standard output so far.
     std::string output() const;
-    /// What it wrote to standard error.
+    /// The process's standard error so far.
     std::string log() const;
 
 private:
--- a/tests/support/deployment.cpp
+++ b/tests/support/deployment.cpp
@@ -44,7 +44,7 @@
     namespace unittest = boost::unit_test;
     if (std::uncaught_exceptions() > 0)
         return true;
-    // Benchmarks and the demonstration use this too, without a test.
+    // Benchmarks and the demonstration use this class outside of Boost.Test.
     if (!unittest::framework::test_in_progress())
         return false;
     const auto& test = unittest::framework::current_test_case();
--- a/tests/support/deployment.h
+++ b/tests/support/deployment.h
@@ -15,7 +15,7 @@
 
 namespace lagoon::testsupport {
 
-/// Where a VM is.
+/// The location of a VM, as the platform's list and the settings state it.
 struct VmLocation {
     std::string site = "old";
     std::string failureDomain = "a";
@@ -23,12 +23,12 @@
 
 enum class UpstreamKind : std::uint8_t { Engine, Service };
 
-/// An upstream VM: the stand-in and the agent beside it.
+/// Options of an upstream VM, on which a stand-in for the upstream and its agent run.
 struct UpstreamOptions {
     UpstreamKind kind = UpstreamKind::Engine;
     VmLocation location = {};
     std::string pool = "engines";
-    /// Words of the stand-in's command line, such as `--memory-mib`, `40000`.
+    /// Command-line arguments of the stand-in, such as `--memory-mib`, `40000`.
     std::vector<std::string> standinArguments = {};
     bool checksFencing = true;
     std::uint64_t settlingMs = 500;
@@ -36,7 +36,7 @@
     bool hasLinkProxy = false;
     /// Puts a fault proxy between the agent and its upstream.
     bool hasUpstreamProxy = false;
-    /// Keys that the agent's settings have besides.
+    /// Settings that are merged into the agent's settings.
     web::json::value extraSettings = web::json::value::object();
 };
 
@@ -45,7 +45,7 @@
     web::json::value extraSettings = web::json::value::object();
 };
 
-/// An entry VM.
+/// A VM on which a router runs.
 struct RouterVm {
     RouterOptions options;
     std::unique_ptr<ChildProcess> process;
@@ -63,46 +63,48 @@
     std::unique_ptr<ChildProcess> agent;
     std::string state = "live";
 
-    /// The stand-in's own endpoint, past any proxy.
+    /// The stand-in's own endpoint, without a proxy.
     std::string upstream() const { return standin->readyText("http"); }
     std::string ops() const { return agent->readyText("ops"); }
-    /// What the platform's list says of the agent.
+    /// The endpoint that the platform's list states for the agent: that of the link proxy if there is one.
     std::string link() const { return linkProxy ? linkProxy->readyText("proxy") : agent->readyText("link"); }
 };
 
-/// The system and its stand-ins as separate processes on loopback. Failures throw std::runtime_error. Everything ends
-/// with this object; logs are printed if a test of Boost.Test failed by then.
+/// Runs the system and the stand-ins as separate processes on the loopback interface. Failures throw
+/// std::runtime_error. The destructor stops all processes, and prints their logs if the current Boost.Test case has
+/// failed.
 class Deployment {
 public:
-    /// Starts the platform and the weight store. `weightStoreArguments` are for the latter's command line.
+    /// Starts the stand-ins for the platform and the weight store; the latter with `weightStoreArguments`.
     explicit Deployment(const std::vector<std::string>& weightStoreArguments = { "--loads-per-second", "100" });
     ~Deployment();
     Deployment(const Deployment&) = delete;
     Deployment& operator=(const Deployment&) = delete;
 
-    /// Starts the VM's processes and enters it into the platform's list.
+    /// Starts the VM's processes and adds the VM to the platform's list.
     UpstreamVm& addUpstream(const std::string& vm, const UpstreamOptions& = {});
     RouterVm& addRouter(const std::string& vm, const RouterOptions& = {});
-    /// Starts the process anew on a VM after it ended.
+    /// Replaces the agent of the VM by a new process, with the same settings.
     void restartAgent(const std::string& vm);
     void restartRouter(const std::string& vm);
-    /// `live`, `leaving` or `gone`, for the platform's list.
+    /// Sets the VM's state in the platform's list: `live`, `leaving` or `gone`.
     void setVmState(const std::string& vm, const std::string& state);
 
-    /// Signs a bundle off and rolls it out, as an operator does.
+    /// Signs off a bundle and rolls it out, as an operator does.
     void rollOut(const std::string& bundleText);
     /// Waits until every router is ready.
     void waitUntilReady();
 
     RouterVm& router(const std::string& vm) { return routers_.at(vm); }
     UpstreamVm& upstream(const std::string& vm) { return upstreams_.at(vm); }
-    /// Endpoints of all stand-ins of a kind.
+    /// The endpoints of all stand-ins of this kind.
     std::vector<std::string> upstreams(UpstreamKind) const;
     std::string platform() const { return platform_->readyText("http"); }
     std::string weights() const { return weights_->readyText("http"); }
     const TemporaryFolder& folder() const { return folder_; }
 
-    /// Runs the program's command to its end and returns its exit code; the output comes back by `output`.
+    /// Runs a `lagoonrouter` command and returns its exit code. Stores standard output and error in `output`, unless
+    /// null.
     int runCommand(const std::vector<std::string>& arguments, std::string* output = nullptr);
 
 private:
@@ -120,7 +122,7 @@
     std::unique_ptr<ChildProcess> weights_;
     std::map<std::string, RouterVm> routers_;
     std::map<std::string, UpstreamVm> upstreams_;
-    /// Logs of the processes that restarts replaced, printed if a test fails.
+    /// The logs of processes that restarts have replaced, printed if a test fails.
     std::string replacedProcessLogs_;
 };
 
--- a/tests/support/httpcall.h
+++ b/tests/support/httpcall.h
@@ -9,37 +9,39 @@
 #include <memory>
 #include <string>
 
-/// A caller's side of HTTP: each call on a connection of its own, so that nothing is sent twice behind the test's back.
+/// An HTTP client for tests. It opens a new connection for each call, so that the HTTP library never resends a request
+/// on its own.
 namespace lagoon::testsupport {
 
 struct HttpCall {
     std::string method = "GET";
-    /// Such as `http://127.0.0.1:41001/v1/completions`.
+    /// For example `http://127.0.0.1:41001/v1/completions`.
     std::string url;
     std::string body = {};
     std::map<std::string, std::string> headers = {};
-    /// Longest silence of the server.
+    /// The call fails if the server sends nothing for this long.
     framework::Milliseconds idleTimeout { 30000 };
 };
 
 struct HttpAnswer {
-    /// 0 if no answer began.
+    /// 0 if no answer has begun.
     int status = 0;
-    /// Names in lower case.
+    /// By name in lower case.
     std::map<std::string, std::string> headers;
-    /// What came, also if it was cut.
+    /// The received body, also if it is incomplete.
     std::string body;
-    /// Why the answer isn't whole; empty if it is.
+    /// Why the answer is incomplete; empty if it is complete.
     std::string failure;
 
     bool isComplete() const { return failure.empty(); }
-    /// Null if the body isn't JSON.
+    /// The parsed body; null if it is not JSON.
     web::json::value json() const;
 };
 
+/// Sends the request and waits for the end of the answer.
 HttpAnswer call(const HttpCall&);
 
-/// A call under way.
+/// A call in progress, on a thread of its own.
 class PendingCall {
 public:
     explicit PendingCall(const HttpCall&);
@@ -48,11 +50,11 @@
     PendingCall& operator=(PendingCall&&) noexcept;
 
     bool isFinished() const;
-    /// Closes the connection as a caller that loses patience does.
+    /// Closes the connection before the answer is complete.
     void disconnect();
-    /// Waits for the answer's end.
+    /// Waits for the end of the answer.
     const HttpAnswer& answer();
-    /// What has come so far.
+    /// The part of the body that was received so far.
     std::string bodySoFar() const;
 
 private:
@@ -60,13 +62,14 @@
     std::shared_ptr<State> state_;
 };
 
-/// `http://` + endpoint + path.
+/// Returns `http://` + endpoint + path.
 std::string urlOf(const std::string& endpoint, const std::string& path);
 HttpAnswer getFrom(const std::string& endpoint, const std::string& path);
-/// Throws std::runtime_error unless the answer is 2xx.
+/// The JSON of an answer to GET. Throws std::runtime_error unless the answer is complete and its status is 2xx.
 web::json::value getJson(const std::string& endpoint, const std::string& path);
+/// Sends JSON. Throws std::runtime_error unless the answer is complete and its status is 2xx.
 void sendJson(const std::string& method, const std::string& endpoint, const std::string& path, const web::json::value&);
-/// `POST /standin/faults` with JSON text.
+/// Configures the faults of a stand-in or fault proxy by `POST /standin/faults` with this JSON text.
 void setFaults(const std::string& endpoint, const std::string& json);
 
 } // namespace lagoon::testsupport
--- a/tests/support/openloop.h
+++ b/tests/support/openloop.h
@@ -8,19 +8,21 @@
 
 namespace lagoon::testsupport {
 
-/// How a call ended, and when.
+/// The answer to a call and its timing.
 struct TimedAnswer {
-    /// What the call belongs to, such as a priority.
+    /// Groups calls for evaluation, for example by priority.
     std::string label;
     framework::SteadyTime startedAt {};
+    /// Time from the start of the call to the end of its answer.
     double seconds = 0;
     HttpAnswer answer;
 
     bool isServed() const { return answer.isComplete() && answer.status == 200; }
 };
 
-/// Calls that begin when the caller says, whether or not earlier ones have ended; each on a connection of its own.
-/// Unlike `PendingCall`, one takes no thread, so there may be thousands. Answers aren't read until they are whole.
+/// An open-loop load generator: starts each call when it is told to, whether or not earlier calls have ended. Each call
+/// has its own connection, but no thread (unlike `PendingCall`), so there may be thousands at once. The body of an
+/// answer is available only after its end.
 class OpenLoop {
 public:
     OpenLoop();
@@ -28,7 +30,7 @@
 
     void begin(const HttpCall&, const std::string& label = "");
     std::size_t size() const;
-    /// Waits for all ends; in the order of the beginnings.
+    /// Waits until all calls have ended and returns their answers in the order in which the calls were begun.
     std::vector<TimedAnswer> finish();
 
 private:
--- a/tests/support/processusage.cpp
+++ b/tests/support/processusage.cpp
@@ -17,7 +17,7 @@
     std::ifstream file(folder + "/stat");
     std::string line;
     std::getline(file, line);
-    // The second field is the program's name in brackets, which may hold blanks.
+    // The second field is the program's name in parentheses, which may contain spaces.
     std::istringstream fields(line.substr(line.rfind(')') + 1));
     std::string skipped;
     for (int field = 0; field < fieldsBeforeUserTime; ++field)
--- a/tests/support/processusage.h
+++ b/tests/support/processusage.h
@@ -4,9 +4,9 @@
 
 namespace lagoon::testsupport {
 
-/// What the kernel says of a process.
+/// Resource usage of a process, as reported by the kernel.
 struct ProcessUsage {
-    /// Of all its threads, user and system, in the kernel's ticks of 10 ms.
+    /// User and system time of all threads, in steps of the kernel's clock tick of 10 ms.
     double cpuSeconds = 0;
     double residentMib = 0;
 };
--- a/tests/support/programs.h
+++ b/tests/support/programs.h
@@ -8,7 +8,7 @@
 
 namespace lagoon::testsupport {
 
-/// The programs that the build made.
+/// Programs of the build that tests start as processes.
 enum class Program : std::uint8_t {
     Lagoonrouter,
     PlatformStandin,
@@ -19,7 +19,7 @@
 };
 
 std::string pathOf(Program);
-/// Starts it and waits for its ready line. `name` is unique in the folder.
+/// Starts the program and waits for its ready line. `name` must be unique in the folder.
 std::unique_ptr<ChildProcess> startProgram(
     Program, const std::string& name, const std::vector<std::string>& arguments, const TemporaryFolder&);
 
--- a/tests/support/record.cpp
+++ b/tests/support/record.cpp
@@ -16,7 +16,7 @@
     return json.has_string_field(key) ? json.at(key).as_string() : std::string();
 }
 
-/// One step up or down of the number of replicas.
+/// A change of the number of replicas at a point in time, in µs.
 struct Step {
     std::uint64_t at = 0;
     int change = 0;
--- a/tests/support/tcppeer.cpp
+++ b/tests/support/tcppeer.cpp
@@ -52,7 +52,7 @@
     std::string bytes;
     while (bytes.size() < size) {
         if (!isReadable(socket_.native_handle(), conditionTimeout))
-            throw std::runtime_error("neither bytes nor the connection's end came");
+            throw std::runtime_error("timed out waiting for bytes or the end of the connection");
         std::string part(size - bytes.size(), '\0');
         boost::system::error_code error;
         part.resize(socket_.read_some(boost::asio::buffer(part), error));
@@ -81,7 +81,7 @@
 TcpPeer TcpServer::accept()
 {
     if (!isReadable(acceptor_.native_handle(), conditionTimeout))
-        throw std::runtime_error("no connection came");
+        throw std::runtime_error("timed out waiting for a connection");
     tcp::socket socket = acceptor_.accept();
     socket.set_option(tcp::no_delay(true));
     return TcpPeer(std::move(socket));
--- a/tests/support/tcppeer.h
+++ b/tests/support/tcppeer.h
@@ -5,21 +5,23 @@
 #include <memory>
 #include <string>
 
-/// One end of a plain TCP connection, for tests of what happens to bytes.
+/// Blocking TCP sockets for tests of raw bytes.
 namespace lagoon::testsupport {
 
+/// One end of a TCP connection.
 class TcpPeer {
 public:
     explicit TcpPeer(boost::asio::ip::tcp::socket);
-    /// To `address:port`; throws std::runtime_error if it can't.
+    /// Connects to `address:port`; throws std::runtime_error if the connection fails.
     explicit TcpPeer(const std::string& endpoint);
 
     void send(const std::string& bytes);
-    /// Waits for so many bytes; fewer come only when the connection ends. Throws when neither happens.
+    /// Waits until `size` bytes were received or the connection has ended; returns fewer bytes only in the latter case.
+    /// Throws std::runtime_error if neither happens in time.
     std::string receive(std::size_t size);
-    /// Whether bytes or the end could be read now.
+    /// Whether received bytes or the end of the connection can be read without waiting.
     bool hasInput();
-    /// Waits for the end; false if bytes come instead.
+    /// Waits for the end of the connection; false if a byte is received instead.
     bool reachesEnd() { return receive(1).empty(); }
     void close();
 
@@ -27,18 +29,20 @@
     boost::asio::ip::tcp::socket socket_;
 };
 
+/// Listens on a free port of the loopback interface.
 class TcpServer {
 public:
     TcpServer();
     std::string endpoint() const;
-    /// Waits for a connection.
+    /// Waits for a connection; throws std::runtime_error if none arrives in time.
     TcpPeer accept();
 
 private:
     boost::asio::ip::tcp::acceptor acceptor_;
 };
 
-/// A frame as the fault proxy knows it: four bytes of length (little-endian), then the content.
+/// A frame in the format that the fault proxy parses: the content's length in four bytes (little-endian), then the
+/// content.
 std::string frameOf(const std::string& content);
 
 } // namespace lagoon::testsupport
--- a/tests/support/temporaryfolder.cpp
+++ b/tests/support/temporaryfolder.cpp
@@ -12,7 +12,7 @@
     : path_((std::filesystem::temp_directory_path() / "lagoontest-XXXXXX").string())
 {
     if (!mkdtemp(path_.data()))
-        throw std::runtime_error("no temporary folder can be made");
+        throw std::runtime_error("failed to create a temporary folder");
 }
 
 TemporaryFolder::~TemporaryFolder()
--- a/tests/support/temporaryfolder.h
+++ b/tests/support/temporaryfolder.h
@@ -4,7 +4,7 @@
 
 namespace lagoon::testsupport {
 
-/// A folder of its own that is removed with all it holds.
+/// A new temporary folder, which the destructor removes with its contents.
 class TemporaryFolder {
 public:
     TemporaryFolder();
--- a/tests/support/waitfor.cpp
+++ b/tests/support/waitfor.cpp
@@ -25,7 +25,7 @@
 void waitFor(const std::string& what, const std::function<bool()>& condition)
 {
     if (!isReached(condition))
-        throw std::runtime_error("it never came true: " + what);
+        throw std::runtime_error("timed out waiting for: " + what);
 }
 
 } // namespace lagoon::testsupport
--- a/tests/support/waitfor.h
+++ b/tests/support/waitfor.h
@@ -7,13 +7,15 @@
 
 namespace lagoon::testsupport {
 
-/// Far longer than anything takes on a busy machine: tests wait for conditions, this only ends those that never come.
+/// How long tests wait for a condition. Far longer than any condition takes on a busy machine, so that it only ends
+/// tests whose condition never becomes true.
 inline constexpr framework::Milliseconds conditionTimeout { 30000 };
 
-/// Looks at the condition again and again; false if it didn't come true.
+/// Polls the condition until it is true; returns false if it is not true within the timeout.
 bool isReached(const std::function<bool()>& condition, framework::Milliseconds timeout = conditionTimeout);
 
-/// As `isReached`, but throws std::runtime_error naming `what`.
+/// Polls the condition until it is true. Throws std::runtime_error with `what` if that takes longer than
+/// `conditionTimeout`.
 void waitFor(const std::string& what, const std::function<bool()>& condition);
 
 } // namespace lagoon::testsupport
