--- a/tests/integration/agentfailures_test.cpp
+++ b/tests/integration/agentfailures_test.cpp
@@ -11,7 +11,7 @@
 constexpr std::uint64_t lateLoadDelayMs = 1500;
 constexpr std::uint64_t settlingMs = 4000;
 
-/// One router before one engine that holds one of two models at a time.
+/// A deployment with one router and one engine. The engine has memory for only one of its two models at a time.
 struct OneEngine {
     void start(bool checksFencing)
     {
@@ -42,7 +42,7 @@
         return json.is_object() && json.has_field(key) ? json.at(key).serialize() : "";
     }
 
-    /// Kills the agent and starts it anew at the same endpoint, as a VM's fixed settings do.
+    /// Kills the agent and restarts it at the same endpoint, as on a VM whose settings fix the endpoint.
     void restartAgent()
     {
         agent().options.extraSettings["link"] = web::json::value::string(agent().agent->readyText("link"));
@@ -60,8 +60,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(AgentFailures, OneEngine)
 
-// The agent dies in the middle of a load and is started anew. The caller who waits sees only a longer wait: the new
-// process finds the claim and the load in the engine and carries both on; nothing is loaded twice.
+// The agent is killed during a load and restarted. The new process finds its claim and the load in the engine and
+// continues both, so the waiting caller is answered late but the model is not loaded twice.
 BOOST_AUTO_TEST_CASE(aRestartedAgentContinuesItsLoad)
 {
     start(true);
@@ -73,9 +73,10 @@
     BOOST_TEST(violationsAt(engines()).empty());
 }
 
-// The agent dies right after it sent a load order that the engine reads only later; the engine ignores fencing numbers.
-// The new process sees a claim and an empty engine. Were the memory free, a call for another model would load that, the
-// late order would come, and both wouldn't fit.
+// Prevents overcommitted memory by a delayed load order: the agent is killed right after it has sent a load order,
+// which the engine reads only later. The engine ignores fencing tokens. The new agent process sees a claim and an empty
+// engine. If it counted the memory as free, it would load another model, and the delayed order would then load the
+// first one as well.
 BOOST_AUTO_TEST_CASE(aLateLoadOrderDoesNotOvercommitTheEngine)
 {
     start(false);
@@ -83,7 +84,7 @@
     PendingCall first(completion("policy", "first"));
     waitFor("the order is on its way", [this] { return status("replicas").find("\"loading\"") != std::string::npos; });
     restartAgent();
-    // While the first model's memory is taken, the second's callers are told so and come back.
+    // While the memory is reserved for the first model, callers of the second are refused and retry.
     HttpAnswer second = call(completion("notes", "second"));
     while (refusalField(second, "code") == "memory_short") {
         BOOST_TEST(refusalField(second, "execution") == "not_run");
@@ -95,8 +96,8 @@
     BOOST_TEST(maxConcurrentReplicas(engines(), "policy") == 1);
 }
 
-// The agent is paused in the middle of a load, far longer than anything is waited for, and goes on. Its claim hasn't
-// lapsed, so nobody else loaded the model meanwhile, and the caller gets the answer.
+// The agent is paused during a load, until the engine has finished it, and then continued. Claims do not expire, so no
+// other agent loads the model in the meantime, and the caller gets its answer.
 BOOST_AUTO_TEST_CASE(aPausedAgentKeepsItsClaim)
 {
     start(true);
@@ -110,8 +111,8 @@
     BOOST_TEST(loadsOf(engines(), "policy") == 1);
 }
 
-// An operator stops an agent while answers stream through it. Each ends whole, what comes now is refused as not run,
-// and the process ends by itself with code 0.
+// An operator stops an agent while an answer streams through it. The answer is completed, new requests are refused as
+// not run, and the process exits with code 0.
 BOOST_AUTO_TEST_CASE(aGracefulShutdownCompletesAllStreams)
 {
     start(true);
@@ -130,8 +131,8 @@
     BOOST_TEST(executionsOf(engines(), "too late") == 0);
 }
 
-// The agent dies while a draft is generated. The engine may have run it whole, so the caller is told that the outcome
-// is unknown, and the draft isn't made a second time.
+// The agent is killed while a completion is generated. The engine may have run it to the end, so the caller's stream
+// breaks off and the completion is not run a second time.
 BOOST_AUTO_TEST_CASE(aRequestIsNotRunTwiceIfTheAgentDiesDuringItsAnswer)
 {
     start(true);
--- a/tests/integration/answers_test.cpp
+++ b/tests/integration/answers_test.cpp
@@ -10,7 +10,7 @@
 
 constexpr int callers = 12;
 
-/// Words that only this caller's answer can have.
+/// A prompt of 20 tokens, all of which contain the caller's number. The stand-in engine answers with the prompt.
 std::string promptOf(int caller)
 {
     std::string prompt;
@@ -20,7 +20,7 @@
     return prompt;
 }
 
-/// One model on one engine behind a fault proxy, asked by many callers at once.
+/// A deployment with one model on one engine, and fault proxies on both sides of the engine's agent.
 struct AnswersFixture {
     AnswersFixture()
     {
@@ -35,7 +35,7 @@
                                .text());
         deployment.waitUntilReady();
         if (completionText(ask(0, false).answer()) != promptOf(0))
-            throw std::runtime_error("the path doesn't work without faults");
+            throw std::runtime_error("the call without faults failed");
     }
 
     PendingCall ask(int caller, bool isStream)
@@ -52,7 +52,6 @@
         return calls;
     }
 
-    /// Waits until each stream has begun.
     void waitUntilAllStarted(const std::vector<PendingCall>& calls)
     {
         waitFor("all streams have begun", [&] {
@@ -67,7 +66,7 @@
     Deployment deployment;
 };
 
-/// Whether one caller's words are in what another was given.
+/// Whether the caller's answer contains tokens of another caller's prompt.
 bool hasTokensOfOthers(const HttpAnswer& answer, int caller)
 {
     for (int other = 0; other < callers; ++other) {
@@ -88,8 +87,8 @@
         BOOST_TEST(completionText(calls[caller].answer()) == promptOf(caller));
 }
 
-// Frames of the agent's answers cross on their way to the router. A caller may see its answer break off, but never
-// another's words, nor its own in another order as if whole.
+// Frames of the agent's answers arrive at the router in another order. A caller's answer may break off, but it must
+// never contain another caller's tokens, nor end as complete with its own tokens in the wrong order.
 BOOST_AUTO_TEST_CASE(reorderedFramesNeverReachTheWrongCaller)
 {
     std::vector<PendingCall> calls = askAll();
@@ -104,7 +103,8 @@
     BOOST_TEST(getJson(linkProxy(), "/standin/record").at("swapped").as_integer() > 0);
 }
 
-// The link is cut in the middle of all streams. The router opens another and goes on where each had stopped.
+// The link between router and agent breaks while all streams are in progress. The router opens a new link and resumes
+// each stream at the byte where it stopped.
 BOOST_AUTO_TEST_CASE(aBrokenLinkIsReplacedDuringStreams)
 {
     std::vector<PendingCall> calls = askAll();
@@ -114,7 +114,8 @@
         BOOST_TEST(completionText(calls[caller].answer()) == promptOf(caller));
 }
 
-// The link goes silent for good in the middle of all streams; new connections work.
+// The link between router and agent stops delivering bytes while all streams are in progress, without being closed. New
+// connections work, so the router replaces the link.
 BOOST_AUTO_TEST_CASE(aSilentLinkIsReplacedDuringStreams)
 {
     std::vector<PendingCall> calls = askAll();
@@ -124,8 +125,8 @@
         BOOST_TEST(completionText(calls[caller].answer()) == promptOf(caller));
 }
 
-// The engine's connection breaks in the middle of a stream. The caller must see an error, not a short answer that
-// looks whole.
+// The agent's connection to the engine breaks during a stream. The caller must see an error instead of a truncated
+// answer that looks complete.
 BOOST_AUTO_TEST_CASE(aBrokenUpstreamStreamEndsAsAnError)
 {
     PendingCall call = ask(3, true);
--- a/tests/integration/direct_test.cpp
+++ b/tests/integration/direct_test.cpp
@@ -69,7 +69,7 @@
     BOOST_TEST(call({ .target = "/nothing/1", .attempt = "n1" }).status == 404);
 }
 
-// What only this system may state came from a caller and reached the engine: it reserved memory that nobody used.
+// Prevents callers from setting internal headers: one that reached the engine would reserve memory that nothing uses.
 BOOST_AUTO_TEST_CASE(reservationHeadersFromCallersAreDropped)
 {
     call({ .target = "/model/1",
@@ -82,7 +82,8 @@
     BOOST_TEST(engine1.lastHeader("x-expect-instance") == "e-1");
 }
 
-// A member's hold was booked twice: its server had run it and then lost the answer, and the router asked the other one.
+// Prevents a double booking: the first server runs the hold and then loses the answer, and the router must not send the
+// hold to the other server.
 BOOST_AUTO_TEST_CASE(aRequestThatMayHaveRunIsNotResent)
 {
     plain1.dropNext(1);
@@ -101,8 +102,8 @@
     BOOST_TEST(second.status == 200);
 }
 
-// A member's lookup came back as failed, though the server beside the one that failed it would have answered: one
-// lookup in seven ends so on an ordinary day, and each costs its caller a second try over a new connection.
+// A lookup that fails on one server is retried on another. One lookup in seven fails on an ordinary day, and without
+// the router's retry each of them costs its caller a second attempt over a new connection.
 BOOST_AUTO_TEST_CASE(aFailedLookupIsRetriedOnAnotherServer)
 {
     plain1.failNext(1);
@@ -118,7 +119,7 @@
     BOOST_TEST(call({ .method = "GET", .target = "/get/1", .attempt = "g3" }).status == 200);
 }
 
-// A slot was held twice: the first server had failed after it wrote the hold down, and another was asked.
+// Prevents a double booking: the first server fails after it has stored the hold, so the hold must not be retried.
 BOOST_AUTO_TEST_CASE(aFailedHoldIsNotRetriedOnAnotherServer)
 {
     plain1.failNext(1);
@@ -139,14 +140,15 @@
     BOOST_TEST(call({ .target = "/post/1", .attempt = "p2" }).status == 200);
 }
 
-// A server crashed in the middle of a review's eighth event. The caller saw the stream go on behind the seventh, from
-// another server, as if nothing had happened.
+// A server crashes during the eighth event of a resumable stream. The caller's stream continues after the seventh event
+// from another server, without a gap or a repeated event.
 BOOST_AUTO_TEST_CASE(aResumableStreamContinuesOnAnotherServer)
 {
     engine2.hold("warm");
     engine1.setStream(12, 1);
     engine2.setStream(12, 1);
-    // Prompts that begin differently prefer different engines, and the router has to hear that there are two.
+    // Prompts with different beginnings prefer different engines, and the router first has to learn that both engines
+    // have the model.
     int resumed = 0;
     int tries = 0;
     waitFor("streams to begin at the first engine and end at the other", [&] {
@@ -173,7 +175,7 @@
     BOOST_TEST(engine1.runs("a1") == 1);
 }
 
-// A hostmaster closed the page, and the review went on at a model that others waited for.
+// Prevents wasted work: when a caller disconnects, the engine must stop generating, as other requests wait for it.
 BOOST_AUTO_TEST_CASE(aDisconnectedCallersWorkIsCancelled)
 {
     engine1.setStream(1000, 20);
@@ -209,7 +211,7 @@
     BOOST_TEST(plain1.allRuns() == before);
 }
 
-// The store was away for some seconds, and members were told that their pages didn't exist.
+// Prevents 404 answers to valid requests during an outage of the store of some seconds.
 BOOST_AUTO_TEST_CASE(requestsAreServedDuringAStoreOutage)
 {
     store.setAway(true);
@@ -229,8 +231,8 @@
     caller.send(CallerRequest { .target = "/model/1", .attempt = "a1", .model = "warm" }.text());
     BOOST_TEST(caller.readUntil("word1"));
     fleet.router().sendSignal(SIGTERM);
-    waitFor("the router to say that it isn't ready", [this] { return !fleet.isReady(); });
-    // Until balancers have noticed, new callers are still served.
+    waitFor("the router to report that it is not ready", [this] { return !fleet.isReady(); });
+    // New callers are still served until load balancers have noticed that the router is not ready.
     BOOST_TEST(call({ .method = "GET", .target = "/get/1", .attempt = "g1" }).status == 200);
     BOOST_TEST(caller.readToEnd().ends_with("0\r\n\r\n"));
     BOOST_TEST(fleet.router().waitForExit() == 0);
@@ -246,7 +248,7 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-// A router was started while the store was down, and answered 404 to all that came.
+// Prevents 404 answers from a router that is started during an outage of the store and so has no configuration.
 BOOST_AUTO_TEST_CASE(aRouterWithoutConfigurationRefusesWithRetryAfter)
 {
     Fleet& fleet = Fleet::make();
--- a/tests/integration/leaving_test.cpp
+++ b/tests/integration/leaving_test.cpp
@@ -11,7 +11,7 @@
 
 const std::string service = "slots";
 
-/// A booking service on two VMs and one router.
+/// A deployment with a booking service on two VMs and one router.
 struct LeavingFixture {
     LeavingFixture()
     {
@@ -21,14 +21,14 @@
         deployment.rollOut(BundleBuilder(1).servicePool("booking", "old").service(service, { "booking" }).text());
         deployment.waitUntilReady();
         callUntil("both serve", [&] { return callsAt("booking-1") > 0 && callsAt("booking-2") > 0; });
-        // The VM that stays is the slow one: were the other allowed work, it would get nearly all. Between two alike
-        // the router's choice stays with one for hundreds of calls, and they would pass the leaving one by all the
-        // same.
+        // The VM that stays is made slow, so that the leaving one would get nearly all calls if it were still used.
+        // With two equally fast VMs the router keeps choosing the same one for hundreds of calls, which might avoid the
+        // leaving VM by chance.
         setFaults(deployment.upstream(staying).upstream(), R"({"work_ms": 40})");
         callUntil("the faster is preferred", [&] { return isPreferred(leaving); });
     }
 
-    /// Whether nearly all of some calls went there.
+    /// Whether more than 3/4 of 20 calls reach the VM.
     bool isPreferred(const std::string& vm)
     {
         constexpr std::size_t sampleCalls = 20;
@@ -51,7 +51,7 @@
             return condition();
         });
     }
-    /// Asks again and again until so many calls in a row went past the VM, far more than chance allows.
+    /// Repeats calls until `minConsecutiveMisses` of them in a row did not reach the VM, far more than chance allows.
     void callUntilAvoided(const std::string& vm)
     {
         std::size_t before = callsAt(vm);
@@ -77,14 +77,16 @@
 
 BOOST_FIXTURE_TEST_SUITE(LeavingVms, LeavingFixture)
 
-// The platform is about to take a VM back and says so in its list. Work that still went there would die with it.
+// The platform's list marks a VM as leaving because it is about to be removed. A call that is still sent there would be
+// lost with the VM.
 BOOST_AUTO_TEST_CASE(announcedByThePlatformsList)
 {
     deployment.setVmState(leaving, "leaving");
     callUntilAvoided(leaving);
 }
 
-// An operator ends the agent while the list still calls its VM live. The agent says itself that it takes no more.
+// An operator stops the agent while the platform's list still shows its VM as live. The agent itself reports that it is
+// draining.
 BOOST_AUTO_TEST_CASE(announcedByAnAgentWhileTheListIsStale)
 {
     setFaults(deployment.platform(), R"({"vms_frozen": true})");
@@ -93,7 +95,7 @@
     callUntilAvoided(leaving);
 }
 
-// The same while the platform can't be reached at all.
+// An operator stops the agent while the platform is unreachable. The agent itself reports that it is draining.
 BOOST_AUTO_TEST_CASE(announcedByAnAgentDuringAPlatformOutage)
 {
     setFaults(deployment.platform(), R"({"mode": "refuse"})");
@@ -102,7 +104,7 @@
     callUntilAvoided(leaving);
 }
 
-// The list says "leaving" late. What the VM still gets until then is answered; nothing is lost.
+// The platform's list shows the state "leaving" with a delay. Calls that reach the VM until then are still answered.
 BOOST_AUTO_TEST_CASE(announcedByADelayedList)
 {
     setFaults(deployment.platform(), R"({"vms_late_ms": 1500})");
@@ -110,7 +112,7 @@
     callUntilAvoided(leaving);
 }
 
-// A call is under way at the upstream when its agent is told to go. It is answered before the agent goes.
+// A call is in progress at the upstream when its agent receives SIGTERM. The call is answered before the agent exits.
 BOOST_AUTO_TEST_CASE(callsInProgressAreCompleted)
 {
     setFaults(deployment.upstream("booking-1").upstream(), R"({"work_ms": 2000})");
--- a/tests/integration/memory_test.cpp
+++ b/tests/integration/memory_test.cpp
@@ -12,13 +12,13 @@
 constexpr std::size_t modelCount = 6;
 constexpr std::size_t callsPerModel = 3;
 constexpr std::uint64_t pollsPerBurst = 20;
-/// How long an order may lie unread, as the agents are told.
+/// The agents' `settling_ms`: how long an engine may leave an order unread.
 constexpr std::uint64_t settlingMs = 3000;
 const std::vector<std::string> engineVms { "gpu-1", "gpu-2" };
 
 std::string modelName(std::size_t index) { return "model-" + std::to_string(index); }
 
-/// Six models, of which each of two engines has room for one, with an adapter beside it.
+/// A deployment with six models and two engines. Each engine has memory for one model and one adapter of it.
 struct MemoryFixture {
     void start(bool checksFencing)
     {
@@ -49,9 +49,9 @@
         burst.begin(
             deployment.router(router).callers(), modelName(index) + suffix, callsPerModel, { .timeoutMs = 6000 });
     }
-    /// Bursts again and again, until each model was loaded: the engines have to unload for most of them. While all are
-    /// asked for at once the same ones may be refused each time, so after each burst those that weren't loaded yet are
-    /// asked for alone.
+    /// Repeats bursts until each model has been loaded; for most of them the engines have to unload another one first.
+    /// When all models are requested at once, the same ones may be refused each time, so after each burst those that
+    /// have not been loaded yet are requested without the others.
     void burstUntilAllWereLoaded(const std::string& adapter = "")
     {
         const std::string suffix = adapter.empty() ? "" : "/" + adapter;
@@ -83,7 +83,7 @@
         for (const std::string& violation : violationsAt(engines()))
             BOOST_ERROR(violation);
     }
-    /// Waits until an engine has a replica in this state and names the VM.
+    /// Waits until an engine has a replica in this state and returns the engine's VM.
     std::string waitForVmWithState(const std::string& state)
     {
         std::string found;
@@ -104,11 +104,11 @@
     {
         return getJson(deployment.upstream(vm).upstream(), "/standin/record").at("held_loads").as_integer();
     }
-    /// Waits until an order to load lies unread in an engine and names the VM.
+    /// Waits until an engine holds an unread load order and returns the engine's VM.
     std::string waitForVmWithHeldLoad()
     {
         std::string found;
-        waitFor("an order to load lies unread", [&] {
+        waitFor("an engine holds an unread load order", [&] {
             for (const std::string& vm : engineVms) {
                 if (heldLoadsAt(vm) > 0)
                     found = vm;
@@ -138,15 +138,15 @@
 
 BOOST_FIXTURE_TEST_SUITE(AcceleratorMemory, MemoryFixture)
 
-// More models are asked for at once than fit, so engines have to unload before each load. An order to load that comes
-// before the unload has ended would overcommit the accelerator.
+// More models are requested at once than fit, so engines have to unload before each load. A load order that is sent
+// before the unload has ended would overcommit the accelerator's memory.
 BOOST_AUTO_TEST_CASE(aBurstForMoreModelsThanFit)
 {
     start(true);
     burstUntilAllWereLoaded();
 }
 
-// Adapters need memory beside their models, which were counted when they were loaded without them.
+// Adapters need additional memory after their models have been loaded, and accounted for, without them.
 BOOST_AUTO_TEST_CASE(adaptersBesideModels)
 {
     start(true);
@@ -154,7 +154,7 @@
     burstUntilAllWereLoaded("adapter");
 }
 
-// An agent dies while its engine loads. Its successor finds memory that nobody remembers having given away.
+// An agent is killed while its engine loads. The restarted agent finds memory in use for which it has no reservation.
 BOOST_AUTO_TEST_CASE(anAgentKilledDuringALoad)
 {
     start(true);
@@ -164,7 +164,7 @@
     checkServes();
 }
 
-// The same while its engine unloads: what is on its way out still takes its memory.
+// An agent is killed while its engine unloads. The model that is being unloaded still occupies its memory.
 BOOST_AUTO_TEST_CASE(anAgentKilledDuringAnUnload)
 {
     start(true);
@@ -174,8 +174,9 @@
     checkServes();
 }
 
-// An engine that ignores fencing numbers holds an order to load unread while the agent that sent it dies. The engine
-// shows no trace of it. Its successor loads something else, and then the old load begins: both don't fit.
+// Prevents overcommitted memory by a delayed load order: an engine that ignores fencing tokens holds a load order
+// unread while the agent that sent it is killed. The engine's state does not show the order. If the restarted agent
+// loaded another model, the old load would then begin as well, and both do not fit.
 BOOST_AUTO_TEST_CASE(aPreviousAgentsLoadOrderIsReadLate)
 {
     start(false);
@@ -185,7 +186,7 @@
     const std::string vm = waitForVmWithHeldLoad();
     killAndRestartAgent(vm);
     std::uint64_t polls = 0;
-    waitFor("the order was read", [&] {
+    waitFor("the held load order was read", [&] {
         if (polls++ % pollsPerBurst == 0)
             beginBurst(burst);
         return heldLoadsAt(vm) == 0;
--- a/tests/integration/notrun_test.cpp
+++ b/tests/integration/notrun_test.cpp
@@ -11,8 +11,8 @@
 
 const std::string token = "slot-17";
 
-/// One booking service behind two fault proxies: one between router and agent, one between agent and service. Its
-/// calls may not be repeated. The service's own record says what was executed.
+/// A deployment with one booking service and two fault proxies: one between routers and agent, one between agent and
+/// service. Calls of the service must not be retried once they may have run. The service records what it has executed.
 struct BookingFixture {
     BookingFixture()
     {
@@ -22,10 +22,10 @@
         deployment.addRouter("entry-2");
         deployment.rollOut(BundleBuilder(1).servicePool("booking", "old").service("slots", { "booking" }).text());
         deployment.waitUntilReady();
-        // Opens the links that the faults then hit.
+        // Opens the links to which the tests then apply faults.
         for (const std::string entry : { "entry-1", "entry-2" }) {
             if (hold(entry, "warm-up").answer().status != 200)
-                throw std::runtime_error("the path doesn't work without faults");
+                throw std::runtime_error("the call without faults failed");
         }
     }
 
@@ -48,7 +48,7 @@
     {
         waitFor("the service has the call", [&] { return executions() > 0; });
     }
-    /// The number of a counter's line in the agent's metrics; 0 if there is none.
+    /// The value of a sample in the agent's metrics, by its name with labels; 0 if there is none.
     double agentCounter(const std::string& line)
     {
         const std::string text = getFrom(booking().ops(), "/metrics").body;
@@ -63,8 +63,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(NotRunIsReliableAndNothingRunsTwice, BookingFixture)
 
-// The link to the agent goes silent for good just before a slot hold is sent; new connections work. The caller hears
-// "not run". Minutes later the network delivers the old frame after all: the hold must not be made even then.
+// The link to the agent stops delivering bytes just before a slot hold is sent; new connections work. The caller is
+// told "not run". Later the network delivers the delayed frame: the hold must not be executed even then.
 BOOST_AUTO_TEST_CASE(aDispatchDeliveredAfterItsFenceIsNotRun)
 {
     setFaults(linkProxy(), R"({"hold": "to_server"})");
@@ -76,7 +76,7 @@
     const std::string refusals = R"(lagoon_refusals_total{code="fenced",execution="not_run"})";
     const double before = agentCounter(refusals);
     setFaults(linkProxy(), R"({"release": true})");
-    // The held connection was closed by the router; its bytes still reach the agent.
+    // The router has closed the held connection, but its bytes still reach the agent.
     waitFor("the agent has refused the late frame", [&] {
         return agentCounter(refusals) + agentCounter(R"(lagoon_refusals_total{code="below_floor",execution="not_run"})")
             > before;
@@ -84,8 +84,8 @@
     BOOST_TEST(executions() == 0u);
 }
 
-// The link goes silent while the service works. The hold is made; the caller must get its answer over a new link, and
-// the hold must be made once.
+// The link between router and agent stops delivering bytes while the service executes a hold. The caller must get the
+// answer over a new link, and the hold must be executed once.
 BOOST_AUTO_TEST_CASE(anAnswerSurvivesALinkThatGoesSilent)
 {
     setFaults(booking().upstream(), R"({"work_ms": 4000})");
@@ -99,8 +99,8 @@
     BOOST_TEST(executions() == 1u);
 }
 
-// The service has made the hold and the agent's answer is swallowed by the link. The agent kept it: the caller gets it
-// over a new link, and nothing runs again.
+// The service has executed the hold and the link loses the agent's answer. The agent keeps answers until they are
+// confirmed, so the caller gets it over a new link, and the hold is not executed again.
 BOOST_AUTO_TEST_CASE(anAnswerLostOnTheLinkIsResent)
 {
     setFaults(linkProxy(), R"({"silent": "to_client"})");
@@ -110,8 +110,8 @@
     BOOST_TEST(executions() == 1u);
 }
 
-// The agent is killed while the service makes the hold, and started anew. Its ledger is gone, so the caller must hear
-// "unknown", and neither router nor agent may send the hold again.
+// The agent is killed and restarted while the service executes the hold. The agent's ledger is lost, so the caller must
+// be told "unknown", and neither router nor agent may send the hold again.
 BOOST_AUTO_TEST_CASE(aCallIsUnknownIfItsAgentIsKilled)
 {
     setFaults(booking().upstream(), R"({"work_ms": 1000})");
@@ -124,7 +124,7 @@
     BOOST_TEST(executions() == 1u);
 }
 
-// The agent is killed and nothing was sent to it yet: that is "not run", and true.
+// The agent is killed before the hold is sent to it, so the hold must be refused as "not run".
 BOOST_AUTO_TEST_CASE(aCallToADeadAgentIsNotRun)
 {
     booking().agent->kill();
@@ -135,8 +135,8 @@
     BOOST_TEST(executions() == 0u);
 }
 
-// The service makes the hold and closes the connection instead of answering. A pooled HTTP client would send the POST
-// again by itself: two holds, and the caller sees one success.
+// The service executes the hold and closes the connection instead of answering. An HTTP client with a connection pool
+// would resend the POST by itself: the hold would be executed twice, and the caller would see one success.
 BOOST_AUTO_TEST_CASE(anUpstreamThatClosesAfterExecutingIsCalledOnce)
 {
     setFaults(booking().upstream(), R"({"calls": {"at": "after", "do": "close", "count": 1}})");
@@ -147,7 +147,8 @@
     BOOST_TEST(executions() == 1u);
 }
 
-// As before, with a second booking service that would gladly take the hold as well: it must not get it.
+// The service executes the hold and closes the connection instead of answering. The hold must not be sent to the second
+// booking service.
 BOOST_AUTO_TEST_CASE(aCallThatMayHaveRunIsNotSentToAnotherUpstream)
 {
     deployment.addUpstream("booking-2", { .kind = UpstreamKind::Service, .pool = "booking" });
@@ -163,7 +164,7 @@
     BOOST_TEST(executions() == 1u);
 }
 
-// The service's answer gets lost between it and the agent, and the platform is down at the same time.
+// The service's answer is lost on the way to the agent while the platform is down.
 BOOST_AUTO_TEST_CASE(aLostUpstreamAnswerDuringAnOutageIsUnknown)
 {
     setFaults(deployment.platform(), R"({"mode": "refuse"})");
@@ -174,7 +175,8 @@
     BOOST_TEST(executions() == 1u);
 }
 
-// A kiosk's connection breaks and it sends the same hold with the same key through two routers at once. One may run.
+// A caller sends the same hold with the same idempotency key through two routers at once, as a kiosk does whose
+// connection breaks. Only one of the two may run.
 BOOST_AUTO_TEST_CASE(aKeySentToTwoRoutersConcurrentlyRunsOnce)
 {
     setFaults(booking().upstream(), R"({"work_ms": 300})");
@@ -188,7 +190,8 @@
     BOOST_TEST(executions() == 1u);
 }
 
-// As before, one after the other, and the platform's answer to the first key's write is lost.
+// A caller sends the same idempotency key through two routers one after the other, and the platform's response to the
+// first router's write of the key is lost. The hold must run once.
 BOOST_AUTO_TEST_CASE(aKeySentToTwoRoutersInSequenceRunsOnce)
 {
     setFaults(deployment.platform(), R"({"lose_answers": {"count": 1, "prefix": "keys/"}})");
@@ -198,7 +201,8 @@
     BOOST_TEST(getJson(deployment.platform(), "/standin/record").at("lost_answers").as_integer() == 1);
 }
 
-// The platform is down and a keyed hold comes: nobody can tell whether its key is new, so it isn't run, and says so.
+// A hold with an idempotency key arrives while the platform is down. The router cannot tell whether the key is new, so
+// it refuses the hold as not run.
 BOOST_AUTO_TEST_CASE(aKeyedCallDuringAPlatformOutageIsNotRun)
 {
     setFaults(deployment.platform(), R"({"mode": "refuse"})");
--- a/tests/integration/operators_test.cpp
+++ b/tests/integration/operators_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Two sites with a router each, an engine at the old one, and an operator's shell.
+/// A deployment with two sites, each with a router, and an engine at the old site; runs operators' commands against it.
 struct OperatorsFixture {
     OperatorsFixture()
     {
@@ -32,8 +32,9 @@
         return path;
     }
 
-    /// Runs a command; its words and, if it works at the platform, where that is.
+    /// Runs a command with these arguments, stores its `output` and returns its exit code.
     int run(std::vector<std::string> arguments) { return deployment.runCommand(arguments, &output); }
+    /// Appends the platform's URL and, unless empty, the operator's name.
     std::vector<std::string> withPlatform(std::vector<std::string> arguments, const std::string& operatorName = "")
     {
         arguments.insert(arguments.end(), { "--platform", "http://" + deployment.platform() });
@@ -50,13 +51,13 @@
     {
         return run(withPlatform({ "bundle", "roll-out", std::to_string(version) }, operatorName));
     }
-    /// 0 once both routers and the agent have the head's version in force.
+    /// Returns 0 once the bundle version of the head is in force at both routers and the agent.
     int status()
     {
         return run(withPlatform({ "bundle", "status", "--process", deployment.router("entry-1").ops(), "--process",
             deployment.router("entry-2").ops(), "--process", deployment.upstream("gpu-1").ops() }));
     }
-    /// `settings check` of otherwise good settings of this role refuses them with this fault.
+    /// Checks that `settings check` rejects settings of this role, valid but for `more`, with this error.
     void checkSettings(const std::string& role, const std::string& more, const std::string& fault)
     {
         const std::string text = R"({"role":")" + role + R"(","vm":"a","site":"old","failure_domain":"a",)"
@@ -67,7 +68,7 @@
     bool outputContains(const std::string& text) const { return output.find(text) != std::string::npos; }
 
     Deployment deployment;
-    /// Of the last command.
+    /// The output of the last command.
     std::string output;
 };
 
@@ -118,7 +119,7 @@
     BOOST_TEST(outputContains("version 2 is in force, rolled out by bob"), output);
 }
 
-// Two operators each believe that their bundle is in force. Both rolled out in the same moment.
+// Prevents two operators who roll out at the same moment from each believing that their bundle is in force.
 BOOST_AUTO_TEST_CASE(losersOfConcurrentRollOutsAreToldTheWinner)
 {
     constexpr std::uint64_t operators = 4;
@@ -145,8 +146,8 @@
         outputContains("bundle: version " + std::to_string(highestWinner) + ", rolled out by operator-"), output);
 }
 
-// An operator is told that the roll-out failed, and the bundle is in force all the same. The platform wrote, and its
-// answer was lost.
+// Prevents a roll-out that is reported as failed although the bundle is in force: the platform has written the object,
+// and its response is lost.
 BOOST_AUTO_TEST_CASE(aRollOutSucceedsWhenThePlatformsResponseIsLost)
 {
     BOOST_TEST(signOff(1) == 0);
@@ -158,7 +159,8 @@
     BOOST_TEST(isReached([&] { return status() == 0; }));
 }
 
-// A router that starts while the platform is down must become ready once it is back, and never serve an older bundle.
+// A router that starts while the platform is down must become ready once the platform is back, and must never serve an
+// older bundle.
 BOOST_AUTO_TEST_CASE(aRouterStartedDuringAnOutageBecomesReadyAfterIt)
 {
     BOOST_TEST(signOff(1) == 0);
--- a/tests/integration/overload_test.cpp
+++ b/tests/integration/overload_test.cpp
@@ -18,10 +18,10 @@
 constexpr int timeoutMs = 3000;
 constexpr double retryShare = 0.1;
 constexpr double retryReserve = 20;
-/// Four times what both engines serve before the deadlines.
+/// Four times the calls that both engines can serve within the timeout.
 constexpr int calls = 4 * timeoutMs / 1000 * engines * slots * 1000 / (tokenMs * tokens);
 
-/// Two engines of two places each, both warm, and a router.
+/// A deployment with a router and two engines of two slots each, which both have the model loaded.
 struct BusyEngines {
     BusyEngines()
     {
@@ -40,7 +40,7 @@
                                .model(model, 100, { "engines" }, { { "old", engines } })
                                .text());
         deployment.waitUntilReady();
-        waitFor("both are warm", [&] {
+        waitFor("both engines have loaded the model", [&] {
             OpenLoop warming;
             for (int call = 0; call < 2 * engines; ++call)
                 warming.begin(ask("warming", 0, 20000));
@@ -70,9 +70,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(Overload, BusyEngines)
 
-// All callers come at once with four times the work that fits before their deadlines. Queues longer than the deadlines
-// would leave most of them with "unknown" at the end of their patience, and retries would multiply the load. Each must
-// be served or told that it wasn't run and when to come back, and one of high priority that comes last is served.
+// Callers send four times the calls that can be served before their deadlines, all at once. With queues longer than the
+// deadlines most calls would end as "unknown" at their timeouts, and retries would multiply the load. Each call must be
+// served, or refused as not run with a Retry-After header, and a call with a high priority that is sent last is served.
 BOOST_AUTO_TEST_CASE(requestsAreServedOrRefusedAsNotRunAndTheUrgentOneIsServed)
 {
     const double before = dispatchesAtAgents();
--- a/tests/integration/replicacap_test.cpp
+++ b/tests/integration/replicacap_test.cpp
@@ -14,7 +14,8 @@
 constexpr std::uint64_t pollsPerRequest = 10;
 const std::vector<std::string> routerVms { "entry-1", "entry-2", "entry-3" };
 
-/// Three routers that want as many replicas as they can get, before three engines with room for one each.
+/// A deployment with three routers that request as many replicas as they can get, and three engines with memory for one
+/// replica each.
 struct CapFixture {
     CapFixture()
     {
@@ -25,7 +26,7 @@
             deployment.addRouter(vm, { .extraSettings = eagerScaleUpSettings() });
     }
 
-    /// Rolls out the first bundle, with so many replicas.
+    /// Rolls out the first bundle, which decides this number of replicas.
     void rollOutFirstBundle(std::uint32_t replicas)
     {
         cap = replicas;
@@ -33,7 +34,7 @@
         deployment.waitUntilReady();
     }
 
-    /// Asks for another replica as soon as two of its requests wait.
+    /// Settings with which a router requests another replica as soon as two of its requests wait.
     static web::json::value eagerScaleUpSettings()
     {
         return web::json::value::parse(R"({"dispatch": {"scale_up_in_flight": 1}})");
@@ -50,10 +51,11 @@
         for (const std::string& vm : routerVms)
             burst.begin(deployment.router(vm).callers(), model, callsPerRouter, options);
     }
-    /// Further requests come in at each router, since only a new one makes a busy router ask for another replica.
+    /// Sends further calls through each router until this number of replicas is loading or loaded. Only a new request
+    /// makes a busy router request another replica.
     void sendCallsUntilReplicas(std::uint64_t count)
     {
-        const std::string what = std::to_string(count) + " replicas are there or load";
+        const std::string what = std::to_string(count) + " replicas are loading or loaded";
         std::uint64_t polls = 0;
         waitFor(what, [&] {
             if (polls++ % pollsPerRequest == 0) {
@@ -65,7 +67,7 @@
     }
     std::vector<std::string> engines() { return deployment.upstreams(UpstreamKind::Engine); }
 
-    /// How often a home's order to load was refused because of the cap.
+    /// The number of load orders of the routers (as homes) that were refused because of the replica cap.
     double refusalsByCap()
     {
         double refusals = 0;
@@ -76,11 +78,11 @@
     }
     void waitForRefusalByCap()
     {
-        waitFor("the cap has refused another replica, or failed to",
+        waitFor("the cap has refused another replica or was exceeded",
             [&] { return refusalsByCap() > 0 || maxConcurrentReplicas(engines(), model) > cap; });
     }
 
-    /// Waits until some engine has a load under way and names its VM.
+    /// Waits until an engine has begun a load and returns the engine's VM.
     std::string waitForLoadingVm()
     {
         std::string vm;
@@ -100,7 +102,7 @@
         BOOST_TEST(maxConcurrentReplicas(engines(), model) <= cap);
         BOOST_TEST(violationsAt(engines()).empty());
     }
-    /// The system still serves: nothing that the failure left behind is in the way.
+    /// Checks that the system serves a request again and that the cap was not exceeded.
     void checkServes(const std::string& prompt)
     {
         const std::string callers = deployment.router("entry-1").callers();
@@ -118,8 +120,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(ReplicaCap, CapFixture)
 
-// A cold model is asked for at three routers in one moment, each wanting replicas for itself. The engines have room
-// for three. Two are decided, and every caller gets its answer from one of those.
+// Three routers get requests for a cold model at the same moment, and each requests replicas. The engines have memory
+// for three replicas, but the bundle decides two. Every caller gets its answer from one of these two.
 BOOST_AUTO_TEST_CASE(aBurstForAColdModelAtThreeRouters)
 {
     rollOutFirstBundle(2);
@@ -130,8 +132,9 @@
     BOOST_TEST(outcome.answered == burst.size());
 }
 
-// The agent that has claimed the one replica dies while its engine loads. The home hears nothing more of that load and
-// orders another elsewhere, which only the dead agent's claim prevents. Its successor takes the claim over.
+// The agent that has claimed the only replica is killed while its engine loads. The home gets no result of that load
+// and orders another one on a different upstream, which only the claim of the killed agent prevents. The restarted
+// agent adopts the claim.
 BOOST_AUTO_TEST_CASE(anAgentKilledDuringALoadAndRestarted)
 {
     rollOutFirstBundle(1);
@@ -144,8 +147,8 @@
     checkServes("after the restart");
 }
 
-// An agent stops for longer than any timeout while its engine loads, and then goes on as if nothing had been. A lease
-// that lapsed meanwhile would have let another engine load beyond the cap.
+// An agent is paused for longer than any timeout while its engine loads, and is then continued. If claims were leases
+// that expire, another engine could have loaded in the meantime, beyond the cap.
 BOOST_AUTO_TEST_CASE(anAgentPausedDuringALoadAndContinued)
 {
     rollOutFirstBundle(1);
@@ -159,8 +162,8 @@
     checkServes("after the pause");
 }
 
-// The platform applies claims, but their answers are lost. A claimer that took that for a failure would claim again
-// and leave a claim that nobody knows; one that took it for success could be wrong.
+// The platform applies the writes of claims, but its responses are lost. An agent that treated this as a failure would
+// claim again and leave a claim without an owner; one that treated it as success could be wrong.
 BOOST_AUTO_TEST_CASE(thePlatformsResponsesToClaimsAreLost)
 {
     rollOutFirstBundle(2);
@@ -172,8 +175,8 @@
     BOOST_TEST(getJson(deployment.platform(), "/standin/record").at("lost_answers").as_integer() > 0);
 }
 
-// The platform hangs for longer than anyone waits. Without it nobody may load, so each caller is told in time that its
-// request wasn't run. When it is back, the system serves again by itself.
+// The platform hangs for longer than all deadlines. Without the platform no agent may load, so each request is refused
+// as not run. Once the platform is back, the system serves again without intervention.
 BOOST_AUTO_TEST_CASE(thePlatformIsDownForLongerThanTheDeadlines)
 {
     rollOutFirstBundle(2);
@@ -187,8 +190,8 @@
     checkServes("after the outage");
 }
 
-// Operators lower the count while both replicas load. From then on one of them has to go, and nothing may put a second
-// one in its place.
+// Operators lower the count from two to one while both replicas load. One of the replicas must be unloaded, and no
+// agent may load a second one again.
 BOOST_AUTO_TEST_CASE(aBundleLowersTheCountDuringTheLoads)
 {
     rollOutFirstBundle(2);
--- a/tests/integration/restartedserver_test.cpp
+++ b/tests/integration/restartedserver_test.cpp
@@ -11,6 +11,7 @@
 
 namespace {
 
+/// A running fleet whose router's log can be searched.
 struct FleetWithLogs : RunningFleet {
     CallerAnswer lookup(const std::string& attempt)
     {
@@ -37,8 +38,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(RestartedServersAndForeignEntries, FleetWithLogs)
 
-// An engine crashed and started again under its id, empty. Its list entry and its count of orders looked like before,
-// and callers of the model that it had held were sent there and refused.
+// Prevents requests from being sent to an engine that has lost its models: an engine crashes and restarts with the same
+// id and without models, while its list entry and its order count look unchanged.
 BOOST_AUTO_TEST_CASE(modelsAreReloadedAfterAnEngineRestart)
 {
     BOOST_TEST(call({ .target = "/model/1", .attempt = "a1", .model = "warm" }).status == 200);
@@ -50,7 +51,7 @@
     BOOST_TEST(engine1.violations() + engine2.violations() == 0);
 }
 
-// The same, but the list goes on showing the former run: the agent's word is enough.
+// An engine restarts, but the list keeps showing its previous process. The agent's report of the restart is sufficient.
 BOOST_AUTO_TEST_CASE(theAgentDetectsARestartThatTheListLacks)
 {
     engine1.restart();
@@ -60,8 +61,8 @@
         [this] { return fleet.agent(0).output().find("\"engine_restarted\"") != std::string::npos; });
 }
 
-// The id is the same before and after, so a refusal by it says nothing of what the former run did: a stream that had
-// begun there was begun once more.
+// Prevents a stream from running twice: an engine keeps its id when it restarts, so a refusal by the new process does
+// not prove that the previous process had not started the stream.
 BOOST_AUTO_TEST_CASE(aStreamStartedBeforeARestartIsNotStartedAgain)
 {
     engine1.setStream(100, 20);
@@ -88,8 +89,9 @@
         BOOST_TEST(lookup("g" + std::to_string(request)).status == 200);
 }
 
-// Someone wrote over the entry of one server. The router is to go on by the others, and to take the server back when it
-// writes its entry again; each change is one line of its log, however often the list is read.
+// Another writer overwrites the list entry of a server with an invalid state. The router must continue with the other
+// servers and use this one again once it has rewritten its entry. Each change is logged once, however often the list is
+// read.
 BOOST_AUTO_TEST_CASE(aServerWithAnOverwrittenEntryGetsNoRequestsUntilItRewritesIt)
 {
     value entry = Fleet::entry(plain1, "plain", plain1.endpoint());
@@ -111,7 +113,8 @@
     });
 }
 
-// Entries of other writers lay beside those of servers: none may hide a server, end a process, or be sent a request.
+// The list contains entries of other writers that are not valid server entries. None of them may hide a server, stop a
+// process, or be sent a request.
 BOOST_AUTO_TEST_CASE(foreignEntriesDoNotAffectTheServers)
 {
     const std::vector<std::string> specs { "null", "7", "\"text\"", "[]", "{}", R"({"service":7,"address":[]})",
@@ -138,7 +141,7 @@
     }
     BOOST_TEST(plain1.allRuns() > 0);
     BOOST_TEST(logLines("\"server_refused\"") == specs.size());
-    // Changes are still heard.
+    // The router still receives changes of the list.
     fleet.list(plain2, "plain", "draining");
     waitForLog("\"state\":\"leaving\"");
 }
--- a/tests/integration/routerend_test.cpp
+++ b/tests/integration/routerend_test.cpp
@@ -14,7 +14,7 @@
 
 constexpr lagoon::framework::Milliseconds grace { 4000 };
 
-/// For callers who wait longer for their first event than a load takes.
+/// A route whose target latency for the first event is longer than a load takes.
 web::json::value slowLoadRoute()
 {
     web::json::value route = Fleet::route("/model/", "streaming", "engines");
@@ -22,7 +22,7 @@
     return route;
 }
 
-/// A router whose grace period is shorter than a load, before engines that are still loading when it is over.
+/// A fleet with a router whose grace period is shorter than a load, and with engines that hold their loads.
 struct RouterShutdownFixture {
     explicit RouterShutdownFixture(lagoon::framework::Milliseconds time = grace)
     {
@@ -40,7 +40,7 @@
     void sendSigterm()
     {
         fleet.router().sendSignal(SIGTERM);
-        waitFor("the router to say that it isn't ready", [this] { return !fleet.isReady(); });
+        waitFor("the router to report that it is not ready", [this] { return !fleet.isReady(); });
     }
 
     void send(RawCaller& caller, const std::string& attempt, const std::string& model)
@@ -48,29 +48,29 @@
         caller.send(CallerRequest { .target = "/model/1", .attempt = attempt, .model = model }.text());
     }
 
-    /// A stream that an engine has begun and brings no event of.
+    /// Sends a request for a stream and waits until the engine has started it. The engine sends no event for 60 s.
     void sendToStalledEngine(RawCaller& caller, const std::string& attempt)
     {
         fleet.engine1.setStream(3, 60000);
         send(caller, attempt, "warm");
-        waitFor("the engine to begin it", [&] { return fleet.engine1.runs(attempt) == 1; });
+        waitFor("the engine to start the stream", [&] { return fleet.engine1.runs(attempt) == 1; });
     }
 
     void waitUntilLoading(RawCaller& caller, const std::string& attempt)
     {
         const int before = orders();
         send(caller, attempt, "cold");
-        waitFor("the model to be ordered", [&] { return orders() > before; });
+        waitFor("the load order for the model", [&] { return orders() > before; });
     }
 
-    /// A refusal that is whole, says that the request hasn't run, and when to come back.
+    /// Checks for a complete 503 refusal with a Retry-After header, and that no engine has run the request.
     void checkRefusedAsNotRun(RawCaller& caller, const std::string& attempt)
     {
         const CallerAnswer answer = parseAnswer(caller.readToEnd());
         BOOST_TEST(answer.status == 503);
         BOOST_TEST(answer.isComplete);
         BOOST_REQUIRE(answer.headers.contains("Retry-After"));
-        // Another router may load it as well, so there is nothing to wait for.
+        // Another router can load the model as well, so the caller does not have to wait.
         BOOST_TEST(std::stod(answer.headers.at("Retry-After")) <= 0.5);
         BOOST_TEST(fleet.engine1.runs(attempt) + fleet.engine2.runs(attempt) == 0);
     }
@@ -84,7 +84,7 @@
     Fleet& fleet = Fleet::make();
 };
 
-/// As long as nothing of a test depends on its grace period's end.
+/// A router whose grace period of 60 s does not end during a test.
 struct LongGracePeriodFixture : RouterShutdownFixture {
     LongGracePeriodFixture()
         : RouterShutdownFixture(lagoon::framework::Milliseconds(60000))
@@ -96,12 +96,10 @@
 
 BOOST_FIXTURE_TEST_SUITE(ARouterAnswersAllRequestsBeforeItExits, RouterShutdownFixture)
 
-// A hostmaster's review waited for its model when its router was told to end, as in a planned restart. The load took
-// longer than the router's grace period, and the review's deadline was later still. The router kept it, and at the end
-// closed its connection: neither an answer nor a refusal, so its caller couldn't know that it was free to ask
-// elsewhere. Cause: the end of the process was no deadline of the requests that it held. Shown by the router's log:
-// such requests had neither a `sent` nor an `ended` line, and all that were lost were `unanswered` as waiting for a
-// load.
+// Prevents requests that end without an answer: a request waits for a load when its router is shut down, and both the
+// load and the request's deadline end after the grace period. Without a deadline for the end of the process, the router
+// would close the connection, and the caller would not know that it may retry elsewhere. The log would then show
+// neither `sent` nor `ended` for the request, and would count it as `unanswered`.
 BOOST_AUTO_TEST_CASE(aRequestThatWaitsForALoadIsRefusedAsNotRun)
 {
     RawCaller caller { lagoon::framework::Endpoint(fleet.callers()) };
@@ -111,7 +109,8 @@
     checkCleanExit();
 }
 
-// As above for a review that came after the signal, in the seconds in which balancers haven't noticed yet.
+// A request for a cold model arrives after SIGTERM, in the seconds before load balancers notice that the router is not
+// ready.
 BOOST_AUTO_TEST_CASE(aRequestReceivedAfterSigtermIsRefusedAsNotRun)
 {
     sendSigterm();
@@ -121,8 +120,8 @@
     checkCleanExit();
 }
 
-// The VM of a router that was being ended stood still until the grace period was over. When it went on, the process
-// found its time up and ended over the requests that waited, before it had come to refuse them.
+// Prevents unanswered requests after a pause: the VM of a router that is shutting down is paused until the grace period
+// is over. When it continues, the router must refuse the waiting requests before it exits.
 BOOST_AUTO_TEST_CASE(aPausedRouterStillRefusesWaitingRequests)
 {
     RawCaller caller { lagoon::framework::Endpoint(fleet.callers()) };
@@ -135,8 +134,8 @@
     checkCleanExit();
 }
 
-// An engine had begun a stream and brought no event of it when its router ended. The caller, who had seen nothing at
-// all, found its connection closed. It may have run, so it gets the answer that says so.
+// An engine has started a stream but sent no event of it when the router shuts down. The request may have run, so the
+// caller must get a 504 answer that says so, instead of a closed connection.
 BOOST_AUTO_TEST_CASE(aStreamWithoutAnyEventIsAnsweredAsUnknown)
 {
     RawCaller caller { lagoon::framework::Endpoint(fleet.callers()) };
@@ -148,7 +147,8 @@
     checkCleanExit();
 }
 
-// A stream that is still under way at the end is broken off: what its caller has must not look whole.
+// A stream that is still in progress at the end of the grace period is broken off. What its caller has received must
+// not look complete.
 BOOST_AUTO_TEST_CASE(aStreamInProgressIsBrokenOff)
 {
     fleet.engine1.setStream(100000, 20);
@@ -162,8 +162,9 @@
     checkCleanExit();
 }
 
-// The host of a router was stopped for a while in its last seconds, as when a VM is moved. When it went on, the time of
-// its requests had passed as well as its own, and it went without the refusals that it had promised.
+// Prevents unanswered requests after a pause: the host of a router is paused in the last seconds of its shutdown, as
+// when a VM is migrated. When it continues, the deadlines of its requests have passed as well as its own. It must
+// answer all of them before it exits.
 BOOST_AUTO_TEST_CASE(aRouterPausedPastItsDeadlineAnswersBeforeItExits)
 {
     std::vector<std::unique_ptr<RawCaller>> callers;
@@ -183,8 +184,8 @@
     checkCleanExit();
 }
 
-// A member was still sending a long request when its router ended, and found the connection closed at a moment at which
-// the router had most of its grace period left.
+// A caller is still sending its request when the router shuts down. The router must refuse the request instead of
+// closing the connection while most of its grace period is left.
 BOOST_AUTO_TEST_CASE(anIncompleteRequestIsRefused)
 {
     RawCaller caller { lagoon::framework::Endpoint(fleet.callers()) };
@@ -199,8 +200,8 @@
     checkCleanExit();
 }
 
-// The rest of a request came when the router had just refused all that it held. It was handed to an engine with no time
-// left, and its caller heard that it may have run.
+// Prevents a dispatch without time left: the rest of a request arrives just after the router has refused all its
+// waiting requests. Sent to an engine, it could only end as unknown.
 BOOST_AUTO_TEST_CASE(aRequestCompletedAfterTheDeadlineIsNotDispatched)
 {
     RawCaller first { lagoon::framework::Endpoint(fleet.callers()) };
@@ -219,8 +220,8 @@
     BOOST_TEST(fleet.engine1.runs("late") + fleet.engine2.runs("late") == 0);
 }
 
-// Operators shortened the grace period and ended a router at once. It went by the time that it had read before, and was
-// ended by force over the requests that it still held.
+// Operators shorten the grace period and shut a router down immediately. If the router used the grace period that it
+// has read before, it would be killed while it still holds requests.
 BOOST_FIXTURE_TEST_CASE(aJustShortenedGracePeriodApplies, LongGracePeriodFixture)
 {
     RawCaller caller { lagoon::framework::Endpoint(fleet.callers()) };
@@ -233,8 +234,8 @@
     checkCleanExit();
 }
 
-// Callers kept their connections to a router that was being stopped, and sent their next requests there until it went:
-// neither an answer nor the end of what was idle had told them to go elsewhere.
+// Callers keep connections to a router that shuts down. They must learn that they have to use another router: answers
+// carry `Connection: close`, and idle connections are closed.
 BOOST_FIXTURE_TEST_CASE(keepAliveConnectionsAreClosedDuringShutdown, LongGracePeriodFixture)
 {
     RawCaller busy { lagoon::framework::Endpoint(fleet.callers()) };
@@ -245,7 +246,7 @@
     asking.send(CallerRequest { .target = "/nowhere/1", .attempt = "k1", .keepsAlive = true }.text());
     BOOST_TEST(asking.readToEnd().find("Connection: close") != std::string::npos);
     BOOST_TEST(idle.readToEnd().empty());
-    // It ended when balancers had noticed, not with the requests that were still under way.
+    // The idle connection is closed once load balancers have noticed, not when the requests in progress are cut.
     BOOST_TEST(fleet.router().output().find("this router ends") == std::string::npos);
     busy.hangUp();
     checkCleanExit();
--- a/tests/integration/shutdown_test.cpp
+++ b/tests/integration/shutdown_test.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr int streams = 8;
-/// Streams of 40 tokens then last 6 s: longer than a process stays also when it is idle, or they would end whole by
-/// that alone.
+/// Streams of 40 tokens then last 6 s. This is longer than an idle process takes to shut down; shorter streams would be
+/// completed even if the process did not wait for them.
 constexpr const char* tokenMs = "150";
 
 std::string promptOf(int caller)
@@ -23,7 +23,7 @@
     return prompt;
 }
 
-/// Two engines with a replica of the model each, and two routers.
+/// A deployment with two routers and two engines, which have a replica of the model each.
 struct TwoRoutersTwoEngines {
     TwoRoutersTwoEngines()
     {
@@ -37,7 +37,7 @@
                                .text());
         deployment.waitUntilReady();
         if (completionText(ask("entry-1", 0).answer()) != promptOf(0))
-            throw std::runtime_error("the path doesn't work before");
+            throw std::runtime_error("the call before the shutdown failed");
     }
 
     PendingCall ask(const std::string& entry, int caller)
@@ -58,7 +58,7 @@
         return calls;
     }
 
-    /// The VM whose engine has the model.
+    /// A VM whose engine has loaded the model.
     std::string loadedVm()
     {
         for (std::string vm : { "gpu-1", "gpu-2" }) {
@@ -75,13 +75,13 @@
 
 BOOST_FIXTURE_TEST_SUITE(AGracefulShutdownLosesNoAnswer, TwoRoutersTwoEngines)
 
-// A router is told to end while streams run through it. Each must come out whole; a new request is refused as not run
-// with a time to come back, or finds the port closed; the process ends by itself.
+// A router receives SIGTERM while streams run through it. All streams must be completed, a new request must be refused
+// as not run, and the process must exit by itself.
 BOOST_AUTO_TEST_CASE(aRoutersStreamsAreCompleted)
 {
     std::vector<PendingCall> calls = startStreams();
     deployment.router("entry-1").process->sendSignal(SIGTERM);
-    waitFor("the router isn't ready any more",
+    waitFor("the router reports that it is not ready",
         [&] { return getFrom(deployment.router("entry-1").ops(), "/readyz").status != 200; });
     PendingCall late = ask("entry-1", 99);
     BOOST_TEST(refusalField(late.answer(), "code") == "shutting_down");
@@ -91,8 +91,8 @@
     BOOST_TEST(deployment.router("entry-1").process->waitForExit() == 0);
 }
 
-// An agent is told to end while streams run through it. Each must come out whole, also in pair with an outage of the
-// platform; new requests go to the other upstream.
+// An agent receives SIGTERM while streams run through it. All streams must be completed, and a new request must go to
+// the other upstream.
 BOOST_AUTO_TEST_CASE(anAgentsStreamsAreCompleted)
 {
     const std::string vm = loadedVm();
@@ -109,7 +109,8 @@
     BOOST_TEST(executionsAt({ deployment.upstream(vm).upstream() }).size() == before);
 }
 
-// As before while the platform is down: the streams need nothing from it.
+// An agent receives SIGTERM while streams run through it and the platform is down. All streams must be completed, as
+// they do not depend on the platform.
 BOOST_AUTO_TEST_CASE(anAgentsStreamsAreCompletedDuringAnOutage)
 {
     std::vector<PendingCall> calls = startStreams();
--- a/tests/integration/shutdowngrace_test.cpp
+++ b/tests/integration/shutdowngrace_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Longer than any of these tests: nothing here ends by itself, or by its caller's deadline.
+/// Longer than any of these tests, so that no load ends by itself and no request reaches its caller's deadline.
 constexpr std::uint64_t veryLongMs = 120000;
 constexpr int graceMs = 4000;
 
@@ -29,7 +29,7 @@
     return prompt;
 }
 
-/// Two routers before one engine that takes a second for each token, and one request at a time.
+/// A deployment with two routers and one engine, which takes 1 s per token and runs one request at a time.
 struct SlowEngine {
     SlowEngine()
     {
@@ -46,7 +46,7 @@
         deployment.waitUntilReady();
     }
 
-    /// As many as it takes for each router to be home for some of them.
+    /// Enough models for each router to be home for some of them.
     static std::vector<std::string> models() { return { "notes", "cold", "m1", "m2", "m3", "m4", "m5", "m6" }; }
 
     PendingCall ask(const std::string& entry, const std::string& model, const CompletionOptions& options)
@@ -68,7 +68,7 @@
             setFaults(engine, R"({"slow_load_ms": )" + std::to_string(veryLongMs) + "}");
     }
 
-    /// Waits at the router for a load that doesn't end.
+    /// Sends a request that waits at `entry-1` for a load that does not end.
     PendingCall requestHeldLoad(const std::map<std::string, std::string>& headers = {})
     {
         holdLoads();
@@ -77,7 +77,7 @@
         return waiting;
     }
 
-    /// Of a request that must not run twice.
+    /// Headers of a request that must not run twice.
     static std::map<std::string, std::string> keyHeaders(const std::string& key)
     {
         return { { "Idempotency-Key", key }, { "X-Lagoon-Repeatable", "false" } };
@@ -93,7 +93,8 @@
         return getJson(deployment.upstream("gpu-1").ops(), "/status").at(field).as_integer();
     }
 
-    /// As the platform does it: told to end, and ended by force when it doesn't. The exit code, or the signal's.
+    /// Sends SIGTERM, and SIGKILL if the process does not exit in time, as the platform does. Returns the exit code, or
+    /// the negative number of the signal that ended the process.
     static int terminate(ChildProcess& process)
     {
         process.sendSignal(SIGTERM);
@@ -112,9 +113,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(RequestsAreAnsweredBeforeTheGracePeriodEnds, SlowEngine)
 
-// A router is told to end while a request waits there for a model whose load takes longer than the grace period, and
-// the request's own deadline is later still. It was never sent anywhere. Its caller must hear that it didn't run, and
-// when to come back, before the platform ends the process by force.
+// A router receives SIGTERM while a request waits for a load that takes longer than the grace period, and the request's
+// deadline is later still. The request was not sent to any agent, so it must be refused as not run with a Retry-After
+// header before the platform kills the process.
 BOOST_AUTO_TEST_CASE(aRequestWaitingForALoadIsRefusedAsNotRun)
 {
     PendingCall waiting = requestHeldLoad();
@@ -129,8 +130,8 @@
     BOOST_TEST(router.log().find("drained") != std::string::npos, "the last line of the log arrives");
 }
 
-// The same with an idempotency key. The caller brings the key again to another router, as it was told to: it must not
-// be taken for a repetition of something that may have run.
+// A router shuts down and refuses a request with an idempotency key as not run. The caller retries with the same key at
+// another router, which must not refuse it as a duplicate of a request that may have run.
 BOOST_AUTO_TEST_CASE(theKeyOfARequestThatDidNotRunMayBeReused)
 {
     const auto key = keyHeaders("slot-5");
@@ -142,8 +143,9 @@
     BOOST_TEST(refusalField(again.answer(), "execution") == "not_run");
 }
 
-// A router is told to end while an engine works on two requests for longer than the grace period. The one whose answer
-// hasn't begun may have run, and its caller is told so; the begun stream must end as cut, never as if it were whole.
+// A router receives SIGTERM while two requests take longer than the grace period. The request whose answer has not
+// begun may have run and must be answered as unknown. The stream that has begun must be broken off and must not look
+// complete.
 BOOST_AUTO_TEST_CASE(aRunningRequestIsUnknownOrBrokenOff)
 {
     PendingCall stream = startStream("entry-1");
@@ -157,8 +159,8 @@
     BOOST_TEST(!stream.answer().isComplete());
 }
 
-// Callers keep their connections. A router that is told to end while it is idle must tell the next request on each that
-// it didn't run, in place of closing the connection over it.
+// Callers keep their connections open. A router that receives SIGTERM while it is idle must refuse the next request on
+// each connection as not run, instead of closing the connection without an answer.
 BOOST_AUTO_TEST_CASE(aKeepAliveConnectionGetsARefusal)
 {
     const std::string request = "GET /v1/models HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -172,7 +174,7 @@
     }
     ChildProcess& router = *deployment.router("entry-1").process;
     router.sendSignal(SIGTERM);
-    waitFor("the router isn't ready any more",
+    waitFor("the router reports that it is not ready",
         [&] { return getFrom(deployment.router("entry-1").ops(), "/readyz").status != 200; });
     for (const auto& kept : callers) {
         kept->send(request);
@@ -183,21 +185,22 @@
     BOOST_TEST(router.waitForExit() == 0);
 }
 
-// An agent is told to end while its engine works on one request for longer than the grace period and another waits for
-// its turn. The second has not been given to the engine: its caller must hear that it didn't run. The first is cut, and
-// the process ends by itself.
+// An agent receives SIGTERM while its engine runs one request for longer than the grace period and another request is
+// queued at the agent. The queued request was not sent to the engine and must be refused as not run. The running stream
+// is broken off, and the process exits by itself.
 BOOST_AUTO_TEST_CASE(aRequestQueuedAtAnAgentIsNotRun)
 {
     PendingCall stream = startStream("entry-1");
     PendingCall queued = ask("entry-2", "notes", { .timeoutMs = veryLongMs });
-    waitFor("the second waits at the agent", [&] { return agentCount("waiting") == 1; });
+    waitFor("the second request is queued at the agent", [&] { return agentCount("waiting") == 1; });
     BOOST_TEST(terminate(*deployment.upstream("gpu-1").agent) == 0);
     BOOST_TEST(refusalField(queued.answer(), "execution") == "not_run");
     BOOST_TEST(hasRetryAfter(queued.answer()));
     BOOST_TEST(!stream.answer().isComplete());
 }
 
-// As before, but the engine has said nothing yet of what it works on: only that it may have run is known.
+// An agent receives SIGTERM while its engine runs a request and has not sent any part of the answer. The request may
+// have run, so it must be answered as unknown.
 BOOST_AUTO_TEST_CASE(aRequestAtAnEngineWithoutOutputIsUnknown)
 {
     PendingCall unstreamed = ask("entry-1", "notes", { .timeoutMs = veryLongMs });
@@ -208,8 +211,8 @@
     BOOST_TEST(unstreamed.answer().status == 502);
 }
 
-// The platform hangs and the engine is frozen when an agent is told to end. Nothing that the agent still waits for may
-// keep it until it is ended by force, nor keep its caller from hearing that the request may have run.
+// The platform hangs and the engine is frozen when an agent receives SIGTERM. The agent's pending calls to them must
+// not delay it until it is killed, nor prevent the answer that the request may have run.
 BOOST_AUTO_TEST_CASE(anAgentExitsWithAFrozenEngineWhileThePlatformHangs)
 {
     PendingCall unstreamed = ask("entry-1", "notes", { .timeoutMs = veryLongMs });
@@ -222,7 +225,8 @@
     BOOST_TEST(refusalField(unstreamed.answer(), "execution") == "unknown");
 }
 
-// A router gives back a key at its end while the platform hangs. It must not wait for that longer than it may.
+// A router releases an idempotency key during its shutdown while the platform hangs. It must not wait for the release
+// beyond its grace period.
 BOOST_AUTO_TEST_CASE(aRouterExitsWhileThePlatformHangs)
 {
     PendingCall waiting = requestHeldLoad(keyHeaders("slot-6"));
@@ -231,15 +235,15 @@
     BOOST_TEST(refusalField(waiting.answer(), "execution") == "not_run");
 }
 
-// Requests wait at one router for loads that another, their home, has ordered. The home is told to end. Nobody may be
-// refused or held for that: the other router takes the loads over.
+// Requests wait at one router for loads that another router, the home of their models, has ordered. The home receives
+// SIGTERM. No request may be refused or delayed until its deadline by that: the other router takes over the loads.
 BOOST_AUTO_TEST_CASE(requestsOfOtherRoutersSurviveTheirHomesShutdown)
 {
     setFaults(deployment.upstream("gpu-1").upstream(), R"({"slow_load_ms": 6000})");
     std::vector<PendingCall> calls;
     for (const std::string& model : models())
         calls.push_back(ask("entry-2", model, { .timeoutMs = veryLongMs, .maxTokens = 1 }));
-    waitFor("all wait", [&] { return requestsOf("entry-2") == static_cast<int>(models().size()); });
+    waitFor("all requests wait", [&] { return requestsOf("entry-2") == static_cast<int>(models().size()); });
     BOOST_TEST(terminate(*deployment.router("entry-1").process) == 0);
     const std::string counters = getFrom(deployment.router("entry-2").ops(), "/metrics").body;
     BOOST_TEST(counters.find("\nlagoon_home_failovers_total ") != std::string::npos);
--- a/tests/integration/waiting_test.cpp
+++ b/tests/integration/waiting_test.cpp
@@ -13,7 +13,8 @@
 
 std::string modelName(int number) { return "m" + std::to_string(number); }
 
-/// Two routers, two engines that each have room for all models, one replica decided of each.
+/// A deployment with two routers and two engines, each with memory for all models. One replica of each model is
+/// decided.
 struct SlowLoads {
     SlowLoads()
     {
@@ -25,7 +26,7 @@
         deployment.waitUntilReady();
     }
 
-    /// `models` models with each version.
+    /// A bundle with `models` models per version: version 2 has twice as many as version 1.
     static std::string bundleText(int version)
     {
         BundleBuilder bundle(version);
@@ -77,8 +78,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(WaitingRequestsAreServedOrRefusedInTime, SlowLoads)
 
-// Requests for several cold models wait at one router while the other, which is home for some of them, is killed in
-// the middle of their loads. Each must be served all the same.
+// Requests for several cold models wait at one router. The other router, which is home for some of the models, is
+// killed during the loads. All requests must still be served.
 BOOST_AUTO_TEST_CASE(waitingRequestsSurviveTheDeathOfTheirHome)
 {
     setLoadTime(1500);
@@ -93,8 +94,8 @@
         BOOST_TEST(maxConcurrentReplicas(deployment.upstreams(UpstreamKind::Engine), modelName(model)) == 1u);
 }
 
-// The router that is home for some of the models is frozen: its connections stay open and say nothing. Requests at the
-// other router must be served all the same, long before their deadlines.
+// The router that is home for some of the models is frozen: its connections stay open, but it does not answer. Requests
+// at the other router must still be served, long before their deadlines.
 BOOST_AUTO_TEST_CASE(aFrozenHomeDoesNotDelayRequests)
 {
     // Opens the links between the routers.
@@ -112,8 +113,8 @@
     deployment.router("entry-2").process->sendSignal(SIGCONT);
 }
 
-// The agent that loads for waiting requests is killed and doesn't come back. Its claim stays, so nobody else may load:
-// the callers hear "not run" long before their deadline, with a time to come back.
+// The agent that loads a model for a waiting request is killed and not restarted. Its claim remains, so no other agent
+// may load the model. The request must be refused as not run, with a Retry-After header, long before its deadline.
 BOOST_AUTO_TEST_CASE(theDeathOfALoadingAgentCausesAnEarlyRefusal)
 {
     setLoadTime(60000);
@@ -128,12 +129,12 @@
     BOOST_TEST(maxConcurrentReplicas(deployment.upstreams(UpstreamKind::Engine), modelName(0)) == 1u);
 }
 
-// The weight store crawls. A request whose deadline comes before the load can end is refused for that at once, while a
-// patient one still waits; what waits in vain is refused as not run at its deadline.
+// Loads become very slow. A request whose deadline is before the expected end of the load must be refused at once as
+// hopeless, while one with a later deadline keeps waiting; that one is refused as not run at its deadline.
 BOOST_AUTO_TEST_CASE(hopelessRequestsAreRefusedWhileOthersWait)
 {
     setLoadTime(3000);
-    // Teaches the home what a load takes.
+    // Lets the homes measure the duration of a load.
     BOOST_TEST(completionText(ask("entry-1", 0).answer()) == "prompt of m0");
     BOOST_TEST(completionText(ask("entry-2", 1).answer()) == "prompt of m1");
     setLoadTime(60000);
@@ -147,8 +148,8 @@
     BOOST_TEST(refusalField(patient.answer(), "execution") == "not_run");
 }
 
-// A burst of all kinds of requests meets a router's death, an agent's death and an outage of the platform. Each call
-// that a living router accepted has exactly one end.
+// Requests are sent while an agent is killed, the platform has an outage and a router is killed. Each request that the
+// surviving router has accepted must be counted with exactly one outcome: an answer or a refusal.
 BOOST_AUTO_TEST_CASE(eachAcceptedRequestHasExactlyOneOutcome)
 {
     setLoadTime(200);
--- a/tests/integration/wholepath_test.cpp
+++ b/tests/integration/wholepath_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// One router before one engine, which holds one model at a time, and one booking service.
+/// A deployment with one router, one booking service and one engine with memory for one model at a time.
 struct WholePath {
     WholePath()
     {
