--- a/examples/claimreplica/main.cpp
+++ b/examples/claimreplica/main.cpp
@@ -1,5 +1,6 @@
-// The replica cap without the daemons: three VMs race for the two replicas that were decided, over a store of one's
-// own. Count and holders are one object, so that one conditional update checks the cap.
+// Uses the replica cap without routers and agents: three VMs claim replicas of a model of which two are decided, in a
+// custom object store. The decided count and the holders are stored in one object, so that a single conditional update
+// enforces the cap.
 
 #include "bundle/replicaobject.h"
 #include "framework/randomid.h"
@@ -18,7 +19,7 @@
 
 namespace {
 
-/// Any store with versions and conditional writes will do; this one is a map.
+/// Keeps objects in a map. Any store with versions and conditional writes can be used instead.
 class MapStore final : public objectstore::IObjectStore {
 public:
     Result<std::optional<objectstore::StoredObject>> get(const objectstore::ObjectKey& key, Deadline) override
@@ -52,7 +53,8 @@
     std::map<std::string, objectstore::StoredObject> objects_;
 };
 
-/// Adds the VM as a holder unless the decided count is reached; sure of the outcome even if the write's answer is lost.
+/// Adds the VM as a holder unless the decided count is reached. The nonce shows whether the write was applied even if
+/// the store's response was lost.
 Result<objectstore::UpdatedObject> claim(objectstore::IObjectStore& store, const framework::VmName& vm)
 {
     const auto key = bundle::replicaKey(framework::SiteName("south"), framework::ModelName("notes"));
@@ -81,7 +83,7 @@
 {
     MapStore store;
     std::size_t claimed = 0;
-    // Everyone with the same list gets the same order, so that a model's checkpoints gather on few VMs.
+    // The same list gives the same order everywhere, so that a model's checkpoints are cached on few VMs.
     const std::vector<framework::VmName> vms { framework::VmName("up-1"), framework::VmName("up-2"),
         framework::VmName("up-3") };
     for (const framework::VmName& vm : policy::rendezvousOrder("notes", vms)) {
--- a/examples/embedrouter/main.cpp
+++ b/examples/embedrouter/main.cpp
@@ -1,5 +1,5 @@
-// A program with a router inside: it parses the settings, starts the router, says where it listens and shuts it down.
-// Nobody answers under the platform's address here, so the router never becomes ready, and it says so at `/readyz`.
+// Embeds a router in a program: parses the settings, starts the router, prints its endpoints and shuts it down. No
+// platform answers at the configured address, so the router never becomes ready, which it reports at `/readyz`.
 
 #include "framework/logging.h"
 #include "router/router.h"
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// As a router's settings file; port 0 takes any free one.
+/// Has the format of a router's settings file. Port 0 selects a free port.
 const std::string settingsText = R"({
     "role": "router", "vm": "entry-1", "site": "south", "failure_domain": "south-a",
     "callers": "127.0.0.1:0", "link": "127.0.0.1:0", "ops": "127.0.0.1:0",
@@ -28,7 +28,7 @@
 
 int main()
 {
-    // Faults come back with the source, the key and what was expected; nothing throws.
+    // Errors are returned with the source, the key and the expected value; no exceptions are thrown.
     const auto settings = router::parseRouterSettings(settingsText, "embedrouter");
     if (settings.has_error())
         return fail(settings.error());
@@ -40,7 +40,7 @@
         return fail(endpoints.error());
     std::cout << "callers: " << endpoints.value().callers << "\nops: " << endpoints.value().ops << "\n";
 
-    // The host program's own work goes here. A shutdown lets the requests in flight end.
+    // The program's own work goes here. The shutdown waits for the requests in flight.
     router.shutDown();
     std::cout << "shut down\n";
 }
--- a/tests/demo/demo.cpp
+++ b/tests/demo/demo.cpp
@@ -1,6 +1,6 @@
-// The demonstration: two sites on loopback, with stand-ins for engines, booking services, the platform and the weight
-// store. Each step says what it does and checks that it happened. Exits with 0 if all did; else with 1, what didn't and
-// the processes' logs.
+// The demonstration runs two sites on the loopback interface, with stand-ins for engines, booking services, the
+// platform and the weight store. Each step prints what it does and checks the result. The program exits with 0 if all
+// checks pass; otherwise it prints the failed checks and the processes' logs, and exits with 1.
 
 #include "demo/narration.h"
 #include "demo/traffic.h"
@@ -23,13 +23,14 @@
 const std::string newSite = "new";
 const std::vector<std::string> models { "policy", "notes", "summary" };
 constexpr std::uint64_t acceleratorMib = 1000;
-/// As many as a site's engines hold at once: callers of a third would make them unload and load all the time.
+/// As many models as a site's engines can have loaded at once. With a third one the engines would unload and load
+/// models all the time.
 const std::vector<std::string> modelsUnderTraffic { "policy", "notes" };
-/// Two of a site's engines hold one model each, so a third one needs an unload.
+/// Each of a site's two engines has memory for one model, so a third model can be loaded only after an unload.
 constexpr std::uint64_t modelMib = 600;
-/// High, so that no replica is unloaded for being idle while the demonstration lasts.
+/// High, so that no replica is unloaded as idle during the demonstration.
 constexpr double coldStartWeight = 100;
-/// Of each caller, before the move, and after it took hold.
+/// The minimum number of answered calls before the move and after it has taken effect.
 constexpr std::size_t minCallsPerPhase = 20;
 
 std::string inMilliseconds(std::chrono::steady_clock::duration time)
@@ -132,7 +133,7 @@
 
     void callAModelThatIsNotInTheBundle()
     {
-        printTitle("A model that isn't in the bundle is refused, with the truth about whether it ran");
+        printTitle("A model that is not in the bundle is refused, and the refusal states that the request did not run");
         const HttpAnswer answer = call(completionCall(callers(oldSite), "horoscope", "what will be"));
         printBlock(std::to_string(answer.status) + " " + answer.body);
         check(answer.status == 404, "the status is 404");
@@ -142,7 +143,8 @@
 
     void callMoreModelsThanFit()
     {
-        printTitle("Three models on two accelerators that hold one each: the third needs an unload first");
+        printTitle(
+            "Three models on two accelerators with memory for one model each: the third one needs an unload first");
         measureCompletion("notes", "notes of a meeting");
         printLine("the third, with the unload: " + inMilliseconds(measureCompletion("summary", "a summary of it")));
         std::uint64_t loaded = 0;
@@ -154,7 +156,7 @@
 
     void moveSites()
     {
-        printTitle("The move: bundle 2 decides all replicas at the new site, while callers go on at both routers");
+        printTitle("The move: bundle 2 decides all replicas at the new site, while callers continue at both routers");
         Traffic atOld("a caller at the old site", callers(oldSite), modelsUnderTraffic);
         Traffic atNew("a caller at the new site", callers(newSite), modelsUnderTraffic);
         waitFor("calls before the move",
@@ -174,31 +176,32 @@
 
     void showStatus()
     {
-        printTitle("What an operator sees");
+        printTitle("The status that an operator sees");
         check(status(true) == 0, "each process has bundle 2 in force");
     }
 
     void showCounters()
     {
-        printTitle("What the counters say");
+        printTitle("The counters");
         printLine("The old site's router");
         printCounters(deployment_.router("entry-old").ops(),
             { { "lagoon_requests_total", "requests received" }, { "lagoon_answers_total", "how they ended" },
                 { "lagoon_refusals_total", "refusals by code; unknown_model is step 5" },
-                { "lagoon_retries_total", "dispatches tried again, by reason" },
+                { "lagoon_retries_total", "dispatches retried, by reason" },
                 { "lagoon_bundle_version", "the bundle in force" } });
         printLine("An agent at the new site");
         printCounters(deployment_.upstream("gpu-new-1").ops(),
             { { "lagoon_loads_total", "loads since it started" }, { "lagoon_unloads_total", "unloads, by reason" },
                 { "lagoon_accelerator_memory_used_mebibytes", "accelerator memory in use now" },
                 { "lagoon_platform_calls_total", "calls to the platform, by kind and result" } });
-        check(metricAt(deployment_.router("entry-old").ops(), "lagoon_bundle_version") == 2, "bundle 2 is counted");
+        check(metricAt(deployment_.router("entry-old").ops(), "lagoon_bundle_version") == 2,
+            "the router's metrics show bundle 2");
     }
 
-    /// A fault doesn't keep the later steps from being shown; `run` fails in the end.
+    /// Prints the result of a check. A failed check does not stop the demonstration, but makes `run` throw at its end.
     void check(bool isTrue, const std::string& what)
     {
-        printLine((isTrue ? "checked: " : "NOT SO: ") + what);
+        printLine((isTrue ? "checked: " : "FAILED: ") + what);
         if (!isTrue)
             faults_.push_back(what);
     }
@@ -222,18 +225,18 @@
         return ops;
     }
 
-    /// Time until the whole answer to a completion at the old site was there.
+    /// Returns the time until the complete answer to a completion at the old site was received.
     std::chrono::steady_clock::duration measureCompletion(const std::string& model, const std::string& prompt)
     {
         const auto start = std::chrono::steady_clock::now();
         const HttpAnswer answer = call(completionCall(callers(oldSite), model, prompt, { .isStream = true }));
         const auto time = std::chrono::steady_clock::now() - start;
         const std::string text = completionText(answer);
-        check(text == prompt, "the answer to \"" + prompt + "\" is whole: " + text);
+        check(text == prompt, "the answer to \"" + prompt + "\" is complete: " + text);
         return time;
     }
 
-    /// Runs an operator's command and prints it with its output.
+    /// Runs an operator's command and prints the command and its output.
     void runOperatorCommand(std::vector<std::string> arguments)
     {
         arguments.insert(arguments.end(), { "--platform", "http://" + deployment_.platform(), "--operator", "ada" });
@@ -270,7 +273,7 @@
     void waitUntilInForce()
     {
         const auto start = std::chrono::steady_clock::now();
-        waitFor("in force everywhere", [&] { return status(false) == 0; });
+        waitFor("the bundle is in force at all processes", [&] { return status(false) == 0; });
         printLine("in force at all 8 processes " + inMilliseconds(std::chrono::steady_clock::now() - start)
             + " after the command, as `bundle status` saw it");
     }
@@ -280,7 +283,7 @@
         for (const std::string& fault : count.faults)
             printLine("not answered: " + fault);
         check(count.answered == count.sent,
-            std::to_string(count.answered) + " of " + std::to_string(count.sent) + " calls were answered whole");
+            std::to_string(count.answered) + " of " + std::to_string(count.sent) + " calls were answered completely");
         std::multiset<std::string> executed;
         for (const Execution& execution : executionsAt(deployment_.upstreams(UpstreamKind::Engine)))
             executed.insert(execution.content);
@@ -316,5 +319,5 @@
         std::cerr << "\nThe demonstration failed: " << error.what() << "\n";
         return 1;
     }
-    std::cout << "\nAll steps did what they say.\n";
+    std::cout << "\nAll checks passed.\n";
 }
--- a/tests/demo/narration.cpp
+++ b/tests/demo/narration.cpp
@@ -11,7 +11,7 @@
 
 const std::string indent = "      ";
 
-/// Whether the line is a sample of the metric, with labels or without.
+/// Whether the line is a sample of the metric, with or without labels.
 bool isSampleOf(const std::string& line, const std::string& name)
 {
     if (line.compare(0, name.size(), name) != 0 || line.size() == name.size())
@@ -51,7 +51,7 @@
             hasSample = true;
         }
         if (!hasSample)
-            printBlock(name + ": no sample, so it never happened");
+            printBlock(name + ": no sample, so this has not happened");
     }
 }
 
--- a/tests/demo/narration.h
+++ b/tests/demo/narration.h
@@ -4,15 +4,16 @@
 #include <utility>
 #include <vector>
 
-/// What the demonstration prints.
+/// The output of the demonstration.
 namespace lagoon::demo {
 
-/// Begins a numbered part.
+/// Prints the numbered title of a step.
 void printTitle(const std::string& title);
 void printLine(const std::string& text);
-/// Prints each line of a text indented.
+/// Prints each line of the text, indented.
 void printBlock(const std::string& text);
-/// The samples of a process's `/metrics` with these names, summed buckets left out, each with what it says.
+/// Prints the samples of these metrics from a process's `/metrics`. `descriptions` contains each metric's name and the
+/// text to print before its samples.
 void printCounters(const std::string& ops, const std::vector<std::pair<std::string, std::string>>& descriptions);
 
 } // namespace lagoon::demo
--- a/tests/demo/traffic.cpp
+++ b/tests/demo/traffic.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Between one answer and the next call.
+/// The pause between an answer and the next call.
 constexpr std::chrono::milliseconds pauseBetweenCalls { 20 };
 
 } // namespace
--- a/tests/demo/traffic.h
+++ b/tests/demo/traffic.h
@@ -8,17 +8,18 @@
 
 namespace lagoon::demo {
 
-/// What became of a caller's completions.
+/// The results of a caller's completions.
 struct TrafficCount {
     std::size_t sent = 0;
-    /// Each with the whole answer to its own prompt.
+    /// Calls that got the complete answer to their own prompt.
     std::size_t answered = 0;
-    /// Each other call: its prompt and what came instead.
+    /// The prompt of each other call and what was received instead.
     std::vector<std::string> faults;
     std::vector<std::string> prompts;
 };
 
-/// One caller that sends a completion after the other, each with a prompt of its own, until it is stopped.
+/// A caller that sends one completion after another, each with a unique prompt, on a thread of its own until it is
+/// stopped.
 class Traffic {
 public:
     Traffic(std::string name, std::string callers, std::vector<std::string> models);
@@ -27,7 +28,7 @@
     Traffic& operator=(const Traffic&) = delete;
 
     std::size_t answered() const { return answered_; }
-    /// Lets the call under way end.
+    /// Waits for the end of the call in progress and returns the results.
     TrafficCount stop();
 
 private:
@@ -39,7 +40,7 @@
     const std::vector<std::string> models_;
     std::atomic<bool> isStopped_ { false };
     std::atomic<std::size_t> answered_ { 0 };
-    /// Of the thread's own until it has ended.
+    /// Accessed only by the thread until it has ended.
     TrafficCount count_;
     std::thread thread_;
 };
