--- a/src/agent/internal/agent.cpp
+++ b/src/agent/internal/agent.cpp
@@ -7,13 +7,13 @@
 #include "agent/internal/replicacontroller.h"
 #include "agent/internal/requestgate.h"
 #include "agent/internal/routerlinks.h"
-#include "agent/internal/serviceuse.h"
+#include "agent/internal/servedservices.h"
 #include "bundle/bundlewatch.h"
 #include "framework/controlthread.h"
 #include "framework/iclock.h"
 #include "framework/logging.h"
 #include "framework/randomid.h"
-#include "framework/types/serviceend.h"
+#include "framework/types/shutdowndeadlines.h"
 #include "framework/workerpool.h"
 #include "http/opsserver.h"
 #include "objectstore/objectstoreclient.h"
@@ -31,12 +31,12 @@
 using framework::Milliseconds;
 
 constexpr std::size_t platformThreads = 4;
-/// One reads the state while others give orders; orders wait for the engine's answer only.
+/// One thread reads the state while others send orders. An order only waits for the engine's answer, not for the load.
 constexpr std::size_t engineThreads = 3;
-constexpr Milliseconds housekeepingEach { 5000 };
-constexpr Milliseconds drainCheckEach { 20 };
+constexpr Milliseconds housekeepingInterval { 5000 };
+constexpr Milliseconds drainCheckInterval { 20 };
 constexpr Milliseconds statusTimeout { 1000 };
-/// For routers to confirm the last answers; those that are gone never will.
+/// Time for routers to confirm the last answers; routers that have disconnected never confirm.
 constexpr Milliseconds settleTimeout { 2000 };
 
 } // namespace
@@ -52,11 +52,11 @@
     void shutDown();
 
 private:
-    ITargetUse& targets();
+    IServedTargets& servedTargets();
     ReplicaPorts replicaPorts();
     void startControl();
-    void keepHouse();
-    void checkDrained(std::promise<bool>&, const framework::ServiceEnd&, std::optional<Deadline> settleBy);
+    void runHousekeeping();
+    void checkDrained(std::promise<bool>&, const framework::ShutdownDeadlines&, std::optional<Deadline> settleBy);
     std::string status();
     StatusView statusView() const;
     bool isEngine() const { return settings_.upstream.kind == UpstreamKind::Engine; }
@@ -66,13 +66,13 @@
     framework::SystemClock clock_;
     std::shared_ptr<framework::Metrics> metrics_ = std::make_shared<framework::Metrics>();
     framework::ControlThread control_;
-    // Pools of their own, so that a platform that hangs doesn't keep the engine's state from being read.
+    // Separate pools, so that a hanging platform doesn't prevent the engine's state from being read.
     framework::WorkerPool platformCalls_ { platformThreads };
     framework::WorkerPool engineCalls_ { engineThreads };
     objectstore::ObjectStoreClient platform_;
     std::shared_ptr<wire::ILinkTransport> transport_;
     std::shared_ptr<bundle::IBundleWatch> bundles_;
-    ServiceUse service_;
+    ServedServices service_;
     std::unique_ptr<ReplicaController> replicas_;
     std::unique_ptr<RequestGate> gate_;
     std::unique_ptr<RouterLinks> links_;
@@ -80,8 +80,8 @@
     std::unique_ptr<framework::Timer> housekeeping_;
     std::unique_ptr<framework::Timer> drainCheck_;
     std::atomic<bool> isDraining_ { false };
-    /// All of it was started.
-    bool isServing_ = false;
+    /// Whether `start` has succeeded.
+    bool isStarted_ = false;
     bool isStopped_ = false;
 };
 
@@ -98,13 +98,13 @@
             ReplicaSettings { settings_.identity.site, settings_.pool, upstream.checksFencing, upstream.settling });
     }
     gate_ = std::make_unique<RequestGate>(
-        GatePorts { control_, clock_, targets(), makeHttpUpstream(settings_.upstream.url), metrics_ }, incarnation_,
-        settings_.limits);
+        GatePorts { control_, clock_, servedTargets(), makeHttpUpstream(settings_.upstream.url), metrics_ },
+        incarnation_, settings_.limits);
     links_ = std::make_unique<RouterLinks>(RouterLinks::Context {
         control_, clock_, settings_.identity.vm, incarnation_, *gate_, replicas_.get(), *bundles_, metrics_ });
 }
 
-ITargetUse& Agent::Implementation::targets()
+IServedTargets& Agent::Implementation::servedTargets()
 {
     if (isEngine())
         return *replicas_;
@@ -135,7 +135,7 @@
     });
     bundles_->start();
     control_.post([this] { startControl(); });
-    isServing_ = true;
+    isStarted_ = true;
     return AgentEndpoints { link, ops };
 }
 
@@ -143,14 +143,14 @@
 {
     if (replicas_)
         replicas_->start();
-    keepHouse();
+    runHousekeeping();
 }
 
-void Agent::Implementation::keepHouse()
+void Agent::Implementation::runHousekeeping()
 {
-    gate_->forgetGoneRouters();
-    links_->closeSilent();
-    housekeeping_ = control_.runAt(Deadline::after(clock_.now(), housekeepingEach), [this] { keepHouse(); });
+    gate_->forgetDisconnectedRouters();
+    links_->closeIdle();
+    housekeeping_ = control_.runAt(Deadline::after(clock_.now(), housekeepingInterval), [this] { runHousekeeping(); });
 }
 
 void Agent::Implementation::shutDown()
@@ -160,10 +160,11 @@
     isStopped_ = true;
     isDraining_ = true;
     framework::logInfo("agent", "draining");
-    // Claims are kept: the VM lives on and its engine still has the models, so a free claim would let another VM load
-    // one replica too many. The next agent here adopts both; if the VM goes, the platform's list frees them.
-    auto end = framework::ServiceEnd::after(clock_.now(), settings_.shutdownGrace);
-    if (!isServing_)
+    // Claims are kept: the VM stays up and its engine still has the models, so a released claim would let another VM
+    // load one replica too many. The next agent on this VM adopts models and claims. If the VM itself is removed, the
+    // platform's VM list lets other agents drop its claims.
+    auto end = framework::ShutdownDeadlines::after(clock_.now(), settings_.shutdownGrace);
+    if (!isStarted_)
         end.noticedBy = Deadline();
     std::promise<bool> drained;
     control_.post([this, &drained, end] {
@@ -186,11 +187,12 @@
     control_.stop();
 }
 
-/// Closing the links when the last answer was sent could cut it on its way: a sent answer may still be in a queue.
-/// Routers say when they have one, so the links stay open until then. They stay open also until routers that send on
-/// have heard from a refusal that the agent ends: what they send while the links close may have run for all they know.
+/// Completes shutdown once it is safe to close the links. Closing them right after the last answer was sent could
+/// truncate it, since it may still be in a send queue; the links stay open until routers have confirmed all answers.
+/// They also stay open until routers that still send requests have learned from a refusal that the agent shuts down:
+/// for a request sent while the links close, a router can't tell whether it has run.
 void Agent::Implementation::checkDrained(
-    std::promise<bool>& drained, const framework::ServiceEnd& end, std::optional<Deadline> settleBy)
+    std::promise<bool>& drained, const framework::ShutdownDeadlines& end, std::optional<Deadline> settleBy)
 {
     const auto now = clock_.now();
     if (gate_->isIdle() && !settleBy)
@@ -200,7 +202,7 @@
         drained.set_value(isSettled);
         return;
     }
-    drainCheck_ = control_.runAt(Deadline::after(now, drainCheckEach),
+    drainCheck_ = control_.runAt(Deadline::after(now, drainCheckInterval),
         [this, &drained, end, settleBy] { checkDrained(drained, end, settleBy); });
 }
 
@@ -214,7 +216,7 @@
 
 std::string Agent::Implementation::status()
 {
-    // The state belongs to the control thread; when that is stopped meanwhile, there is nothing left to show.
+    // The state belongs to the control thread. If that thread has been stopped, there is no state left to show.
     auto text = std::make_shared<std::promise<std::string>>();
     auto future = text->get_future();
     control_.post([this, text] { text->set_value(statusText(statusView())); });
--- a/src/agent/internal/httpupstream.cpp
+++ b/src/agent/internal/httpupstream.cpp
@@ -17,9 +17,9 @@
 using web::http::client::http_client;
 using web::http::client::http_client_config;
 
-/// cpprest's own timeout only bounds idleness; each call's deadline is kept by whoever runs it.
+/// cpprest's timeout only limits how long a connection is idle; the caller of `run` enforces the call's deadline.
 constexpr std::chrono::hours idleLimit { 24 };
-constexpr std::size_t largestRead = 64 * 1024;
+constexpr std::size_t maxReadBytes = 64 * 1024;
 
 std::shared_ptr<http_client> newClient(const std::string& url)
 {
@@ -28,8 +28,8 @@
     return std::make_shared<http_client>(web::uri(url), config);
 }
 
-/// cpprest gives this code for a connection that was refused, and for a header that couldn't be written; the text
-/// tells them apart. Only the first is certain: nothing was sent.
+/// cpprest reports the same error code for a refused connection and for a header that couldn't be written; only the
+/// text differs. Only after a refused connection is it certain that nothing was sent.
 bool isConnectFailure(const web::http::http_exception& exception)
 {
     return exception.error_code().value() == static_cast<int>(std::errc::host_unreachable)
@@ -49,53 +49,54 @@
     {
         client_->request(request, cancellation_.get_token())
             .then([self = shared_from_this()](const pplx::task<web::http::http_response>& answered) {
-                self->guarded("call upstream", [&] { self->takeHead(answered.get()); });
+                self->runGuarded("call upstream", [&] { self->handleHead(answered.get()); });
             });
     }
 
     void cancel() override { cancellation_.cancel(); }
 
 private:
-    void takeHead(const web::http::http_response& response)
+    void handleHead(const web::http::http_response& response)
     {
         response_ = response;
         HttpHeaders headers;
         for (const auto& [name, value] : response_.headers())
             headers.emplace_back(name, value);
         events_.onHead(response_.status_code(), endToEndHeaders(headers));
-        readOn();
+        readNext();
     }
 
-    /// `body().read` would wait for the whole stream; a peek and then what is there gives each chunk as it comes.
-    void readOn()
+    /// Reads each chunk as it arrives: waits by a peek for the next byte, then reads what is available. `body().read`
+    /// would wait for the whole stream.
+    void readNext()
     {
         response_.body().streambuf().getc().then([self = shared_from_this()](const pplx::task<int>& peeked) {
-            self->guarded("read answer", [&] {
+            self->runGuarded("read answer", [&] {
                 if (peeked.get() == concurrency::streams::char_traits<std::uint8_t>::eof())
                     self->events_.onEnd();
                 else
-                    self->takeAvailable();
+                    self->readAvailable();
             });
         });
     }
 
-    void takeAvailable()
+    void readAvailable()
     {
         auto buffer = response_.body().streambuf();
-        const std::size_t size = std::clamp<std::size_t>(buffer.in_avail(), 1, largestRead);
+        const std::size_t size = std::clamp<std::size_t>(buffer.in_avail(), 1, maxReadBytes);
         auto bytes = std::make_shared<std::string>(size, '\0');
         buffer.getn(reinterpret_cast<std::uint8_t*>(bytes->data()), size)
             .then([self = shared_from_this(), bytes](const pplx::task<std::size_t>& read) {
-                self->guarded("read answer", [&] {
+                self->runGuarded("read answer", [&] {
                     bytes->resize(read.get());
                     self->events_.onBytes(std::move(*bytes));
-                    self->readOn();
+                    self->readNext();
                 });
             });
     }
 
-    /// cpprest reports failures by exceptions; none may leave this file.
-    template <typename Step> void guarded(const char* step, Step&& run)
+    /// Converts cpprest's exceptions to failure events; no exception may leave this file.
+    template <typename Step> void runGuarded(const char* step, Step&& run)
     {
         try {
             run();
@@ -148,14 +149,15 @@
 
     std::shared_ptr<IUpstreamCall> run(UpstreamRequest request, UpstreamEvents events) override
     {
-        // cpprest sends a request again by itself when a pooled connection turns out to be closed, though the upstream
-        // may have run it; the caller sees one answer, the upstream two calls. A new client has no pooled connection.
+        // cpprest resends a request by itself when a pooled connection turns out to be closed, although the upstream
+        // may have run it: the caller gets one answer while the upstream gets two calls. A new client has no pooled
+        // connection.
         auto client = request.isRepeatable ? pooled_ : newClient(url_);
         auto call = std::make_shared<HttpUpstreamCall>(std::move(client), url_, events);
         try {
             call->start(httpRequest(request));
         } catch (const std::exception& exception) {
-            // Only what is wrong with the request itself throws here, before anything is sent.
+            // Only an invalid request throws here, before anything is sent.
             events.onFailed(Error { ErrorCode::BadRequest, "call upstream", url_, exception.what() });
         }
         return call;
--- a/src/agent/internal/memoryaccount.h
+++ b/src/agent/internal/memoryaccount.h
@@ -7,25 +7,28 @@
 
 namespace lagoon::agent {
 
-/// The accelerator memory of one upstream. Memory is reserved before a load is ordered and freed only after the engine
-/// confirmed that the replica is gone, so the sum of what it may have to hold never passes what there is. Pure.
+/// Accounts for the accelerator memory of one upstream. Memory is reserved before a load is ordered and freed only
+/// after the engine has confirmed that the replica is gone, so the replicas that the engine may have to hold never need
+/// more than the total. Does no I/O.
 class MemoryAccount {
 public:
-    /// What the engine says there is; before that nothing can be reserved.
-    void open(framework::MebiBytes total);
-    /// False if it doesn't fit; a replica that has a reservation keeps it, which must suffice.
+    /// Sets the total reported by the engine. Nothing can be reserved before.
+    void setTotal(framework::MebiBytes total);
+    /// Returns false if the memory doesn't fit. An existing reservation of the replica counts towards the new one and
+    /// is never reduced.
     [[nodiscard]] bool reserve(const ReplicaId&, framework::MebiBytes);
-    /// Enters what the engine holds whether or not it fits: the account follows the truth.
-    void enter(const ReplicaId&, framework::MebiBytes);
+    /// Sets the memory that a replica uses in the engine, or may use once a pending order arrives, whether or not it
+    /// fits: the engine's state takes precedence over the plan.
+    void setReservation(const ReplicaId&, framework::MebiBytes);
     void free(const ReplicaId&);
 
-    bool isOpen() const { return isOpen_; }
+    bool hasTotal() const { return hasTotal_; }
     framework::MebiBytes total() const { return total_; }
     framework::MebiBytes used() const;
     framework::MebiBytes available() const;
 
 private:
-    bool isOpen_ = false;
+    bool hasTotal_ = false;
     framework::MebiBytes total_;
     std::map<ReplicaId, framework::MebiBytes> reserved_;
 };
--- a/src/agent/internal/replicaclaims.h
+++ b/src/agent/internal/replicaclaims.h
@@ -12,15 +12,15 @@
 
 namespace lagoon::agent {
 
-/// Claims by conditional updates of `replicas/<site>/<model>[/<adapter>]`: the count and all holders are in the one
-/// object, so two agents can't both take the last place. A claim never lapses by time: an agent that is paused can't
-/// renew it, while its engine goes on holding the model.
+/// Writes claims by conditional updates of `replicas/<site>/<model>[/<adapter>]`. The count and all holders are in one
+/// object, so two agents can't both take the last slot. A claim never expires: a paused agent couldn't renew it while
+/// its engine still has the model loaded.
 class ReplicaClaims final : public IReplicaClaims {
 public:
     ReplicaClaims(std::shared_ptr<objectstore::IObjectStore>, std::shared_ptr<objectstore::IVmList>,
         framework::ProcessIdentity, framework::Incarnation, std::shared_ptr<framework::Metrics>);
 
-    framework::Result<framework::FencingNumber> claim(const ReplicaId&, const std::string& nonce, ClaimKind,
+    framework::Result<framework::FencingToken> claim(const ReplicaId&, const std::string& nonce, ClaimKind,
         const bundle::DecidedCount&, framework::Deadline) override;
     framework::Result<void> confirm(const ReplicaId&, const std::string& nonce, framework::Deadline) override;
     framework::Result<void> release(const ReplicaId&, const std::string& nonce, framework::Deadline) override;
@@ -30,9 +30,9 @@
 private:
     using VmNames = std::set<framework::VmName>;
 
-    framework::Result<framework::FencingNumber> tryClaim(const ReplicaId&, const std::string& nonce, ClaimKind,
+    framework::Result<framework::FencingToken> tryClaim(const ReplicaId&, const std::string& nonce, ClaimKind,
         const bundle::DecidedCount&, const VmNames& gone, framework::Deadline);
-    framework::Result<std::optional<objectstore::StoredObject>> getPatiently(
+    framework::Result<std::optional<objectstore::StoredObject>> getWithRetry(
         const objectstore::ObjectKey&, framework::Deadline);
     framework::Result<VmNames> goneVms(framework::Deadline);
     objectstore::ObjectKey key(const ReplicaId&) const;
--- a/src/agent/internal/replicacontroller.cpp
+++ b/src/agent/internal/replicacontroller.cpp
@@ -20,8 +20,8 @@
 using framework::Result;
 using framework::SteadyTime;
 
-constexpr std::size_t recentUsesKept = 8;
-/// Longer than a request takes from its router to here once the load was reported.
+constexpr std::size_t maxRecentUses = 8;
+/// Longer than a request takes to arrive from its router after the load was reported.
 constexpr Milliseconds firstUseGrace { 5000 };
 
 } // namespace
@@ -54,7 +54,7 @@
 ReplicaController::ReplicaController(ReplicaPorts ports, ReplicaSettings settings)
     : ports_(std::move(ports))
     , settings_(std::move(settings))
-    , keepWarm_(policy::makeKeepWarm(bundle::PolicyNumbers {}))
+    , keepWarm_(policy::makeKeepWarm(bundle::PolicyParameters {}))
 {
 }
 
@@ -70,18 +70,18 @@
     const bundle::BundlePointer former = bundle_;
     std::map<ReplicaId, std::uint32_t> formerCounts;
     for (const auto& [id, replica] : replicas_)
-        formerCounts[id] = decidedOf(id).decided;
+        formerCounts[id] = decidedCount(id).decided;
     bundle_ = std::move(bundle);
     keepWarm_ = policy::makeKeepWarm(bundle_->policy);
     gaps_.keepOnly([this](const ReplicaId& id) { return weightsOf(id).has_value(); });
     for (auto& [id, replica] : replicas_) {
-        if (!former || decidedOf(id).decided < formerCounts[id])
+        if (!former || decidedCount(id).decided < formerCounts[id])
             replica.needsCountCheck = true;
-        review(replica);
+        drainIfOutdated(replica);
         const auto weights = weightsOf(id);
-        // What may still arrive must fit as well; a model that the bundle doesn't know may be of any size.
+        // A load order that may still arrive must fit as well. A model that isn't in the bundle may have any size.
         if (replica.stage == ReplicaStage::Settling)
-            account_.enter(id, weights ? weights->memory : account_.total());
+            account_.setReservation(id, weights ? weights->memory : account_.total());
     }
     advance();
 }
@@ -91,7 +91,7 @@
     isDraining_ = true;
     for (auto& [id, replica] : replicas_) {
         for (const LoadWaiter& waiter : std::exchange(replica.waiters, {}))
-            waiter.done(lastingRefusal(ErrorCode::Draining, id, "the agent shuts down"));
+            waiter.done(permanentRefusal(ErrorCode::Draining, id, "the agent shuts down"));
     }
 }
 
@@ -118,18 +118,18 @@
     advance();
 }
 
-/// An adapter is loaded beside its model, so the model comes first.
+/// Makes the adapter wait for its model, which must be loaded first, and adds the model if it isn't known yet.
 void ReplicaController::addPendingModel(const ReplicaId& id)
 {
     setStage(*find(id), ReplicaStage::WaitingForModel);
-    if (!find(id.ofModel()))
-        add(id.ofModel(), *weightsOf(id.ofModel()), ReplicaStage::Claiming);
+    if (!find(id.modelId()))
+        add(id.modelId(), *weightsOf(id.modelId()), ReplicaStage::Claiming);
 }
 
 Result<void> ReplicaController::beginUse(const Target& target, SteadyTime now)
 {
     Replica* replica = find(target.replica);
-    Replica* model = find(target.replica.ofModel());
+    Replica* model = find(target.replica.modelId());
     const auto isServed = [](const Replica* one) { return one && one->stage == ReplicaStage::Loaded; };
     if (!isServed(replica) || !isServed(model)) {
         const std::string stage = replica ? stageText(replica->stage) : "not here";
@@ -150,7 +150,7 @@
         if (used == model && model == replica && !used->recentUses.empty() && used->recentUses.back() == now)
             continue;
         used->recentUses.push_back(now);
-        if (used->recentUses.size() > recentUsesKept)
+        if (used->recentUses.size() > maxRecentUses)
             used->recentUses.erase(used->recentUses.begin());
     }
     return framework::success();
@@ -160,7 +160,7 @@
 {
     const auto end = [&](const ReplicaId& id) {
         Replica* replica = find(id);
-        // A replica may have vanished from its engine under its requests.
+        // The engine may have lost the replica while requests were using it.
         if (!replica || replica->uses == 0)
             return gaps_.endUse(id, now);
         --replica->uses;
@@ -168,11 +168,11 @@
         if (replica->uses > 0)
             return;
         gaps_.endUse(id, now);
-        replica->loadTime = nextLoadTime(*replica);
+        replica->loadTime = expectedReloadTime(*replica);
     };
     end(target.replica);
     if (target.replica.isAdapter())
-        end(target.replica.ofModel());
+        end(target.replica.modelId());
     const Replica* replica = find(target.replica);
     if (replica && replica->stage != ReplicaStage::Loaded)
         advance();
@@ -192,7 +192,7 @@
             step(*replica, now);
     }
     if (!isDraining_)
-        makeRoom(now);
+        admitWaitingLoads(now);
     publish(now);
     if (isInTransition() && !isPollingFast_)
         pollEngine();
@@ -200,13 +200,13 @@
 
 void ReplicaController::step(Replica& replica, SteadyTime now)
 {
-    if (replica.isBusy || !replica.retryAt.hasPassed(now) || !isOpen() || !bundle_)
+    if (replica.isBusy || !replica.retryAt.hasPassed(now) || !isInitialized() || !bundle_)
         return;
     if (isDraining_ && replica.stage != ReplicaStage::Releasing)
         return;
     switch (replica.stage) {
     case ReplicaStage::WaitingForModel: {
-        const Replica* model = find(replica.id.ofModel());
+        const Replica* model = find(replica.id.modelId());
         if (!model || model->stage > ReplicaStage::Loaded)
             return failLoad(
                 replica, refusal(ErrorCode::LoadFailed, replica.id, "its model isn't loaded", retryWhenBusy));
@@ -256,7 +256,7 @@
         startCountCheck(replica);
 }
 
-void ReplicaController::makeRoom(SteadyTime now)
+void ReplicaController::admitWaitingLoads(SteadyTime now)
 {
     std::vector<Replica*> waiting;
     for (auto& [id, replica] : replicas_) {
@@ -264,18 +264,19 @@
             waiting.push_back(&replica);
     }
     std::sort(waiting.begin(), waiting.end(),
-        [](const Replica* one, const Replica* other) { return one->since < other->since; });
+        [](const Replica* one, const Replica* other) { return one->stageEnteredAt < other->stageEnteredAt; });
     for (Replica* replica : waiting) {
-        // In their order, or small loads would keep a large one waiting for good.
-        if (!tryMakeRoom(*replica, now))
+        // Loads are admitted in the order in which they began to wait; otherwise small loads could keep a large one
+        // waiting forever.
+        if (!tryAdmitLoad(*replica, now))
             return;
     }
 }
 
-/// False if this load has to wait for others' unloads.
-bool ReplicaController::tryMakeRoom(Replica& replica, SteadyTime now)
+/// Returns false if the load has to wait until other replicas are unloaded.
+bool ReplicaController::tryAdmitLoad(Replica& replica, SteadyTime now)
 {
-    if (!isWanted(replica)) {
+    if (!isRequested(replica)) {
         failLoad(replica, refusal(ErrorCode::DeadlinePassed, replica.id, "nobody waits any more", retryWhenBusy));
         return true;
     }
@@ -288,12 +289,12 @@
         step(replica, now);
         return true;
     }
-    const std::uint64_t coming = memoryComing();
-    const std::uint64_t free = account_.available().value() + coming;
+    const std::uint64_t beingFreed = memoryBeingFreed();
+    const std::uint64_t free = account_.available().value() + beingFreed;
     if (free >= replica.memory.value())
         return false;
     const auto chosen = victims(MebiBytes(replica.memory.value() - free), replica.id);
-    if (chosen.empty() && coming == 0) {
+    if (chosen.empty() && beingFreed == 0) {
         failLoad(replica, refusal(ErrorCode::MemoryShort, replica.id, "all memory is in use", retryWhenFull));
         return true;
     }
@@ -306,13 +307,13 @@
 
 void ReplicaController::unloadIdle(SteadyTime now)
 {
-    const std::vector<policy::LoadedReplica> views = idleViews(now);
+    const std::vector<policy::LoadedReplica> views = loadedViews(now);
     for (const std::size_t index : policy::expiredReplicas(*keepWarm_, views, account_.total(), now))
         drain(*find({ views[index].model, views[index].adapter }), "idle");
 }
 
-/// All loaded ones; those that can't be unloaded yet are given as running.
-std::vector<policy::LoadedReplica> ReplicaController::idleViews(SteadyTime now) const
+/// Policy views of all loaded replicas; those that can't be unloaded yet are shown as running.
+std::vector<policy::LoadedReplica> ReplicaController::loadedViews(SteadyTime now) const
 {
     std::vector<policy::LoadedReplica> views;
     for (const auto& [id, replica] : replicas_) {
@@ -329,11 +330,11 @@
 {
     if (!replica.isClaimed || replica.isBusy)
         return false;
-    if (!replica.id.isAdapter() && hasAdaptersOnTheWay(replica.id.model))
+    if (!replica.id.isAdapter() && hasAdaptersInTransition(replica.id.model))
         return false;
-    // Guards against loading for nobody, again and again: those for whom it was loaded hear of it only now, and where
-    // loads are short the policy would have it gone before their requests arrive.
-    return replica.wasUsed || Deadline::after(replica.since, firstUseGrace).hasPassed(now);
+    // Prevents repeated loads that serve no request: the callers that a replica was loaded for learn of the load only
+    // now, and where loads are short the policy would unload the replica before their requests arrive.
+    return replica.wasUsed || Deadline::after(replica.stageEnteredAt, firstUseGrace).hasPassed(now);
 }
 
 void ReplicaController::expireWaiters(SteadyTime now)
@@ -347,14 +348,15 @@
         waiters.erase(firstExpired, waiters.end());
         for (const LoadWaiter& waiter : expired)
             waiter.done(refusal(ErrorCode::DeadlinePassed, id, stageText(replica.stage), retryWhenBusy));
-        // Otherwise its model would still count as wanted, keep its claim and block other loads that wait for memory.
+        // Otherwise the adapter's model would still count as requested, keep its claim and block other loads that wait
+        // for memory.
         if (replica.stage == ReplicaStage::WaitingForModel && waiters.empty())
             failLoad(replica, refusal(ErrorCode::DeadlinePassed, id, "nobody waits any more", retryWhenBusy));
     }
 }
 
-/// Whether a loaded replica is still what the bundle decided.
-void ReplicaController::review(Replica& replica)
+/// Drains a loaded replica that the bundle no longer assigns to this pool, or whose version it has changed.
+void ReplicaController::drainIfOutdated(Replica& replica)
 {
     if (!bundle_ || replica.stage != ReplicaStage::Loaded)
         return;
@@ -366,7 +368,7 @@
         return drain(replica, "not_decided");
     if (weights->version == replica.version)
         return;
-    // The place under the cap is kept: the new version is loaded into it once the old one is gone.
+    // The claim is kept: the new version is loaded under it once the old one is unloaded.
     replica.reloadsAfterUnload = true;
     drain(replica, "new_version");
 }
@@ -418,11 +420,11 @@
     setStage(replica, ReplicaStage::Releasing);
 }
 
-void ReplicaController::takeLoaded(Replica& replica, SteadyTime now)
+void ReplicaController::handleLoaded(Replica& replica, SteadyTime now)
 {
     if (replica.isOrdered) {
         const auto took = std::chrono::duration_cast<Milliseconds>(now - replica.orderedAt);
-        loadTimes_.record(replicaText(replica.id), placeOf(replica.id), replica.memory, took, now);
+        loadTimes_.record(replicaText(replica.id), locationOf(replica.id), replica.memory, took, now);
         ports_.metrics->observeSeconds(
             "lagoon_load_seconds", std::chrono::duration<double>(now - replica.orderedAt).count());
         ports_.metrics->count("lagoon_loads_total");
@@ -430,7 +432,7 @@
     framework::logInfo("agent", "loaded " + replicaText(replica.id));
     setStage(replica, ReplicaStage::Loaded);
     replica.lastUsed = now;
-    replica.loadTime = nextLoadTime(replica);
+    replica.loadTime = expectedReloadTime(replica);
     replica.gaps = gaps_.gaps(replica.id);
     replica.wasUsed = false;
     replica.needsConfirm = true;
@@ -439,19 +441,19 @@
     const std::vector<LoadWaiter> waiters = std::exchange(replica.waiters, {});
     for (const LoadWaiter& waiter : waiters)
         waiter.done(std::nullopt);
-    review(replica);
+    drainIfOutdated(replica);
 }
 
-void ReplicaController::takeUnloaded(Replica& replica)
+void ReplicaController::handleUnloaded(Replica& replica)
 {
     if (replica.mayArriveLate) {
         setStage(replica, ReplicaStage::Settling);
         return;
     }
     const auto weights = weightsOf(replica.id);
-    const bool isLoadedAgain
+    const bool willReload
         = weights && replica.isClaimed && !isDraining_ && (replica.reloadsAfterUnload || !replica.waiters.empty());
-    if (!isLoadedAgain) {
+    if (!willReload) {
         startReleasing(replica);
         return;
     }
@@ -468,7 +470,7 @@
 void ReplicaController::setStage(Replica& replica, ReplicaStage stage)
 {
     replica.stage = stage;
-    replica.since = ports_.clock.now();
+    replica.stageEnteredAt = ports_.clock.now();
     replica.isOrdered = false;
     replica.absences = 0;
     replica.failedTries = 0;
@@ -499,7 +501,7 @@
     return found == replicas_.end() ? nullptr : &found->second;
 }
 
-bool ReplicaController::hasAdaptersOnTheWay(const framework::ModelName& model) const
+bool ReplicaController::hasAdaptersInTransition(const framework::ModelName& model) const
 {
     return std::any_of(replicas_.begin(), replicas_.end(), [&](const auto& entry) {
         const ReplicaStage stage = entry.second.stage;
@@ -508,14 +510,15 @@
     });
 }
 
-/// Between that from where its checkpoint is now and that from disk: by then others may have taken its place in memory.
-Milliseconds ReplicaController::nextLoadTime(const Replica& replica) const
+/// The mean of the load times from the checkpoint's current location and from disk (or the current location if that is
+/// slower): by the time of the reload, other checkpoints may have displaced it from the memory cache.
+Milliseconds ReplicaController::expectedReloadTime(const Replica& replica) const
 {
-    const auto from = [&](policy::CheckpointPlace place) {
-        return loadTimes_.estimate(replicaText(replica.id), place, replica.memory, ports_.clock.now()).typical;
+    const auto from = [&](policy::CheckpointLocation location) {
+        return loadTimes_.estimate(replicaText(replica.id), location, replica.memory, ports_.clock.now()).typical;
     };
-    const policy::CheckpointPlace present = placeOf(replica.id);
-    return (from(present) + from(std::max(present, policy::CheckpointPlace::Disk))) / 2;
+    const policy::CheckpointLocation present = locationOf(replica.id);
+    return (from(present) + from(std::max(present, policy::CheckpointLocation::Disk))) / 2;
 }
 
 void ReplicaController::publish(SteadyTime now)
--- a/src/agent/internal/replicaqueries.cpp
+++ b/src/agent/internal/replicaqueries.cpp
@@ -1,4 +1,4 @@
-// What a ReplicaController knows and would decide; nothing here changes it.
+// Queries of ReplicaController: its state, and what it would decide. None of them changes it.
 #include "agent/internal/replicacontroller.h"
 #include "agent/internal/replicarefusal.h"
 
@@ -28,7 +28,7 @@
     offer.refusal = refusalOf(id, Deadline(SteadyTime::max()));
     if (!bundle_ || !weightsOf(id))
         return offer;
-    offer.checkpoint = placeOf(id);
+    offer.checkpoint = locationOf(id);
     offer.expectedLoad = expectedLoad(id).typical;
     const std::uint64_t needed = replica ? 0 : memoryNeeded(id);
     if (needed <= offer.available.value())
@@ -48,24 +48,24 @@
 std::optional<Error> ReplicaController::refusalOf(const ReplicaId& id, Deadline deadline) const
 {
     if (isDraining_)
-        return lastingRefusal(ErrorCode::Draining, id, "the agent shuts down");
-    if (!isOpen() || !bundle_)
+        return permanentRefusal(ErrorCode::Draining, id, "the agent shuts down");
+    if (!isInitialized() || !bundle_)
         return refusal(ErrorCode::NotReady, id, "engine, claims or bundle not read yet", retryWhenBusy);
     const bundle::Model* model = bundle_->model(id.model);
     if (!model)
-        return lastingRefusal(ErrorCode::UnknownModel, id, "not in the bundle");
+        return permanentRefusal(ErrorCode::UnknownModel, id, "not in the bundle");
     if (std::find(model->pools.begin(), model->pools.end(), settings_.pool) == model->pools.end())
-        return lastingRefusal(ErrorCode::NoCapacity, id, "not decided for pool " + settings_.pool.value());
+        return permanentRefusal(ErrorCode::NoCapacity, id, "not decided for pool " + settings_.pool.value());
     if (id.isAdapter() && !bundle_->adapter(id.model, id.adapter))
-        return lastingRefusal(ErrorCode::UnknownAdapter, id, "not in the bundle");
-    if (decidedOf(id).decided == 0 || decidedOf(id.ofModel()).decided == 0)
-        return lastingRefusal(ErrorCode::ReplicaCapReached, id, "no replica decided at this site");
-    if (engineFailures_ >= failuresBelieved)
+        return permanentRefusal(ErrorCode::UnknownAdapter, id, "not in the bundle");
+    if (decidedCount(id).decided == 0 || decidedCount(id.modelId()).decided == 0)
+        return permanentRefusal(ErrorCode::ReplicaCapReached, id, "no replica decided at this site");
+    if (engineFailures_ >= failuresUntilUnreachable)
         return refusal(ErrorCode::NotReady, id, "the engine doesn't answer", retryWhenBusy);
     const Replica* replica = find(id);
     const auto isBeingUnloaded
         = [](const Replica* one) { return one && one->stage == ReplicaStage::Draining && !one->reloadsAfterUnload; };
-    if (isBeingUnloaded(replica) || isBeingUnloaded(find(id.ofModel())))
+    if (isBeingUnloaded(replica) || isBeingUnloaded(find(id.modelId())))
         return refusal(ErrorCode::NotReady, id, "it is being unloaded", retryWhenBusy);
     if (replica)
         return std::nullopt;
@@ -73,13 +73,13 @@
     if (expected.low > deadline.remaining(ports_.clock.now()))
         return refusal(ErrorCode::DeadlineHopeless, id,
             "loads take about " + std::to_string(expected.typical.count()) + " ms", expected.typical);
-    return roomRefusal(id);
+    return memoryRefusal(id);
 }
 
-std::optional<Error> ReplicaController::roomRefusal(const ReplicaId& id) const
+std::optional<Error> ReplicaController::memoryRefusal(const ReplicaId& id) const
 {
     const std::uint64_t needed = memoryNeeded(id);
-    const std::uint64_t free = account_.available().value() + memoryComing();
+    const std::uint64_t free = account_.available().value() + memoryBeingFreed();
     if (needed <= free || !victims(MebiBytes(needed - free), id).empty())
         return std::nullopt;
     return refusal(ErrorCode::MemoryShort, id,
@@ -89,35 +89,35 @@
 std::uint64_t ReplicaController::memoryNeeded(const ReplicaId& id) const
 {
     std::uint64_t needed = weightsOf(id)->memory.value();
-    if (id.isAdapter() && !find(id.ofModel()))
-        needed += weightsOf(id.ofModel())->memory.value();
+    if (id.isAdapter() && !find(id.modelId()))
+        needed += weightsOf(id.modelId())->memory.value();
     return needed;
 }
 
-/// Memory of replicas on their way out, and of those that a former process left and nobody waits for: once they have
-/// settled they are gone or can be unloaded.
-std::uint64_t ReplicaController::memoryComing() const
+/// Memory of replicas that are being unloaded, and of replicas left by a previous process that no caller waits for:
+/// once these have settled, they are gone or can be unloaded.
+std::uint64_t ReplicaController::memoryBeingFreed() const
 {
-    std::uint64_t coming = 0;
+    std::uint64_t beingFreed = 0;
     for (const auto& [id, replica] : replicas_) {
         const bool isLeaving = replica.stage == ReplicaStage::Draining || replica.stage == ReplicaStage::Unloading;
         const bool isUnsettled = replica.stage == ReplicaStage::Settling || replica.stage == ReplicaStage::Loading
             || (replica.stage == ReplicaStage::Loaded && !replica.isClaimed && replica.uses == 0);
-        if (isLeaving || (isUnsettled && !isWanted(replica)))
-            coming += replica.memory.value();
+        if (isLeaving || (isUnsettled && !isRequested(replica)))
+            beingFreed += replica.memory.value();
     }
-    return coming;
+    return beingFreed;
 }
 
-std::vector<ReplicaId> ReplicaController::victims(MebiBytes needed, const ReplicaId& spared) const
+std::vector<ReplicaId> ReplicaController::victims(MebiBytes needed, const ReplicaId& incoming) const
 {
     std::vector<policy::LoadedReplica> views;
     for (const auto& [id, replica] : replicas_) {
         if (replica.stage != ReplicaStage::Loaded)
             continue;
         policy::LoadedReplica view = viewOf(replica);
-        const bool isAwaited = id == spared.ofModel() || !replica.isClaimed;
-        if (isAwaited)
+        const bool isPinned = id == incoming.modelId() || !replica.isClaimed;
+        if (isPinned)
             view.running = std::max<std::uint32_t>(1, view.running);
         views.push_back(std::move(view));
     }
@@ -138,7 +138,7 @@
     view.running = replica.uses;
     view.recentUses = replica.recentUses;
     view.gaps = replica.gaps;
-    // A model whose adapter is on its way in is in use.
+    // A model counts as in use while one of its adapters is being loaded.
     for (const auto& [id, other] : replicas_) {
         if (id.isAdapter() && id.model == replica.id.model && !replica.id.isAdapter() && other.isBeingLoaded())
             ++view.running;
@@ -149,24 +149,24 @@
 policy::LoadTimeEstimate ReplicaController::expectedLoad(const ReplicaId& id) const
 {
     policy::LoadTimeEstimate expected
-        = loadTimes_.estimate(replicaText(id), placeOf(id), weightsOf(id)->memory, ports_.clock.now());
-    if (!id.isAdapter() || find(id.ofModel()))
+        = loadTimes_.estimate(replicaText(id), locationOf(id), weightsOf(id)->memory, ports_.clock.now());
+    if (!id.isAdapter() || find(id.modelId()))
         return expected;
-    const policy::LoadTimeEstimate ofModel = expectedLoad(id.ofModel());
-    expected.low += ofModel.low;
-    expected.typical += ofModel.typical;
-    expected.high += ofModel.high;
+    const policy::LoadTimeEstimate modelEstimate = expectedLoad(id.modelId());
+    expected.low += modelEstimate.low;
+    expected.typical += modelEstimate.typical;
+    expected.high += modelEstimate.high;
     return expected;
 }
 
-policy::CheckpointPlace ReplicaController::placeOf(const ReplicaId& id) const
+policy::CheckpointLocation ReplicaController::locationOf(const ReplicaId& id) const
 {
     const auto weights = weightsOf(id);
     for (const CachedCheckpoint& cached : engineState_.checkpoints) {
         if (weights && cached.checkpoint == Checkpoint { id, weights->version })
-            return cached.place;
+            return cached.location;
     }
-    return policy::CheckpointPlace::Remote;
+    return policy::CheckpointLocation::Remote;
 }
 
 std::optional<ReplicaController::Weights> ReplicaController::weightsOf(const ReplicaId& id) const
@@ -181,7 +181,7 @@
     return Weights { model->version, model->memory };
 }
 
-bundle::DecidedCount ReplicaController::decidedOf(const ReplicaId& id) const
+bundle::DecidedCount ReplicaController::decidedCount(const ReplicaId& id) const
 {
     if (!bundle_)
         return {};
@@ -202,12 +202,12 @@
 /// Always true for a model. An adapter requires its model to be loaded and not draining.
 bool ReplicaController::hasRequiredModel(const ReplicaId& id) const
 {
-    const Replica* model = find(id.ofModel());
+    const Replica* model = find(id.modelId());
     return !id.isAdapter() || (model && model->stage == ReplicaStage::Loaded);
 }
 
-/// Whether anyone still has use for a load that isn't ordered yet.
-bool ReplicaController::isWanted(const Replica& replica) const
+/// Whether a load that isn't ordered yet is still needed: by a caller, for a reload, or by an adapter of the model.
+bool ReplicaController::isRequested(const Replica& replica) const
 {
     if (!replica.waiters.empty() || replica.reloadsAfterUnload)
         return true;
@@ -218,7 +218,7 @@
 
 bool ReplicaController::isInTransition() const
 {
-    return !isOpen() || std::any_of(replicas_.begin(), replicas_.end(), [](const auto& entry) {
+    return !isInitialized() || std::any_of(replicas_.begin(), replicas_.end(), [](const auto& entry) {
         return entry.second.stage != ReplicaStage::Loaded && entry.second.stage != ReplicaStage::Releasing;
     });
 }
--- a/src/agent/internal/requestgate.cpp
+++ b/src/agent/internal/requestgate.cpp
@@ -19,14 +19,14 @@
 using wire::ILink;
 namespace fb = wire::fb;
 
-constexpr std::size_t largestChunk = std::size_t(256) * 1024;
-constexpr std::uint8_t highestPriority = 9;
+constexpr std::size_t maxChunkBytes = std::size_t(256) * 1024;
+constexpr std::uint8_t maxPriority = 9;
 constexpr Milliseconds retryWhenFull { 500 };
-/// Another upstream may serve at once what this one, whose agent ends, didn't.
-constexpr Milliseconds retryElsewhere { 1000 };
+/// Retry delay of requests that are refused because the agent shuts down; another upstream may serve them immediately.
+constexpr Milliseconds retryWhenDraining { 1000 };
 constexpr unsigned short notFound = 404;
-/// An answer or refusal is to reach the router before the deadline: it refuses some time before that itself, and could
-/// then say only "unknown".
+/// How long before the deadline an answer or refusal has to be sent to reach the router in time. Shortly before the
+/// deadline the router refuses the request itself, and can then only report it as "unknown".
 constexpr Milliseconds deliveryMargin { 50 };
 
 DispatchKey keyOf(const fb::DispatchIdT& id)
@@ -67,7 +67,7 @@
     request.path = std::move(dispatch.path);
     request.headers = headersOf(dispatch.headers);
     request.body.assign(dispatch.body.begin(), dispatch.body.end());
-    request.priority = std::min(dispatch.priority, highestPriority);
+    request.priority = std::min(dispatch.priority, maxPriority);
     request.isRepeatable = dispatch.is_repeatable;
     request.deadline = Deadline::after(now, Milliseconds(dispatch.remaining_ms));
     return request;
@@ -87,17 +87,17 @@
     return Error { code, "admit", "", std::move(detail), execution };
 }
 
-Error draining(std::string detail, Execution execution)
+Error drainingRefusal(std::string detail, Execution execution)
 {
     Error error = refusal(ErrorCode::Draining, std::move(detail), execution);
-    error.retryAfter = retryElsewhere;
+    error.retryAfter = retryWhenDraining;
     return error;
 }
 
-/// In [0, 1), by the dispatch, so that those refused together don't come back together.
-double spread(const DispatchKey& key)
+/// A fraction in [0, 1) derived from the dispatch, so that requests refused together aren't retried together.
+double jitterFraction(const DispatchKey& key)
 {
-    return static_cast<double>(policy::mixed(key.router.value() + key.sequence.value()) >> 11U) * 0x1p-53;
+    return static_cast<double>(policy::mixBits(key.router.value() + key.sequence.value()) >> 11U) * 0x1p-53;
 }
 
 } // namespace
@@ -135,8 +135,8 @@
 
 std::optional<Error> RequestGate::admissionRefusal(const Call& call) const
 {
-    if (serviceEnd_)
-        return draining("the agent shuts down", Execution::NotRun);
+    if (shutdownDeadlines_)
+        return drainingRefusal("the agent shuts down", Execution::NotRun);
     if (call.request.deadline.hasPassed(ports_.clock.now()))
         return refusal(ErrorCode::DeadlinePassed, "on receipt", Execution::NotRun);
     return std::nullopt;
@@ -167,58 +167,60 @@
         refuse(link, key, *refused);
         return;
     }
-    armWaiting(key, call);
+    armQueueTimer(key, call);
     calls_.emplace(key, std::move(call));
-    startWaiting();
+    startQueued();
 }
 
-/// Guards against a queue that is longer than the deadlines: past saturation each request would be started just before
-/// its caller gives up, so that the upstream is busy and hardly anyone is served. What a place in the queue can't
-/// serve in time is refused at once, as long as service times are known; with a free place it is always tried.
+/// Prevents a queue that is longer than the deadlines: past saturation each request would be started just before its
+/// caller gives up, so that the upstream is busy but hardly any request is served in time. Once service times are
+/// known, a request that can't be served in time from its position in the queue is refused immediately. If a slot is
+/// free, the request is always tried.
 std::optional<Error> RequestGate::queueRefusal(const WaitingDispatch& waiting, const Target& target) const
 {
-    const auto own = serviceTimes_.of(target);
-    if (!own || admission_.hasFreePlace())
+    const auto own = serviceTimes_.estimateFor(target);
+    if (!own || admission_.hasFreeSlot())
         return std::nullopt;
-    const policy::LoadQueue queue { admission_.ahead(waiting), admission_.running(), admission_.mostRunning(), 0,
-        serviceTimes_.ofAll() };
+    const policy::LoadQueue queue { admission_.countAhead(waiting), admission_.running(), admission_.maxRunning(), 0,
+        serviceTimes_.estimateForAll() };
     const policy::LoadForecast forecast = policy::forecastWaiting(*own, queue);
     if (!policy::isLikelyTooLate(
-            forecast, Deadline(lastAnswer(waiting.deadline).at() - deliveryMargin), ports_.clock.now()))
+            forecast, Deadline(answerDeadline(waiting.deadline).at() - deliveryMargin), ports_.clock.now()))
         return std::nullopt;
     Error hopeless = refusal(ErrorCode::DeadlineHopeless, "the queue is longer than the deadline", Execution::NotRun);
-    hopeless.retryAfter = policy::timeToComeBack(forecast, spread(waiting.key));
+    hopeless.retryAfter = policy::retryAfterFor(forecast, jitterFraction(waiting.key));
     return hopeless;
 }
 
-/// By when the answer must be whole.
-Deadline RequestGate::lastAnswer(Deadline ofRequest) const
+/// Time by which the answer must be complete.
+Deadline RequestGate::answerDeadline(Deadline ofRequest) const
 {
-    return serviceEnd_ ? std::min(ofRequest, serviceEnd_->answerBy) : ofRequest;
+    return shutdownDeadlines_ ? std::min(ofRequest, shutdownDeadlines_->answerBy) : ofRequest;
 }
 
-/// One that waits is refused when it would have to run by now: later ones of higher priority may have gone before it.
-/// The agent's word has to come before the router's own timer, which could say only "unknown".
-void RequestGate::armWaiting(const DispatchKey& key, Call& call)
+/// Refuses a waiting request at the latest time at which it would have to be started: later requests of higher priority
+/// may have overtaken it. The refusal has to reach the router before the router's own timer expires, which could only
+/// report "unknown".
+void RequestGate::armQueueTimer(const DispatchKey& key, Call& call)
 {
-    const auto own = serviceTimes_.of(call.target);
+    const auto own = serviceTimes_.estimateFor(call.target);
     const Deadline startBy(call.request.deadline.at() - deliveryMargin - (own ? own->high : Milliseconds(0)));
-    if (serviceEnd_ && serviceEnd_->startBy < startBy) {
-        call.deadlineTimer = ports_.control.runAt(serviceEnd_->startBy,
-            [this, key] { stop(key, draining("the agent ends before its turn", Execution::NotRun)); });
+    if (shutdownDeadlines_ && shutdownDeadlines_->startBy < startBy) {
+        call.deadlineTimer = ports_.control.runAt(shutdownDeadlines_->startBy,
+            [this, key] { stop(key, drainingRefusal("the agent ends before its turn", Execution::NotRun)); });
         return;
     }
     const ErrorCode code = own ? ErrorCode::DeadlineHopeless : ErrorCode::DeadlinePassed;
     call.deadlineTimer = ports_.control.runAt(startBy, [this, key, code] {
         Error late = refusal(code, "its turn didn't come in time", Execution::NotRun);
-        late.retryAfter = policy::timeToComeBack({}, spread(key));
+        late.retryAfter = policy::retryAfterFor({}, jitterFraction(key));
         stop(key, std::move(late));
     });
 }
 
-/// Guards against a burst on a replica that was just loaded: its queue was filled before anyone knew how long a request
-/// takes. With the first measurement those that can't be served in time are refused.
-void RequestGate::reviewWaiting(const Target& target)
+/// Refuses waiting requests that can't be served in time, after the first measured service time of the target. A burst
+/// on a newly loaded replica fills the queue before it is known how long a request takes.
+void RequestGate::refuseHopeless(const Target& target)
 {
     std::vector<std::pair<DispatchKey, Error>> hopeless;
     for (auto& [key, call] : calls_) {
@@ -228,37 +230,38 @@
         if (refused)
             hopeless.emplace_back(key, *refused);
         else
-            armWaiting(key, call);
+            armQueueTimer(key, call);
     }
     for (auto& [key, error] : hopeless) {
-        // An earlier one's end may have started it.
+        // Stopping an earlier request may have started this one.
         if (admission_.isWaiting(key))
             stop(key, std::move(error));
     }
 }
 
-void RequestGate::armRunning(const DispatchKey& key, Call& call)
+void RequestGate::armRunTimer(const DispatchKey& key, Call& call)
 {
-    const Deadline last = lastAnswer(call.request.deadline);
-    const Error why = last < call.request.deadline ? draining("the agent ends before its answer", Execution::Unknown)
-                                                   : refusal(ErrorCode::DeadlinePassed, "", Execution::Unknown);
-    call.deadlineTimer = ports_.control.runAt(last, [this, key, why] { stop(key, why); });
+    const Deadline last = answerDeadline(call.request.deadline);
+    const Error error = last < call.request.deadline
+        ? drainingRefusal("the agent ends before its answer", Execution::Unknown)
+        : refusal(ErrorCode::DeadlinePassed, "", Execution::Unknown);
+    call.deadlineTimer = ports_.control.runAt(last, [this, key, error] { stop(key, error); });
 }
 
-/// One that was stopped after longer than usual is a measurement too, or an upstream that has become too slow for every
-/// deadline would never be noticed.
-void RequestGate::recordServiceTime(const Call& call, bool isWhole)
+/// Also records calls that were stopped after more than the typical time; otherwise an upstream that has become too
+/// slow for every deadline would never be noticed.
+void RequestGate::recordServiceTime(const Call& call, bool isComplete)
 {
     const auto took = std::chrono::duration_cast<Milliseconds>(ports_.clock.now() - call.startedAt);
-    const auto known = serviceTimes_.of(call.target);
-    if (!isWhole && (!known || took <= known->typical))
+    const auto known = serviceTimes_.estimateFor(call.target);
+    if (!isComplete && (!known || took <= known->typical))
         return;
     serviceTimes_.record(call.target, took);
     if (!known)
-        reviewWaiting(call.target);
+        refuseHopeless(call.target);
 }
 
-void RequestGate::startWaiting()
+void RequestGate::startQueued()
 {
     for (const WaitingDispatch& next : admission_.takeStartable())
         run(next.key);
@@ -269,20 +272,21 @@
 {
     Call& call = calls_.at(key);
     call.startedAt = ports_.clock.now();
-    armRunning(key, call);
+    armRunTimer(key, call);
     const auto waited = call.startedAt - call.receivedAt;
     ports_.metrics->observeSeconds("lagoon_agent_wait_seconds", std::chrono::duration<double>(waited).count());
-    // Events come on other threads and in order, and so they are posted; a call that has ended is no longer found.
+    // Events arrive on other threads and in order, so they are posted to the control thread. Events of a call that has
+    // ended are ignored, because the call is no longer found.
     UpstreamEvents events;
     events.onHead = [this, key](unsigned short status, HttpHeaders headers) {
-        ports_.control.post([this, key, status, headers = std::move(headers)] { takeHead(key, status, headers); });
+        ports_.control.post([this, key, status, headers = std::move(headers)] { handleHead(key, status, headers); });
     };
     events.onBytes = [this, key](std::string bytes) {
-        ports_.control.post([this, key, bytes = std::move(bytes)] { takeBytes(key, bytes); });
+        ports_.control.post([this, key, bytes = std::move(bytes)] { handleBytes(key, bytes); });
     };
-    events.onEnd = [this, key] { ports_.control.post([this, key] { takeEnd(key); }); };
+    events.onEnd = [this, key] { ports_.control.post([this, key] { handleEnd(key); }); };
     events.onFailed
-        = [this, key](const Error& error) { ports_.control.post([this, key, error] { takeFailure(key, error); }); };
+        = [this, key](const Error& error) { ports_.control.post([this, key, error] { handleFailure(key, error); }); };
     call.upstream = ports_.upstream->run(std::move(call.request), std::move(events));
 }
 
@@ -295,8 +299,8 @@
         ledger_.fence(key);
 }
 
-/// Ends a call before its time. One that hasn't gone to the upstream ends at once as not run; else the upstream's
-/// connection is closed, and its failure ends the call.
+/// Stops a call early. A call that hasn't been sent to the upstream ends immediately as not run. Otherwise the
+/// connection to the upstream is closed, and the resulting failure ends the call.
 void RequestGate::stop(const DispatchKey& key, Error reason)
 {
     Call* call = find(key);
@@ -312,19 +316,19 @@
     end(key, std::move(reason));
 }
 
-void RequestGate::takeHead(const DispatchKey& key, unsigned short status, HttpHeaders headers)
+void RequestGate::handleHead(const DispatchKey& key, unsigned short status, HttpHeaders headers)
 {
     Call* call = find(key);
     if (!call || call->stopReason)
         return;
-    // An engine says 404 before it runs anything: it has lost the replica since its state was last read.
+    // An engine answers 404 before it runs anything: it has lost the replica since its state was last read.
     if (status == notFound && !call->target.isService())
         return stop(key, refusal(ErrorCode::NotLoaded, "the engine doesn't have it", Execution::NotRun));
     ledger_.storeHead(key, status, std::move(headers));
     sendHead(*call->link, key, *ledger_.answer(key));
 }
 
-void RequestGate::takeBytes(const DispatchKey& key, std::string bytes)
+void RequestGate::handleBytes(const DispatchKey& key, std::string bytes)
 {
     Call* call = find(key);
     if (!call || call->stopReason)
@@ -336,31 +340,31 @@
     sendChunk(*call->link, key, offset, bytes.data(), bytes.size());
 }
 
-void RequestGate::takeEnd(const DispatchKey& key)
+void RequestGate::handleEnd(const DispatchKey& key)
 {
     const Call* call = find(key);
     if (call)
         end(key, call->stopReason);
 }
 
-void RequestGate::takeFailure(const DispatchKey& key, const Error& error)
+void RequestGate::handleFailure(const DispatchKey& key, const Error& error)
 {
     const Call* call = find(key);
     if (!call)
         return;
-    Error said = call->stopReason.value_or(error);
-    // Nothing can have been run over a connection that was never made, whatever stopped the call.
+    Error reported = call->stopReason.value_or(error);
+    // Nothing can have been run if the connection was never established, whatever stopped the call.
     if (error.execution == Execution::NotRun)
-        said.execution = Execution::NotRun;
-    end(key, std::move(said));
+        reported.execution = Execution::NotRun;
+    end(key, std::move(reported));
 }
 
 void RequestGate::end(const DispatchKey& key, std::optional<Error> refused)
 {
-    auto ended = calls_.extract(key);
-    Call& call = ended.mapped();
+    auto node = calls_.extract(key);
+    Call& call = node.mapped();
     if (call.upstream) {
-        admission_.ended();
+        admission_.recordEnd();
         recordServiceTime(call, !refused);
     }
     ports_.targets.endUse(call.target, ports_.clock.now());
@@ -371,7 +375,7 @@
         sendEnd(*call.link, key, *ledger_.answer(key));
     }
     ledger_.complete(key, std::move(refused));
-    startWaiting();
+    startQueued();
 }
 
 void RequestGate::resolve(const std::shared_ptr<ILink>& link, const fb::ResolveT& resolve)
@@ -404,8 +408,8 @@
     const StoredAnswer& answer = *ledger_.answer(key);
     if (answer.hasHead)
         sendHead(*link, key, answer);
-    for (std::size_t offset = from; offset < answer.bytes.size(); offset += largestChunk) {
-        const std::size_t size = std::min(largestChunk, answer.bytes.size() - offset);
+    for (std::size_t offset = from; offset < answer.bytes.size(); offset += maxChunkBytes) {
+        const std::size_t size = std::min(maxChunkBytes, answer.bytes.size() - offset);
         sendChunk(*link, key, offset, answer.bytes.data() + offset, size);
     }
     if (ledger_.isRunning(key))
@@ -463,7 +467,7 @@
     stopAbandoned();
 }
 
-/// Nobody waits for these: their caller was told something else meanwhile, or their router is gone.
+/// Stops calls that no caller waits for any more: it has received another result, or its router has disconnected.
 void RequestGate::stopAbandoned()
 {
     for (const DispatchKey& key : ledger_.takeAbandoned())
@@ -476,29 +480,29 @@
 
 void RequestGate::linkClosed(Incarnation router) { ledger_.linkClosed(router, ports_.clock.now()); }
 
-void RequestGate::forgetGoneRouters()
+void RequestGate::forgetDisconnectedRouters()
 {
-    ledger_.forgetGoneRouters(ports_.clock.now());
+    ledger_.forgetDisconnectedRouters(ports_.clock.now());
     stopAbandoned();
 }
 
-/// Guards against an agent that is ended by force over its queue: nobody could say any more that what waited there was
-/// never given to the upstream, and its callers would hear only at their deadlines that it may have run. What can't end
-/// in time by the forecast goes to another upstream at once.
-void RequestGate::beginDraining(const framework::ServiceEnd& end)
+/// Prevents the process from being killed while requests still wait: no process could then report that they never
+/// reached the upstream, and their callers would learn only at their deadlines that the requests may have run. Requests
+/// that can't end in time by the forecast are refused immediately, so that another upstream can serve them.
+void RequestGate::beginDraining(const framework::ShutdownDeadlines& end)
 {
-    serviceEnd_ = end;
+    shutdownDeadlines_ = end;
     std::vector<DispatchKey> hopeless;
     for (auto& [key, call] : calls_) {
         if (call.upstream)
-            armRunning(key, call);
+            armRunTimer(key, call);
         else if (queueRefusal({ key, call.request.priority, call.request.deadline }, call.target))
             hopeless.push_back(key);
         else
-            armWaiting(key, call);
+            armQueueTimer(key, call);
     }
     for (const DispatchKey& key : hopeless)
-        stop(key, draining("the agent ends before its turn", Execution::NotRun));
+        stop(key, drainingRefusal("the agent ends before its turn", Execution::NotRun));
 }
 
 void RequestGate::publish()
--- a/src/agent/internal/requestgate.h
+++ b/src/agent/internal/requestgate.h
@@ -1,15 +1,15 @@
 #pragma once
 
 #include "agent/agentsettings.h"
-#include "agent/internal/admission.h"
+#include "agent/internal/admissionqueue.h"
 #include "agent/internal/requestledger.h"
 #include "agent/internal/servicetimes.h"
-#include "agent/itargetuse.h"
+#include "agent/iservedtargets.h"
 #include "agent/iupstream.h"
 #include "framework/controlthread.h"
 #include "framework/iclock.h"
 #include "framework/metrics.h"
-#include "framework/types/serviceend.h"
+#include "framework/types/shutdowndeadlines.h"
 #include "wire/ilink.h"
 
 #include <map>
@@ -19,18 +19,18 @@
 
 namespace lagoon::agent {
 
-/// What the gate works with.
+/// Dependencies of a RequestGate.
 struct GatePorts {
     framework::IControlExecutor& control;
     const framework::IClock& clock;
-    ITargetUse& targets;
+    IServedTargets& targets;
     std::shared_ptr<IUpstream> upstream;
     std::shared_ptr<framework::Metrics> metrics;
 };
 
-/// Takes each dispatch from a router through ledger, admission and upstream to its one answer or refusal. The work
-/// doesn't depend on the link it came by: when that falls silent, it goes on and its answer is kept for `resolve`.
-/// Control thread only.
+/// Handles dispatches from routers: passes each through the ledger, the admission queue and the upstream, and sends
+/// exactly one answer or refusal. The work doesn't depend on the link that the dispatch came over: when the link goes
+/// silent, the work continues and its answer is kept for `resolve`. Control thread only.
 class RequestGate {
 public:
     RequestGate(GatePorts, framework::Incarnation own, const AgentLimits&);
@@ -42,40 +42,40 @@
     std::uint64_t openSession(framework::Incarnation router);
     void linkOpened(framework::Incarnation router);
     void linkClosed(framework::Incarnation router);
-    /// Drops what routers that are gone have left.
-    void forgetGoneRouters();
-    /// From now on everything new is refused as not run, and what was taken has its end in time for the process's.
-    void beginDraining(const framework::ServiceEnd&);
+    /// Drops the ledger entries of routers that have been disconnected for too long.
+    void forgetDisconnectedRouters();
+    /// From now on new dispatches are refused as not run, and accepted ones end in time for the process to exit.
+    void beginDraining(const framework::ShutdownDeadlines&);
 
     std::uint32_t running() const { return admission_.running(); }
     std::uint32_t waiting() const { return admission_.waiting(); }
     bool isIdle() const { return calls_.empty(); }
-    /// Routers have confirmed all answers.
+    /// Whether routers have confirmed all answers.
     bool isSettled() const { return isIdle() && ledger_.entries() == 0; }
     const RequestLedger& ledger() const { return ledger_; }
 
 private:
-    /// A dispatch that hasn't ended.
+    /// A dispatch that waits or runs.
     struct Call {
         Target target;
         UpstreamRequest request;
         std::shared_ptr<wire::ILink> link;
         std::unique_ptr<framework::Timer> deadlineTimer;
         std::shared_ptr<IUpstreamCall> upstream;
-        /// Why it was stopped; in place of what the upstream says then.
+        /// Why the call was stopped; replaces the error that the upstream then reports.
         std::optional<framework::Error> stopReason;
         framework::SteadyTime receivedAt {};
         framework::SteadyTime startedAt {};
     };
 
     void admit(const DispatchKey&, Call);
-    void startWaiting();
+    void startQueued();
     void run(const DispatchKey&);
     void stop(const DispatchKey&, framework::Error);
-    void takeHead(const DispatchKey&, unsigned short status, HttpHeaders);
-    void takeBytes(const DispatchKey&, std::string);
-    void takeEnd(const DispatchKey&);
-    void takeFailure(const DispatchKey&, const framework::Error&);
+    void handleHead(const DispatchKey&, unsigned short status, HttpHeaders);
+    void handleBytes(const DispatchKey&, std::string);
+    void handleEnd(const DispatchKey&);
+    void handleFailure(const DispatchKey&, const framework::Error&);
     void end(const DispatchKey&, std::optional<framework::Error>);
     void stopAbandoned();
     void refuse(const std::shared_ptr<wire::ILink>&, const DispatchKey&, const framework::Error&);
@@ -85,21 +85,21 @@
     void publish();
     std::optional<framework::Error> admissionRefusal(const Call&) const;
     std::optional<framework::Error> queueRefusal(const WaitingDispatch&, const Target&) const;
-    framework::Deadline lastAnswer(framework::Deadline ofRequest) const;
-    void armWaiting(const DispatchKey&, Call&);
-    void reviewWaiting(const Target&);
-    void armRunning(const DispatchKey&, Call&);
-    void recordServiceTime(const Call&, bool isWhole);
+    framework::Deadline answerDeadline(framework::Deadline ofRequest) const;
+    void armQueueTimer(const DispatchKey&, Call&);
+    void refuseHopeless(const Target&);
+    void armRunTimer(const DispatchKey&, Call&);
+    void recordServiceTime(const Call&, bool isComplete);
     Call* find(const DispatchKey&);
 
     GatePorts ports_;
     AgentLimits limits_;
     RequestLedger ledger_;
-    Admission admission_;
+    AdmissionQueue admission_;
     ServiceTimes serviceTimes_;
     std::map<DispatchKey, Call> calls_;
     /// Set while draining.
-    std::optional<framework::ServiceEnd> serviceEnd_;
+    std::optional<framework::ShutdownDeadlines> shutdownDeadlines_;
 };
 
 } // namespace lagoon::agent
--- a/src/agent/internal/requestledger.cpp
+++ b/src/agent/internal/requestledger.cpp
@@ -25,8 +25,8 @@
     return RequestLedger(own, limits);
 }
 
-// Session numbers begin at the incarnation, which is random: a Cancel names only the session, and one that was meant
-// for a former process must not hit an id of this one.
+// Session numbers start at the incarnation, which is random. A Cancel frame names only the session, and one addressed
+// to a previous process must not match an id of this process.
 RequestLedger::RequestLedger(framework::Incarnation own, const LedgerLimits& limits)
     : own_(own)
     , limits_(limits)
@@ -62,9 +62,9 @@
 }
 
 framework::Result<RequestLedger::Session*> RequestLedger::sessionFor(
-    const DispatchKey& key, framework::Incarnation meantFor)
+    const DispatchKey& key, framework::Incarnation agentIncarnation)
 {
-    if (meantFor != own_)
+    if (agentIncarnation != own_)
         return refusal(ErrorCode::StaleIncarnation, "meant for another process", Execution::Unknown);
     const auto found = sessions_.find(key.router);
     if (found == sessions_.end() || found->second.number != key.session)
@@ -73,17 +73,17 @@
 }
 
 framework::Result<DispatchVerdict> RequestLedger::dispatch(
-    const DispatchKey& key, framework::Incarnation meantFor, SequenceNumber floor)
+    const DispatchKey& key, framework::Incarnation agentIncarnation, SequenceNumber floor)
 {
-    // Whatever is refused here doesn't run by this frame; what an earlier frame of the same id did, only Resolve asks.
-    auto session = sessionFor(key, meantFor);
+    // A frame refused here isn't run. Only `resolve` reports whether an earlier frame of the same id was run.
+    auto session = sessionFor(key, agentIncarnation);
     if (session.has_error()) {
         Error error = session.error();
         error.execution = Execution::NotRun;
         return error;
     }
     raiseFloor(key.router, *session.value(), floor);
-    // A frame that was delayed for longer than its request lived would run it a second time.
+    // Prevents a second run by a frame that arrives after its request was settled.
     if (key.sequence < session.value()->floor)
         return refusal(ErrorCode::BelowFloor, "the id is settled", Execution::NotRun);
     auto& entries = session.value()->entries;
@@ -112,14 +112,14 @@
 }
 
 framework::Result<ResolveVerdict> RequestLedger::resolve(
-    const DispatchKey& key, framework::Incarnation meantFor, SequenceNumber floor)
+    const DispatchKey& key, framework::Incarnation agentIncarnation, SequenceNumber floor)
 {
-    BOOST_OUTCOME_TRY(session, sessionFor(key, meantFor));
+    BOOST_OUTCOME_TRY(session, sessionFor(key, agentIncarnation));
     raiseFloor(key.router, *session, floor);
     if (key.sequence < session->floor)
         return refusal(ErrorCode::BelowFloor, "the id is settled and forgotten", Execution::Unknown);
     if (session->entries.count(key.sequence) == 0) {
-        // Without room for the fence a late frame could run, so nothing may be promised.
+        // Without space for the fence a late frame could still run, so the outcome is unknown.
         if (entries_ >= limits_.entries)
             return refusal(ErrorCode::TooManyWaiting, "the ledger has no room for a fence", Execution::Unknown);
         fence(key);
@@ -149,7 +149,7 @@
     session.floor = floor;
     auto entry = session.entries.begin();
     while (entry != session.entries.end() && entry->first < floor) {
-        // A running one stays until its work has ended, or the accounts of the upstream's load would be wrong.
+        // A running entry stays until its work has ended; otherwise the accounted load of the upstream would be wrong.
         if (entry->second.state == EntryState::Running) {
             abandoned_.insert(DispatchKey { router, session.number, entry->first });
             ++entry;
@@ -166,13 +166,13 @@
     --entries_;
 }
 
-void RequestLedger::complete(const DispatchKey& key, std::optional<Error> refusalInstead)
+void RequestLedger::complete(const DispatchKey& key, std::optional<Error> refused)
 {
     Entry* entry = findRunning(key);
     if (!entry)
         return;
     entry->state = EntryState::Done;
-    entry->answer.refusal = std::move(refusalInstead);
+    entry->answer.refusal = std::move(refused);
     abandoned_.erase(key);
     Session& session = sessions_.at(key.router);
     if (key.sequence >= session.floor)
@@ -202,16 +202,16 @@
     bytes_ += bytes.size();
 }
 
-void RequestLedger::forgetGoneRouters(framework::SteadyTime now)
+void RequestLedger::forgetDisconnectedRouters(framework::SteadyTime now)
 {
     for (auto session = sessions_.begin(); session != sessions_.end();) {
         if (session->second.links > 0 || !session->second.forgetAt.hasPassed(now)) {
             ++session;
             continue;
         }
-        const SequenceNumber past(~std::uint64_t { 0 });
-        raiseFloor(session->first, session->second, past);
-        // Entries that still run hold the session until their upstream calls have ended.
+        const SequenceNumber aboveAll(~std::uint64_t { 0 });
+        raiseFloor(session->first, session->second, aboveAll);
+        // Running entries keep the session until their upstream calls have ended.
         session = session->second.entries.empty() ? sessions_.erase(session) : std::next(session);
     }
 }
@@ -234,7 +234,7 @@
 
 RequestLedger::Entry* RequestLedger::findRunning(const DispatchKey& key)
 {
-    // The entry belongs to this object, which isn't const here.
+    // The cast is safe: the entry belongs to this object, which isn't const here.
     auto* entry = const_cast<Entry*>(find(key));
     return entry && entry->state == EntryState::Running ? entry : nullptr;
 }
--- a/src/agent/tests/accounts_test.cpp
+++ b/src/agent/tests/accounts_test.cpp
@@ -1,4 +1,4 @@
-#include "agent/internal/admission.h"
+#include "agent/internal/admissionqueue.h"
 #include "agent/internal/httpheaders.h"
 #include "agent/internal/memoryaccount.h"
 
@@ -30,33 +30,33 @@
 
 BOOST_AUTO_TEST_SUITE(MemoryAccounts)
 
-BOOST_AUTO_TEST_CASE(nothingIsReservedBeforeTheEngineWasRead)
+BOOST_AUTO_TEST_CASE(nothingIsReservedBeforeTheTotalIsKnown)
 {
     MemoryAccount account;
     BOOST_TEST(!account.reserve(model("a"), MebiBytes(1)));
-    account.open(MebiBytes(100));
+    account.setTotal(MebiBytes(100));
     BOOST_TEST(account.reserve(model("a"), MebiBytes(100)));
 }
 
-BOOST_AUTO_TEST_CASE(reservationsNeverPassTheTotal)
+BOOST_AUTO_TEST_CASE(reservationsNeverExceedTheTotal)
 {
     MemoryAccount account;
-    account.open(MebiBytes(100));
+    account.setTotal(MebiBytes(100));
     BOOST_TEST(account.reserve(model("a"), MebiBytes(60)));
     BOOST_TEST(!account.reserve(model("b"), MebiBytes(41)));
     BOOST_TEST(account.reserve(model("b"), MebiBytes(40)));
     BOOST_TEST(account.available().value() == 0u);
-    // The same load again keeps what it has.
+    // Reserving again for the same load keeps its reservation.
     BOOST_TEST(account.reserve(model("a"), MebiBytes(60)));
     account.free(model("a"));
     BOOST_TEST(account.available().value() == 60u);
 }
 
-BOOST_AUTO_TEST_CASE(theEnginesTruthGoesBeforeThePlan)
+BOOST_AUTO_TEST_CASE(theEnginesUseIsRecordedBeyondTheTotal)
 {
     MemoryAccount account;
-    account.open(MebiBytes(100));
-    account.enter(model("a"), MebiBytes(130));
+    account.setTotal(MebiBytes(100));
+    account.setReservation(model("a"), MebiBytes(130));
     BOOST_TEST(account.used().value() == 130u);
     BOOST_TEST(account.available().value() == 0u);
     BOOST_TEST(!account.reserve(model("b"), MebiBytes(1)));
@@ -64,11 +64,11 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(Admissions)
+BOOST_AUTO_TEST_SUITE(AdmissionQueues)
 
-BOOST_AUTO_TEST_CASE(priorityThenDeadlineDecidesWhoIsNext)
+BOOST_AUTO_TEST_CASE(higherPriorityThenEarlierDeadlineStartsFirst)
 {
-    Admission admission(1, 3);
+    AdmissionQueue admission(1, 3);
     BOOST_TEST(admission.enqueue(waiting(1, 4, 500)));
     BOOST_TEST(admission.takeStartable().size() == 1u);
     BOOST_TEST(admission.enqueue(waiting(2, 4, 900)));
@@ -78,23 +78,23 @@
     BOOST_TEST(admission.takeStartable().empty());
     std::vector<std::uint64_t> order;
     for (int turn = 0; turn < 3; ++turn) {
-        admission.ended();
+        admission.recordEnd();
         order.push_back(admission.takeStartable().front().key.sequence.value());
     }
     BOOST_TEST(order == (std::vector<std::uint64_t> { 4, 3, 2 }), boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(withoutAQueueOneStillRuns)
+BOOST_AUTO_TEST_CASE(withoutAQueueOneDispatchStillRuns)
 {
-    Admission admission(1, 0);
+    AdmissionQueue admission(1, 0);
     BOOST_TEST(admission.enqueue(waiting(1, 4, 500)));
     BOOST_TEST(admission.takeStartable().size() == 1u);
     BOOST_TEST(!admission.enqueue(waiting(2, 4, 500)));
 }
 
-BOOST_AUTO_TEST_CASE(aCancelledOneGivesUpItsPlace)
+BOOST_AUTO_TEST_CASE(aRemovedDispatchFreesItsSlotInTheQueue)
 {
-    Admission admission(1, 1);
+    AdmissionQueue admission(1, 1);
     BOOST_TEST(admission.enqueue(waiting(1, 4, 500)));
     BOOST_TEST(admission.takeStartable().size() == 1u);
     BOOST_TEST(admission.enqueue(waiting(2, 4, 500)));
@@ -107,7 +107,7 @@
 
 BOOST_AUTO_TEST_SUITE(Headers)
 
-BOOST_AUTO_TEST_CASE(connectionHeadersStayBehind)
+BOOST_AUTO_TEST_CASE(hopByHopHeadersAreNotForwarded)
 {
     const HttpHeaders kept = endToEndHeaders({ { "Accept", "text/plain" }, { "Connection", "close, X-Hop" },
         { "x-hop", "1" }, { "TRANSFER-ENCODING", "chunked" }, { "Content-Type", "application/json" },
--- a/src/agent/tests/fakeengine.h
+++ b/src/agent/tests/fakeengine.h
@@ -9,12 +9,13 @@
 
 namespace lagoon::agent::testing {
 
-/// An engine in memory. Loads end when the test says so; it notes when it was asked to hold more than it can.
+/// An in-memory engine. Loads end when the test calls `finishLoads` or `failLoads`; `isOvercommitted` records whether
+/// the engine ever had to hold more than its memory.
 class FakeEngine final : public IModelEngine {
 public:
     enum class OrderFault : std::uint8_t {
-        LoseAnswer, ///< taken, and the agent doesn't learn it
-        Hold, ///< it stays in the receive buffer until `landHeld`, and the agent learns nothing
+        LoseAnswer, ///< the order is carried out, but its answer is lost
+        Hold, ///< the order stays in the receive buffer until `deliverHeld`; the agent gets no answer
     };
 
     explicit FakeEngine(std::uint64_t memory) { state_.memory = framework::MebiBytes(memory); }
@@ -51,21 +52,21 @@
             state_.replicas, [](const EngineReplica& one) { return one.state == EngineReplicaState::Loading; });
     }
 
-    void landHeld()
+    void deliverHeld()
     {
         for (const EngineOrder& order : held_)
             static_cast<void>(applyLoad(order));
         held_.clear();
     }
 
-    /// Starts anew, empty.
+    /// Restarts the engine, which is empty then.
     void restart()
     {
         state_.replicas.clear();
         ++state_.incarnation;
     }
 
-    void put(const ReplicaId& id, const std::string& version, std::uint64_t memory, EngineReplicaState state)
+    void addReplica(const ReplicaId& id, const std::string& version, std::uint64_t memory, EngineReplicaState state)
     {
         state_.replicas.push_back({ { id, framework::WeightsVersion(version) }, framework::MebiBytes(memory), state });
     }
@@ -91,9 +92,9 @@
     bool isAvailable = true;
     bool checksFencing = false;
     bool isOvercommitted = false;
-    unsigned loadsTaken = 0;
+    unsigned loadsAccepted = 0;
     unsigned unloadOrders = 0;
-    /// In their order.
+    /// In the order of the unloads.
     std::vector<ReplicaId> unloaded;
     std::vector<OrderFault> faults;
 
@@ -133,7 +134,7 @@
             return framework::Error { framework::ErrorCode::Fenced, "load", "engine" };
         if (stateOf(order.checkpoint.replica))
             return framework::success();
-        ++loadsTaken;
+        ++loadsAccepted;
         state_.replicas.push_back({ order.checkpoint, order.memory, EngineReplicaState::Loading });
         std::uint64_t sum = 0;
         for (const EngineReplica& replica : state_.replicas)
@@ -156,7 +157,7 @@
 
     EngineState state_ { 1, {}, {}, {} };
     std::vector<EngineOrder> held_;
-    std::map<ReplicaId, framework::FencingNumber> fences_;
+    std::map<ReplicaId, framework::FencingToken> fences_;
 };
 
 } // namespace lagoon::agent::testing
--- a/src/agent/tests/replicacontroller_test.cpp
+++ b/src/agent/tests/replicacontroller_test.cpp
@@ -32,13 +32,13 @@
 const SiteName site { "lagos" };
 const PoolName pool { "policy" };
 const VmName ownVm { "engine-1" };
-const Milliseconds shortWhile { 500 };
+const Milliseconds shortWait { 500 };
 const Milliseconds settling { 10000 };
 
 ReplicaId model(const char* name) { return { ModelName(name), AdapterName() }; }
 ReplicaId adapter(const char* name, const char* adapterName) { return { ModelName(name), AdapterName(adapterName) }; }
 
-/// A bundle of models of 60 MiB (`a`, `b`) and one of 20 MiB (`small`), and an adapter of `a` of 10 MiB.
+/// A bundle with models of 60 MiB (`a`, `b`) and 20 MiB (`small`), and an adapter of `a` of 10 MiB.
 bundle::Bundle bundleOf(std::uint64_t version, std::uint32_t replicas, const char* weights = "v1")
 {
     bundle::Bundle made;
@@ -63,7 +63,7 @@
     return made;
 }
 
-/// What became of a load.
+/// The result of a load.
 struct LoadWatch {
     bool isDone = false;
     std::optional<Error> error;
@@ -71,9 +71,11 @@
     bool isRefused(ErrorCode code) const { return isDone && error && error->code == code; }
 };
 
-/// One agent's replicas over fakes; `startAgent` again is a new process on the same VM.
-struct Agents {
-    /// Long past for the real clock: what waits by that (`objectstore::updateObject`) tries once and gives up.
+/// The replica controller of one agent with fake dependencies. Another call of `startAgent` starts a new process on the
+/// same VM.
+struct ControllerFixture {
+    /// Starts far in the past of the real clock: code that waits by the real clock (`objectstore::updateObject`) tries
+    /// once and gives up.
     framework::ManualControl control { framework::SteadyTime(std::chrono::milliseconds(1)) };
     FakeEngine engineFake { 100 };
     std::shared_ptr<FakeEngine> engine { &engineFake, [](FakeEngine*) {} };
@@ -84,7 +86,7 @@
     std::uint64_t incarnation = 0;
     bool checksFencing = false;
 
-    void startAgent(const bundle::Bundle& inForce = bundleOf(1, 1))
+    void startAgent(const bundle::Bundle& initialBundle = bundleOf(1, 1))
     {
         const framework::ProcessIdentity identity { ownVm, site, FailureDomainName("ikeja") };
         const auto inlineWork = [](const std::function<void()>& work) { work(); };
@@ -93,11 +95,11 @@
             ReplicaPorts { control, control, inlineWork, inlineWork, claims, engine, metrics },
             ReplicaSettings { site, pool, checksFencing, settling });
         replicas->start();
-        replicas->setBundle(std::make_shared<bundle::Bundle>(inForce));
+        replicas->setBundle(std::make_shared<bundle::Bundle>(initialBundle));
         control.advance(Milliseconds(50));
     }
 
-    /// The process dies: nothing of it happens any more.
+    /// Simulates the death of the process: its pending callbacks are dropped.
     void killAgent()
     {
         control.dropAll();
@@ -115,7 +117,7 @@
         return watch;
     }
 
-    void loadWhole(const ReplicaId& id)
+    void loadAndWait(const ReplicaId& id)
     {
         const auto watch = load(id);
         for (int turn = 0; turn < 40 && !watch->isDone; ++turn) {
@@ -132,17 +134,17 @@
         replicas->endUse({ id, {} }, control.now());
     }
 
-    /// As long as loads take that are worth avoiding.
+    /// Loads a replica so slowly that avoiding a reload is worthwhile.
     void loadSlowly(const ReplicaId& id)
     {
         const auto watch = load(id);
         control.advance(Milliseconds(20000));
         engineFake.finishLoads();
-        control.advance(shortWhile);
+        control.advance(shortWait);
         BOOST_REQUIRE(watch->isLoaded());
     }
 
-    void useAgainAndAgain(const ReplicaId& id, Milliseconds gap, int times)
+    void useRepeatedly(const ReplicaId& id, Milliseconds gap, int times)
     {
         for (int time = 0; time < times; ++time) {
             if (!engineFake.stateOf(id))
@@ -152,7 +154,7 @@
         }
     }
 
-    /// How long it stays, idle from now on.
+    /// How long the replica stays loaded if it is idle from now on.
     Milliseconds timeToUnload(const ReplicaId& id)
     {
         const framework::SteadyTime from = control.now();
@@ -178,7 +180,7 @@
         store->set(bundle::replicaKey(site, id.model, id.adapter), bundle::replicaObjectText(object));
     }
 
-    Replica stageOf(const ReplicaId& id) const
+    Replica replicaOf(const ReplicaId& id) const
     {
         const auto found = replicas->replicas().find(id);
         return found == replicas->replicas().end() ? Replica {} : found->second;
@@ -188,7 +190,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(ReplicaControllers, Agents)
+BOOST_FIXTURE_TEST_SUITE(ReplicaControllers, ControllerFixture)
 
 BOOST_AUTO_TEST_CASE(aLoadClaimsThenOrdersThenServes)
 {
@@ -198,7 +200,7 @@
     BOOST_CHECK(engineFake.stateOf(model("a")) == EngineReplicaState::Loading);
     BOOST_TEST(replicas->beginUse({ model("a"), {} }, control.now()).has_error());
     engineFake.finishLoads();
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(watch->isLoaded());
     BOOST_TEST(replicas->beginUse({ model("a"), {} }, control.now()).has_value());
 }
@@ -209,94 +211,94 @@
     const auto first = load(model("a"));
     const auto second = load(model("a"));
     engineFake.finishLoads();
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(first->isLoaded());
     BOOST_TEST(second->isLoaded());
-    BOOST_TEST(engineFake.loadsTaken == 1u);
+    BOOST_TEST(engineFake.loadsAccepted == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(theCapOfTheBundleHolds)
+BOOST_AUTO_TEST_CASE(theReplicaCapOfTheBundleIsEnforced)
 {
     setHolders(model("a"), { "engine-2" });
     startAgent();
     BOOST_TEST(load(model("a"))->isRefused(ErrorCode::ReplicaCapReached));
-    BOOST_TEST(engineFake.loadsTaken == 0u);
+    BOOST_TEST(engineFake.loadsAccepted == 0u);
     BOOST_TEST(holders(model("a")) == 1u);
 }
 
-// A VM is reclaimed with a claim. The platform's list says it is gone, and nothing of it can come back: its place must
-// not be lost to the model for good.
-BOOST_AUTO_TEST_CASE(aGoneVmsPlaceIsTaken)
+// A VM is reclaimed while it holds a claim. The platform lists it as gone, so its replica can't come back, and its slot
+// must be available again; otherwise the model would permanently have one replica too few.
+BOOST_AUTO_TEST_CASE(theSlotOfAGoneVmCanBeClaimed)
 {
     setHolders(model("a"), { "engine-2" });
     vmList->add("engine-2", objectstore::VmState::Gone);
     startAgent();
-    loadWhole(model("a"));
+    loadAndWait(model("a"));
     BOOST_TEST(holders(model("a")) == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(anIdleModelGoesWhenMemoryIsShort)
+BOOST_AUTO_TEST_CASE(anIdleModelIsEvictedWhenMemoryIsShort)
 {
     startAgent();
-    loadWhole(model("a"));
-    loadWhole(model("b"));
-    control.advance(shortWhile);
+    loadAndWait(model("a"));
+    loadAndWait(model("b"));
+    control.advance(shortWait);
     BOOST_TEST(!engineFake.isOvercommitted);
     BOOST_TEST(!isKnown(model("a")));
     BOOST_TEST(holders(model("a")) == 0u);
     BOOST_TEST(holders(model("b")) == 1u);
 }
 
-// Guards against unloading a model in the short gap between two requests, which makes the second wait for a reload.
+// Prevents unloading a model in the short gap between two requests, which would make the second wait for a reload.
 BOOST_AUTO_TEST_CASE(aModelStaysLoadedBetweenBackToBackRequests)
 {
     startAgent();
-    loadWhole(model("a"));
+    loadAndWait(model("a"));
     use(model("a"));
     control.advance(Milliseconds(1000));
     BOOST_TEST(replicas->beginUse({ model("a"), {} }, control.now()).has_value());
     BOOST_TEST(engineFake.unloadOrders == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(aModelInUseIsNoVictim)
+BOOST_AUTO_TEST_CASE(aModelInUseIsNotEvicted)
 {
     startAgent();
-    loadWhole(model("a"));
+    loadAndWait(model("a"));
     BOOST_REQUIRE(replicas->beginUse({ model("a"), {} }, control.now()).has_value());
     BOOST_TEST(load(model("b"))->isRefused(ErrorCode::MemoryShort));
     replicas->endUse({ model("a"), {} }, control.now());
-    loadWhole(model("b"));
+    loadAndWait(model("b"));
 }
 
-BOOST_AUTO_TEST_CASE(aHopelessLoadIsRefusedAtOnce)
+BOOST_AUTO_TEST_CASE(aHopelessLoadIsRefusedImmediately)
 {
     startAgent();
     BOOST_TEST(load(model("a"), Milliseconds(1))->isRefused(ErrorCode::DeadlineHopeless));
     BOOST_TEST(!isKnown(model("a")));
 }
 
-BOOST_AUTO_TEST_CASE(anAdapterBringsItsModel)
+BOOST_AUTO_TEST_CASE(loadingAnAdapterLoadsItsModel)
 {
     startAgent();
-    loadWhole(adapter("a", "fine"));
+    loadAndWait(adapter("a", "fine"));
     BOOST_CHECK(engineFake.stateOf(model("a")) == EngineReplicaState::Loaded);
     BOOST_TEST(holders(adapter("a", "fine")) == 1u);
-    // The model can't go from under a request to the adapter.
+    // The model can't be evicted while a request uses its adapter.
     BOOST_REQUIRE(replicas->beginUse({ adapter("a", "fine"), {} }, control.now()).has_value());
     BOOST_TEST(load(model("b"))->isRefused(ErrorCode::MemoryShort));
     replicas->endUse({ adapter("a", "fine"), {} }, control.now());
-    loadWhole(model("b"));
+    loadAndWait(model("b"));
     BOOST_TEST(!engineFake.isOvercommitted);
     BOOST_TEST(!engineFake.stateOf(adapter("a", "fine")).has_value());
 }
 
-// Guards against a deadlock between an adapter that waits for memory and a load that waits for its model's memory.
+// Prevents a deadlock between an adapter that waits for memory and a load that waits for its model's memory.
 BOOST_AUTO_TEST_CASE(anAdapterRequestedWhileItsModelIsUnloadedDoesNotBlockOtherLoads)
 {
     startAgent();
-    loadWhole(adapter("a", "fine"));
+    loadAndWait(adapter("a", "fine"));
     const auto otherLoad = load(model("b"));
-    BOOST_CHECK(stageOf(adapter("a", "fine")).stage == ReplicaStage::Unloading);
+    BOOST_CHECK(replicaOf(adapter("a", "fine")).stage == ReplicaStage::Unloading);
     const auto adapterLoad = load(adapter("a", "fine"));
     for (int turn = 0; turn < 100; ++turn) {
         engineFake.finishLoads();
@@ -307,17 +309,17 @@
     BOOST_TEST(!engineFake.isOvercommitted);
 }
 
-// Guards against an adapter that finishes loading while its model is draining and keeps the old model version loaded.
+// Prevents an adapter that finishes loading while its model is draining from keeping the old model version loaded.
 BOOST_AUTO_TEST_CASE(aNewModelVersionIsLoadedEvenIfAnAdapterWasStillLoading)
 {
     startAgent();
-    loadWhole(model("a"));
+    loadAndWait(model("a"));
     load(adapter("a", "fine"));
     control.advance(Milliseconds(20000));
-    BOOST_CHECK(stageOf(adapter("a", "fine")).stage == ReplicaStage::Loading);
+    BOOST_CHECK(replicaOf(adapter("a", "fine")).stage == ReplicaStage::Loading);
     replicas->setBundle(std::make_shared<bundle::Bundle>(bundleOf(2, 1, "v2")));
     const auto isReloaded = [this] {
-        const Replica replica = stageOf(model("a"));
+        const Replica replica = replicaOf(model("a"));
         return replica.stage == ReplicaStage::Loaded && replica.version.value() == "v2";
     };
     for (int turn = 0; turn < 50 && !isReloaded(); ++turn) {
@@ -327,17 +329,17 @@
     BOOST_TEST(isReloaded());
 }
 
-// Guards against a model that waits for memory and keeps its claim after all callers of its adapter have timed out.
+// Prevents a model that waits for memory from keeping its claim after all callers of its adapter have timed out.
 BOOST_AUTO_TEST_CASE(aWaitingModelIsReleasedAfterItsAdaptersLastCallerTimesOut)
 {
     startAgent();
-    loadWhole(model("b"));
+    loadAndWait(model("b"));
     BOOST_REQUIRE(replicas->beginUse({ model("b"), {} }, control.now()).has_value());
     // Makes model b drain, but it keeps its memory while in use.
     replicas->setBundle(std::make_shared<bundle::Bundle>(bundleOf(2, 1, "v2")));
     const auto watch = load(adapter("a", "fine"), Milliseconds(5000));
-    control.advance(shortWhile);
-    BOOST_CHECK(stageOf(model("a")).stage == ReplicaStage::WaitingForMemory);
+    control.advance(shortWait);
+    BOOST_CHECK(replicaOf(model("a")).stage == ReplicaStage::WaitingForMemory);
     control.advance(Milliseconds(7000));
     BOOST_TEST(watch->isRefused(ErrorCode::DeadlinePassed));
     BOOST_TEST(!isKnown(adapter("a", "fine")));
@@ -350,14 +352,15 @@
     startAgent();
     const auto watch = load(model("a"));
     engineFake.failLoads();
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(watch->isRefused(ErrorCode::LoadFailed));
     BOOST_TEST(holders(model("a")) == 0u);
     BOOST_TEST(replicas->memory().used().value() == 0u);
 }
 
-// The platform is down while a claim is to be given up. Forgetting it would leave the model one replica short for good.
-BOOST_AUTO_TEST_CASE(aFreeThatCannotBeWrittenIsWrittenLater)
+// Prevents a claim from being lost when the platform is down during its release: the model would permanently have one
+// replica too few.
+BOOST_AUTO_TEST_CASE(aReleaseThatCannotBeWrittenIsRetried)
 {
     startAgent();
     load(model("a"));
@@ -371,53 +374,53 @@
     BOOST_TEST(!isKnown(model("a")));
 }
 
-// The platform is down when an idle model is called. Warm models go on being served; the load is refused as not run.
-BOOST_AUTO_TEST_CASE(withThePlatformDownWarmModelsGoOn)
+// While the platform is down, loaded models must still be served, and a load of another model is refused as not run.
+BOOST_AUTO_TEST_CASE(loadedModelsAreServedWhileThePlatformIsDown)
 {
     startAgent();
-    loadWhole(model("a"));
+    loadAndWait(model("a"));
     store->setAvailable(false);
     const auto watch = load(model("small"), Milliseconds(1500));
     BOOST_TEST(watch->isRefused(ErrorCode::PlatformUnavailable));
     BOOST_TEST(replicas->beginUse({ model("a"), {} }, control.now()).has_value());
 }
 
-// The answer to the claim's write is lost though the write took effect, and the load is refused meanwhile. The claim
-// must be given up, or the model would stay one replica short.
-BOOST_AUTO_TEST_CASE(aClaimOfUnknownOutcomeIsGivenUp)
+// A claim write takes effect, but its answer is lost and the load is refused. The claim must be released; otherwise the
+// model would have one replica too few.
+BOOST_AUTO_TEST_CASE(aClaimOfUnknownOutcomeIsReleased)
 {
     startAgent();
     store->failNextWrites({ WriteFault::LoseAnswer });
     BOOST_TEST(load(model("a"))->isRefused(ErrorCode::PlatformUnavailable));
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(holders(model("a")) == 0u);
-    BOOST_TEST(engineFake.loadsTaken == 0u);
-    loadWhole(model("a"));
+    BOOST_TEST(engineFake.loadsAccepted == 0u);
+    loadAndWait(model("a"));
 }
 
-// The same, but the write is merely late, and lands when the agent has given the claim up.
-BOOST_AUTO_TEST_CASE(aLateClaimDoesNotTakeAPlace)
+// Prevents a claim write that is delayed until the agent has released the claim from taking a slot.
+BOOST_AUTO_TEST_CASE(aLateClaimDoesNotTakeASlot)
 {
     startAgent();
     store->failNextWrites({ WriteFault::Hold });
     BOOST_TEST(load(model("a"))->isRefused(ErrorCode::PlatformUnavailable));
-    control.advance(shortWhile);
-    store->landHeldWrites();
+    control.advance(shortWait);
+    store->deliverHeldWrites();
     BOOST_TEST(holders(model("a")) == 0u);
 }
 
-// The engine takes the load order, the agent doesn't learn it, and gives the order again. The load must be one.
+// The engine accepts a load order, but its answer is lost and the agent repeats the order. The engine must load once.
 BOOST_AUTO_TEST_CASE(aLostAnswerToTheLoadOrderLoadsOnce)
 {
     startAgent();
     engineFake.faults = { FakeEngine::OrderFault::LoseAnswer };
-    loadWhole(model("a"));
-    BOOST_TEST(engineFake.loadsTaken == 1u);
+    loadAndWait(model("a"));
+    BOOST_TEST(engineFake.loadsAccepted == 1u);
 }
 
-// An agent dies in the middle of a load; the next one on the VM finds the load in the engine and carries it on under
-// the same claim, instead of loading the model a second time elsewhere.
-BOOST_AUTO_TEST_CASE(aRestartedAgentAdoptsTheLoadUnderWay)
+// An agent dies during a load. The next agent on the VM must find the load in the engine and continue it under the same
+// claim, instead of the model being loaded a second time elsewhere.
+BOOST_AUTO_TEST_CASE(aRestartedAgentAdoptsTheLoadInProgress)
 {
     startAgent();
     load(model("a"));
@@ -426,16 +429,16 @@
     BOOST_TEST(holders(model("a")) == 1u);
     const auto watch = load(model("a"));
     engineFake.finishLoads();
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(watch->isLoaded());
-    BOOST_TEST(engineFake.loadsTaken == 1u);
-    BOOST_TEST(stageOf(model("a")).isClaimed);
+    BOOST_TEST(engineFake.loadsAccepted == 1u);
+    BOOST_TEST(replicaOf(model("a")).isClaimed);
 }
 
-// An agent dies right after it sent a load order, which the engine reads only much later. The restarted agent sees a
-// claim and an empty engine. Were claim and memory freed at once, another model would be loaded, then the late order
-// read, and the accelerator overcommitted. The engine ignores fencing numbers.
-BOOST_AUTO_TEST_CASE(aLateLoadOfTheFormerAgentIsReckonedWith)
+// Prevents overcommitted accelerator memory: an agent dies right after it has sent a load order, which the engine reads
+// only much later. The restarted agent sees a claim and an empty engine. If it freed claim and memory immediately, it
+// would load another model before the late order arrives. The engine ignores fencing tokens.
+BOOST_AUTO_TEST_CASE(memoryStaysReservedForALateLoadOfThePreviousAgent)
 {
     startAgent();
     engineFake.faults = { FakeEngine::OrderFault::Hold };
@@ -443,19 +446,19 @@
     killAgent();
     startAgent();
     control.advance(Milliseconds(1000));
-    BOOST_CHECK(stageOf(model("a")).stage == ReplicaStage::Settling);
+    BOOST_CHECK(replicaOf(model("a")).stage == ReplicaStage::Settling);
     const auto other = load(model("b"));
     control.advance(Milliseconds(1000));
-    BOOST_TEST(engineFake.loadsTaken == 0u);
-    engineFake.landHeld();
-    control.advance(shortWhile);
-    BOOST_CHECK(stageOf(model("a")).stage == ReplicaStage::Loading);
+    BOOST_TEST(engineFake.loadsAccepted == 0u);
+    engineFake.deliverHeld();
+    control.advance(shortWait);
+    BOOST_CHECK(replicaOf(model("a")).stage == ReplicaStage::Loading);
     BOOST_TEST(holders(model("a")) == 1u);
     BOOST_TEST(!other->isDone);
     engineFake.finishLoads();
-    control.advance(shortWhile);
+    control.advance(shortWait);
     engineFake.finishLoads();
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(other->isLoaded());
     BOOST_TEST(!engineFake.isOvercommitted);
 }
@@ -471,9 +474,10 @@
     BOOST_TEST(replicas->memory().used().value() == 0u);
 }
 
-// The same late order, at an engine that checks fencing numbers: the restarted agent takes the claim over, which gives
-// a newer number, and shows it to the engine. The late order is refused, so nothing needs to be waited for.
-BOOST_AUTO_TEST_CASE(aCheckingEngineRefusesTheLateLoad)
+// A late load order of a previous agent reaches an engine that checks fencing tokens. The restarted agent takes over
+// the claim, which gives a newer token, and sends it to the engine. The engine then refuses the late order, so the
+// agent doesn't have to wait for the settling time.
+BOOST_AUTO_TEST_CASE(anEngineThatChecksFencingRefusesTheLateLoad)
 {
     checksFencing = true;
     engineFake.checksFencing = true;
@@ -484,9 +488,9 @@
     startAgent();
     control.advance(Milliseconds(1000));
     BOOST_TEST(holders(model("a")) == 0u);
-    loadWhole(model("b"));
-    engineFake.landHeld();
-    BOOST_TEST(engineFake.loadsTaken == 1u);
+    loadAndWait(model("b"));
+    engineFake.deliverHeld();
+    BOOST_TEST(engineFake.loadsAccepted == 1u);
     BOOST_TEST(!engineFake.isOvercommitted);
 }
 
@@ -497,151 +501,152 @@
     BOOST_TEST(load(model("a"))->isRefused(ErrorCode::NotReady));
     store->setAvailable(true);
     control.advance(Milliseconds(5000));
-    loadWhole(model("a"));
+    loadAndWait(model("a"));
 }
 
-// The platform is down when an agent starts beside an engine that has models: they are served all the same.
-BOOST_AUTO_TEST_CASE(whatTheEngineHasIsServedBeforeClaimsAreRead)
+// If the platform is down when an agent starts, the models that its engine has loaded must still be served.
+BOOST_AUTO_TEST_CASE(loadedModelsAreServedBeforeClaimsAreRead)
 {
     store->setAvailable(false);
-    engineFake.put(model("a"), "v1", 60, EngineReplicaState::Loaded);
+    engineFake.addReplica(model("a"), "v1", 60, EngineReplicaState::Loaded);
     startAgent();
     BOOST_TEST(replicas->beginUse({ model("a"), {} }, control.now()).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(aNewVersionReplacesTheOldInItsPlace)
+BOOST_AUTO_TEST_CASE(aNewVersionReplacesTheOldUnderTheSameClaim)
 {
     startAgent();
-    loadWhole(model("a"));
+    loadAndWait(model("a"));
     BOOST_REQUIRE(replicas->beginUse({ model("a"), {} }, control.now()).has_value());
     replicas->setBundle(std::make_shared<bundle::Bundle>(bundleOf(2, 1, "v2")));
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(engineFake.versionOf(model("a")) == "v1");
     replicas->endUse({ model("a"), {} }, control.now());
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(engineFake.versionOf(model("a")) == "v2");
     BOOST_TEST(holders(model("a")) == 1u);
     engineFake.finishLoads();
-    control.advance(shortWhile);
-    BOOST_CHECK(stageOf(model("a")).stage == ReplicaStage::Loaded);
+    control.advance(shortWait);
+    BOOST_CHECK(replicaOf(model("a")).stage == ReplicaStage::Loaded);
     BOOST_TEST(!engineFake.isOvercommitted);
 }
 
-// Operators lower a count while the replicas serve. The last holders drain: requests under way end whole, then the
-// replica goes.
+// When operators lower a count while the replicas serve, the last holders drain: requests in progress complete, then
+// the replica is unloaded.
 BOOST_AUTO_TEST_CASE(aLoweredCountDrainsTheLastHolder)
 {
     setHolders(model("a"), { "engine-2" }, 2);
     startAgent(bundleOf(1, 2));
-    loadWhole(model("a"));
+    loadAndWait(model("a"));
     BOOST_REQUIRE(replicas->beginUse({ model("a"), {} }, control.now()).has_value());
     replicas->setBundle(std::make_shared<bundle::Bundle>(bundleOf(2, 1)));
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(replicas->beginUse({ model("a"), {} }, control.now()).has_error());
     BOOST_CHECK(engineFake.stateOf(model("a")) == EngineReplicaState::Loaded);
     replicas->endUse({ model("a"), {} }, control.now());
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(!engineFake.stateOf(model("a")).has_value());
     BOOST_TEST(holders(model("a")) == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(anIdleReplicaIsUnloadedInTheEnd)
+BOOST_AUTO_TEST_CASE(anIdleReplicaIsEventuallyUnloaded)
 {
     startAgent();
-    loadWhole(model("a"));
+    loadAndWait(model("a"));
     control.advance(std::chrono::hours(25));
     BOOST_TEST(!engineFake.stateOf(model("a")).has_value());
     BOOST_TEST(holders(model("a")) == 0u);
 }
 
-BOOST_AUTO_TEST_CASE(whatIsUsedAtShortGapsStaysAndAtLongGapsGoes)
+BOOST_AUTO_TEST_CASE(replicasStayLoadedAtShortIdleGapsAndNotAtLongOnes)
 {
     startAgent();
-    useAgainAndAgain(model("a"), Milliseconds(25000), 20);
-    BOOST_TEST(engineFake.loadsTaken == 1u);
+    useRepeatedly(model("a"), Milliseconds(25000), 20);
+    BOOST_TEST(engineFake.loadsAccepted == 1u);
     BOOST_CHECK(engineFake.stateOf(model("a")) == EngineReplicaState::Loaded);
-    Agents rare;
+    ControllerFixture rare;
     rare.startAgent();
-    rare.useAgainAndAgain(model("a"), std::chrono::hours(1), 10);
-    BOOST_TEST(rare.engineFake.loadsTaken == 10u);
+    rare.useRepeatedly(model("a"), std::chrono::hours(1), 10);
+    BOOST_TEST(rare.engineFake.loadsAccepted == 10u);
     rare.loadSlowly(model("a"));
     rare.use(model("a"));
     BOOST_TEST(rare.timeToUnload(model("a")).count() < 25000);
 }
 
-// A model is called every half minute until others' loads take its memory. Were its gaps forgotten with it, it would
-// have to be learnt anew each time that it is worth keeping, at its callers' cost.
-BOOST_AUTO_TEST_CASE(gapsSurviveAnUnload)
+// A model that is used every half minute is evicted by the load of another. If its idle gaps were dropped with it, the
+// policy would have to learn each time again that it is worth keeping, while its callers wait for reloads.
+BOOST_AUTO_TEST_CASE(idleGapsSurviveAnUnload)
 {
-    constexpr std::size_t from16To32Seconds = 4;
-    constexpr float allThatThePriorGives = 5;
+    constexpr std::size_t bucket16To32Seconds = 4;
+    constexpr float priorWeight = 5;
     startAgent();
-    useAgainAndAgain(model("a"), Milliseconds(25000), 20);
-    loadWhole(model("b"));
+    useRepeatedly(model("a"), Milliseconds(25000), 20);
+    loadAndWait(model("b"));
     BOOST_REQUIRE(!isKnown(model("a")));
-    loadWhole(model("a"));
-    BOOST_TEST(stageOf(model("a")).gaps.weight(from16To32Seconds) > 2 * allThatThePriorGives);
-    // Those of a model that was never used are the prior only.
-    loadWhole(model("small"));
-    BOOST_TEST(stageOf(model("small")).gaps.weight(from16To32Seconds) <= allThatThePriorGives);
+    loadAndWait(model("a"));
+    BOOST_TEST(replicaOf(model("a")).gaps.weight(bucket16To32Seconds) > 2 * priorWeight);
+    // The gaps of a model that was never used consist of the prior only.
+    loadAndWait(model("small"));
+    BOOST_TEST(replicaOf(model("small")).gaps.weight(bucket16To32Seconds) <= priorWeight);
 }
 
-// An adapter takes so little memory that by itself it stays for hours, and its model with it, which nobody uses.
-BOOST_AUTO_TEST_CASE(adaptersGoBeforeTheirModelAndDoNotHoldIt)
+// An adapter takes so little memory that it would stay loaded for hours. It must not keep its model, which nobody uses,
+// loaded for as long.
+BOOST_AUTO_TEST_CASE(adaptersAreUnloadedBeforeTheirModelAndDoNotKeepItLoaded)
 {
-    Agents alone;
+    ControllerFixture alone;
     alone.startAgent();
     alone.loadSlowly(model("a"));
     alone.use(model("a"));
-    const Milliseconds ofModel = alone.timeToUnload(model("a"));
+    const Milliseconds modelTime = alone.timeToUnload(model("a"));
     startAgent();
     loadSlowly(model("a"));
     loadSlowly(adapter("a", "fine"));
     use(adapter("a", "fine"));
-    BOOST_TEST(timeToUnload(model("a")).count() <= (ofModel + Milliseconds(10000)).count());
+    BOOST_TEST(timeToUnload(model("a")).count() <= (modelTime + Milliseconds(10000)).count());
     const std::vector<ReplicaId> inOrder { adapter("a", "fine"), model("a") };
     BOOST_CHECK(engineFake.unloaded == inOrder);
 }
 
-BOOST_AUTO_TEST_CASE(aRestartedEngineFreesItsClaims)
+BOOST_AUTO_TEST_CASE(claimsAreReleasedAfterAnEngineRestart)
 {
     startAgent();
-    loadWhole(model("a"));
-    control.advance(shortWhile);
+    loadAndWait(model("a"));
+    control.advance(shortWait);
     engineFake.restart();
     control.advance(Milliseconds(5000));
     BOOST_TEST(holders(model("a")) == 0u);
     BOOST_TEST(replicas->beginUse({ model("a"), {} }, control.now()).has_error());
-    loadWhole(model("a"));
+    loadAndWait(model("a"));
 }
 
-// The answer to a load order is lost, the order is given again and that load fails. The first order may still lie
-// unread in the engine, so the memory isn't free yet.
-BOOST_AUTO_TEST_CASE(aLostOrderIsReckonedWithAfterItsLoadFailed)
+// The answer to a load order is lost, the order is repeated and that load fails. The first order may still be unread in
+// the engine, so the memory must stay reserved.
+BOOST_AUTO_TEST_CASE(memoryStaysReservedForALostOrderAfterItsLoadFailed)
 {
     startAgent();
     engineFake.faults = { FakeEngine::OrderFault::Hold };
     const auto watch = load(model("a"));
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_CHECK(engineFake.stateOf(model("a")) == EngineReplicaState::Loading);
     engineFake.failLoads();
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(watch->isRefused(ErrorCode::LoadFailed));
-    BOOST_CHECK(stageOf(model("a")).stage == ReplicaStage::Settling);
+    BOOST_CHECK(replicaOf(model("a")).stage == ReplicaStage::Settling);
     const auto other = load(model("b"));
-    control.advance(shortWhile);
-    engineFake.landHeld();
-    control.advance(shortWhile);
+    control.advance(shortWait);
+    engineFake.deliverHeld();
+    control.advance(shortWait);
     BOOST_TEST(!engineFake.isOvercommitted);
     engineFake.finishLoads();
-    control.advance(shortWhile);
+    control.advance(shortWait);
     engineFake.finishLoads();
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(other->isLoaded());
 }
 
-// An engine dies. Homes must not send loads to its agent, which can't carry them out, while others could.
-BOOST_AUTO_TEST_CASE(anEngineThatDoesNotAnswerTakesNoLoads)
+// Prevents homes from sending loads to an agent whose engine has died, while other agents could carry them out.
+BOOST_AUTO_TEST_CASE(loadsAreRefusedWhileTheEngineDoesNotAnswer)
 {
     startAgent();
     BOOST_TEST(!replicas->offer(model("a")).refusal.has_value());
@@ -651,39 +656,39 @@
     BOOST_TEST(load(model("a"))->isRefused(ErrorCode::NotReady));
     engineFake.isAvailable = true;
     control.advance(Milliseconds(5000));
-    loadWhole(model("a"));
+    loadAndWait(model("a"));
 }
 
-// An operator releases a claim by force while its agent lives. The next agent to claim relies on the place being free,
-// so the replica goes at the latest when the counts are looked at.
-BOOST_AUTO_TEST_CASE(aReplicaWhoseClaimWasReleasedByForceGoes)
+// An operator releases a claim by force while its agent still runs. The next agent to claim the slot relies on it being
+// free, so the replica must be unloaded at the latest when the count is checked.
+BOOST_AUTO_TEST_CASE(aReplicaWhoseClaimWasReleasedByForceIsUnloaded)
 {
     startAgent(bundleOf(1, 2));
-    loadWhole(model("a"));
+    loadAndWait(model("a"));
     setHolders(model("a"), { "engine-2" });
     replicas->setBundle(std::make_shared<bundle::Bundle>(bundleOf(2, 1)));
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(!engineFake.stateOf(model("a")).has_value());
     BOOST_TEST(holders(model("a")) == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(aDrainingAgentTellsThoseWhoWaitForLoads)
+BOOST_AUTO_TEST_CASE(aDrainingAgentRefusesPendingLoads)
 {
     startAgent();
     const auto watch = load(model("a"));
     replicas->beginDraining();
     BOOST_TEST(watch->isRefused(ErrorCode::Draining));
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(holders(model("a")) == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(aDrainingAgentLoadsNothingAndKeepsItsClaims)
 {
     startAgent();
-    loadWhole(model("a"));
+    loadAndWait(model("a"));
     replicas->beginDraining();
     BOOST_TEST(load(model("small"))->isRefused(ErrorCode::Draining));
-    control.advance(shortWhile);
+    control.advance(shortWait);
     BOOST_TEST(holders(model("a")) == 1u);
 }
 
--- a/src/agent/tests/requestledger_test.cpp
+++ b/src/agent/tests/requestledger_test.cpp
@@ -17,7 +17,7 @@
 const SequenceNumber noFloor { 1 };
 const SteadyTime start { std::chrono::hours(1) };
 
-struct OpenLedger {
+struct LedgerFixture {
     RequestLedger ledger = RequestLedger::restart(own, { 4, 100, Milliseconds(1000) });
     std::uint64_t session = ledger.openSession(router, start);
 
@@ -43,9 +43,9 @@
 
 BOOST_AUTO_TEST_SUITE(RequestLedgers)
 
-// The router's link falls silent before its frame arrives. It asks over a new link, is told "not run" and sends the
-// draft elsewhere. Minutes later the old frame arrives: without the fence the draft would be made twice.
-BOOST_FIXTURE_TEST_CASE(aLateFrameAfterAResolveDoesNotRun, OpenLedger)
+// Prevents a second run: a router's link goes silent before its dispatch frame arrives. The router resolves the id over
+// a new link, gets "not run" and sends the request elsewhere. Minutes later the old frame arrives and must be refused.
+BOOST_FIXTURE_TEST_CASE(aLateFrameAfterAResolveDoesNotRun, LedgerFixture)
 {
     BOOST_CHECK(resolve(1).value() == ResolveVerdict::Fenced);
     checkRefused(dispatch(1), ErrorCode::Fenced, Execution::NotRun);
@@ -53,13 +53,13 @@
     BOOST_TEST(!ledger.isRunning(key(1)));
 }
 
-BOOST_FIXTURE_TEST_CASE(aCancelBeforeItsDispatchFencesIt, OpenLedger)
+BOOST_FIXTURE_TEST_CASE(aCancelBeforeItsDispatchFencesIt, LedgerFixture)
 {
     ledger.fence(key(1));
     checkRefused(dispatch(1), ErrorCode::Fenced, Execution::NotRun);
 }
 
-BOOST_FIXTURE_TEST_CASE(theSameFrameTwiceRunsOnce, OpenLedger)
+BOOST_FIXTURE_TEST_CASE(aRepeatedFrameRunsOnce, LedgerFixture)
 {
     BOOST_CHECK(dispatch(1).value() == DispatchVerdict::Started);
     BOOST_CHECK(dispatch(1).value() == DispatchVerdict::AlreadyKnown);
@@ -68,21 +68,22 @@
     BOOST_CHECK(resolve(1).value() == ResolveVerdict::Done);
 }
 
-// The agent dies and starts anew with an empty ledger while a frame to the former process is still under way. Were it
-// taken, a slot could be held twice; were it said to be "not run", that could be a lie about the former process.
-BOOST_FIXTURE_TEST_CASE(aFrameForTheFormerProcessIsRefused, OpenLedger)
+// An agent restarts with an empty ledger while a frame to its previous process is still in transit. If the frame were
+// run, the upstream could book a slot twice; "not run" as the answer to a resolve could be wrong for the previous
+// process.
+BOOST_FIXTURE_TEST_CASE(aFrameForThePreviousProcessIsRefused, LedgerFixture)
 {
     checkRefused(ledger.dispatch(key(1), Incarnation(99), noFloor), ErrorCode::StaleIncarnation, Execution::NotRun);
     checkRefused(ledger.resolve(key(1), Incarnation(99), noFloor), ErrorCode::StaleIncarnation, Execution::Unknown);
 }
 
-BOOST_FIXTURE_TEST_CASE(sessionsDifferAcrossRestarts, OpenLedger)
+BOOST_FIXTURE_TEST_CASE(sessionsDifferAcrossRestarts, LedgerFixture)
 {
     auto restarted = RequestLedger::restart(Incarnation(5000), {});
     BOOST_TEST(restarted.openSession(router, start) != session);
 }
 
-BOOST_FIXTURE_TEST_CASE(anotherSessionIsRefused, OpenLedger)
+BOOST_FIXTURE_TEST_CASE(anotherSessionIsRefused, LedgerFixture)
 {
     const DispatchKey other { router, session + 1, SequenceNumber(1) };
     checkRefused(ledger.dispatch(other, own, noFloor), ErrorCode::StaleSession, Execution::NotRun);
@@ -90,9 +91,9 @@
     BOOST_TEST(ledger.openSession(router, start) == session);
 }
 
-// A frame is held up in the network until its request has long been settled and forgotten. Nothing in the ledger tells
-// that it ran before, so the floor must.
-BOOST_FIXTURE_TEST_CASE(belowTheFloorNothingRuns, OpenLedger)
+// Prevents a second run by a frame that the network delays until its request has been settled and its entry dropped:
+// only the floor then shows that it was received before.
+BOOST_FIXTURE_TEST_CASE(nothingRunsBelowTheFloor, LedgerFixture)
 {
     BOOST_REQUIRE(dispatch(1).has_value());
     ledger.complete(key(1), std::nullopt);
@@ -100,11 +101,11 @@
     BOOST_TEST(ledger.entries() == 0u);
     checkRefused(dispatch(1), ErrorCode::BelowFloor, Execution::NotRun);
     checkRefused(resolve(1), ErrorCode::BelowFloor, Execution::Unknown);
-    // The floor never goes down, whatever a crossed frame says.
+    // A reordered frame with a lower floor doesn't lower the floor.
     checkRefused(dispatch(1, 1), ErrorCode::BelowFloor, Execution::NotRun);
 }
 
-BOOST_FIXTURE_TEST_CASE(aRunningEntryBelowTheFloorIsAbandonedOnce, OpenLedger)
+BOOST_FIXTURE_TEST_CASE(aRunningEntryBelowTheFloorIsAbandonedOnce, LedgerFixture)
 {
     BOOST_REQUIRE(dispatch(1).has_value());
     BOOST_REQUIRE(dispatch(2, 2).has_value());
@@ -116,7 +117,7 @@
     BOOST_TEST(ledger.entries() == 1u);
 }
 
-BOOST_FIXTURE_TEST_CASE(answersAreKeptUntilSettled, OpenLedger)
+BOOST_FIXTURE_TEST_CASE(answersAreKeptUntilSettled, LedgerFixture)
 {
     BOOST_REQUIRE(dispatch(1).has_value());
     ledger.storeHead(key(1), 200, { { "Content-Type", "text/plain" } });
@@ -131,12 +132,12 @@
     BOOST_TEST(ledger.bytes() == 0u);
 }
 
-BOOST_FIXTURE_TEST_CASE(entriesAndBytesAreBounded, OpenLedger)
+BOOST_FIXTURE_TEST_CASE(entriesAndBytesAreBounded, LedgerFixture)
 {
     for (std::uint64_t sequence = 1; sequence <= 4; ++sequence)
         BOOST_REQUIRE(dispatch(sequence).has_value());
     checkRefused(dispatch(5), ErrorCode::TooManyWaiting, Execution::NotRun);
-    // Without room for a fence nothing can be promised of an unseen id.
+    // Without space for a fence the outcome of an unseen id is unknown.
     checkRefused(resolve(6), ErrorCode::TooManyWaiting, Execution::Unknown);
     ledger.storeBytes(key(1), std::string(100, 'x'));
     ledger.complete(key(2), std::nullopt);
@@ -145,19 +146,19 @@
     checkRefused(dispatch(5), ErrorCode::TooManyWaiting, Execution::NotRun);
 }
 
-BOOST_FIXTURE_TEST_CASE(onlyRoutersWithoutALinkAreForgotten, OpenLedger)
+BOOST_FIXTURE_TEST_CASE(onlyRoutersWithoutALinkAreDropped, LedgerFixture)
 {
     ledger.linkOpened(router);
     BOOST_REQUIRE(dispatch(1).has_value());
-    ledger.forgetGoneRouters(start + std::chrono::hours(1));
+    ledger.forgetDisconnectedRouters(start + std::chrono::hours(1));
     BOOST_TEST(ledger.isRunning(key(1)));
     ledger.linkClosed(router, start);
-    ledger.forgetGoneRouters(start + Milliseconds(999));
+    ledger.forgetDisconnectedRouters(start + Milliseconds(999));
     BOOST_TEST(ledger.takeAbandoned().empty());
-    ledger.forgetGoneRouters(start + Milliseconds(1000));
+    ledger.forgetDisconnectedRouters(start + Milliseconds(1000));
     BOOST_TEST(ledger.takeAbandoned().size() == 1u);
     ledger.complete(key(1), std::nullopt);
-    ledger.forgetGoneRouters(start + Milliseconds(1000));
+    ledger.forgetDisconnectedRouters(start + Milliseconds(1000));
     BOOST_TEST(ledger.sessions() == 0u);
     checkRefused(resolve(1), ErrorCode::StaleSession, Execution::Unknown);
 }
--- a/src/app/internal/bundlestatuscommand.cpp
+++ b/src/app/internal/bundlestatuscommand.cpp
@@ -22,7 +22,7 @@
 using framework::Result;
 using framework::success;
 
-/// Prints what the platform and the processes say.
+/// Prints the bundle and replicas that the platform has, and the bundle versions that processes report.
 class StatusReport {
 public:
     StatusReport(objectstore::IObjectStore& store, Deadline deadline)
@@ -58,7 +58,7 @@
         return success();
     }
 
-    /// Returns whether the process answered and has the head's version in force.
+    /// Prints the process's version. Returns whether the process answered and this version is the bundle head's.
     bool printProcess(const Endpoint& endpoint) const
     {
         const auto status = readProcessStatus(endpoint, deadline_);
@@ -113,7 +113,7 @@
     std::string name() const override { return "status"; }
     std::string summary() const override { return "show what is in force, claimed and loaded"; }
 
-    int run(const std::vector<std::string>& words) override
+    int run(const std::vector<std::string>& arguments) override
     {
         CommandLine line("bundle status", "--platform URL [--process ENDPOINT]...");
         PlatformOptions platform;
@@ -121,15 +121,16 @@
         addPlatformOptions(line, platform, OperatorOption::None);
         line.options()("process", options::value(&processes)->composing()->value_name("ENDPOINT"),
             "ask the process with this ops endpoint, address:port, for the version that it has in force");
-        if (const auto exitCode = line.parse(words))
+        if (const auto exitCode = line.parse(arguments))
             return *exitCode;
-        if (const auto fault = faultOf(platform, OperatorOption::None))
-            return line.refuse(*fault);
+        if (const auto fault = validationError(platform, OperatorOption::None))
+            return line.reportUsageError(*fault);
         return print(platform, processes);
     }
 
 private:
-    /// What can't be read doesn't keep the rest from being shown.
+    /// Prints the bundle head, the processes and the replicas. If one of them can't be read, the others are still
+    /// printed, except that the replicas are only printed if the head could be read.
     static int print(const PlatformOptions& platform, const std::vector<std::string>& processes)
     {
         const auto client = connect(platform);
--- a/src/app/internal/processstatus.cpp
+++ b/src/app/internal/processstatus.cpp
@@ -15,7 +15,7 @@
 using framework::ErrorCode;
 using framework::Result;
 
-constexpr framework::Milliseconds longestWait { 2000 };
+constexpr framework::Milliseconds requestTimeout { 2000 };
 const std::string step = "read process status";
 
 Result<ProcessStatus> parseStatus(const std::string& text, const std::string& source)
@@ -26,7 +26,7 @@
     status.role = object.text("role");
     status.vm = framework::VmName(object.text("vm"));
     status.bundleVersion = framework::BundleVersion(object.number("bundle_version", 0, UINT64_MAX));
-    // Not finished: the rest of the status differs from role to role.
+    // `finish` isn't called, as it would refuse the other keys of the status, which depend on the role.
     if (status.role.empty() || status.vm.value().empty() || !object.has("bundle_version"))
         return Error { ErrorCode::BadObject, step, source, "expected \"role\", \"vm\" and \"bundle_version\"" };
     return status;
@@ -36,7 +36,7 @@
 
 Result<ProcessStatus> readProcessStatus(const framework::Endpoint& ops, framework::Deadline deadline)
 {
-    const auto wait = std::min(longestWait, deadline.remaining(framework::SystemClock().now()));
+    const auto wait = std::min(requestTimeout, deadline.remaining(framework::SystemClock().now()));
     web::http::client::http_client_config config;
     config.set_timeout(std::max(wait, framework::Milliseconds(1)));
     try {
--- a/src/app/internal/routercommand.cpp
+++ b/src/app/internal/routercommand.cpp
@@ -15,14 +15,14 @@
     router::Router router(settings);
     const auto endpoints = router.start();
     if (endpoints.has_error())
-        return failProcess("router", endpoints.error(), ExitFailure);
+        return reportStartFailure("router", endpoints.error(), ExitFailure);
     printReadyLine("router", settings.identity.vm,
         { { "callers", endpoints.value().callers }, { "link", endpoints.value().link },
             { "ops", endpoints.value().ops } });
     framework::waitForTermination();
     router.drain();
-    // Every reply has left, or its time is over. Closing cpprest's listener while callers keep connections open may
-    // crash the process, and the system closes all of it anyway.
+    // All replies have been sent or have timed out. Closing cpprest's listener while callers keep connections open may
+    // crash the process, and the system closes the connections at exit anyway.
     std::cout.flush();
     std::_Exit(ExitSuccess);
 }
@@ -30,10 +30,10 @@
 class RouterCommand final : public ICommand {
 public:
     std::string name() const override { return "router"; }
-    std::string summary() const override { return "serve callers and decide who loads what"; }
-    int run(const std::vector<std::string>& words) override
+    std::string summary() const override { return "serve callers and decide which upstream loads which model"; }
+    int run(const std::vector<std::string>& arguments) override
     {
-        return runProcess<router::RouterSettings>(name(), words, router::parseRouterSettings, serve);
+        return runProcess<router::RouterSettings>(name(), arguments, router::parseRouterSettings, serve);
     }
 };
 
--- a/src/bundle/benchmarks/bundlebenchmark.cpp
+++ b/src/bundle/benchmarks/bundlebenchmark.cpp
@@ -12,8 +12,9 @@
 #include <map>
 #include <random>
 
-/// Measures what a bundle costs at several sizes: bytes and objects stored, what a starting process reads, what a
-/// running process reads after one model changed, processor time and memory for both. Nothing goes over a network.
+/// Measures the cost of bundles of several sizes: objects and bytes that a starting process reads and that a running
+/// process reads after a change of one model, the processor time of both, and the memory of the loaded bundle. Doesn't
+/// use a network.
 namespace {
 
 using namespace lagoon;
@@ -33,9 +34,9 @@
 constexpr unsigned sites = 2;
 constexpr unsigned poolsPerSite = 10;
 constexpr std::uint64_t acceleratorMib = 80000;
-constexpr unsigned changesMeasured = 20;
+constexpr unsigned measuredChanges = 20;
 
-/// Objects in a map, with the calls and bytes read from it.
+/// In-memory object store that counts the reads and the bytes read.
 class CountingStore final : public objectstore::IObjectStore {
 public:
     Result<std::optional<StoredObject>> get(const ObjectKey& key, Deadline) override
@@ -47,10 +48,10 @@
         bytesRead += found->second.value.size();
         return std::optional<StoredObject>(found->second);
     }
-    Result<std::vector<objectstore::ListedObject>> list(const std::string&, Deadline) override { return notHere(); }
+    Result<std::vector<objectstore::ListedObject>> list(const std::string&, Deadline) override { return unsupported(); }
     Result<std::optional<StoredObject>> watch(const ObjectKey&, ObjectVersion, Deadline, std::stop_token) override
     {
-        return notHere();
+        return unsupported();
     }
     Result<ObjectVersion> put(const ObjectKey& key, const std::string& value, ObjectVersion, Deadline) override
     {
@@ -58,7 +59,7 @@
         objects_[key] = { value, version };
         return version;
     }
-    Result<void> remove(const ObjectKey&, ObjectVersion, Deadline) override { return notHere(); }
+    Result<void> remove(const ObjectKey&, ObjectVersion, Deadline) override { return unsupported(); }
 
     void resetCounts()
     {
@@ -70,7 +71,10 @@
     std::size_t bytesRead = 0;
 
 private:
-    static framework::Error notHere() { return { framework::ErrorCode::Internal, "call store", "", "not measured" }; }
+    static framework::Error unsupported()
+    {
+        return { framework::ErrorCode::Internal, "call store", "", "not supported by the benchmark" };
+    }
 
     std::map<ObjectKey, StoredObject> objects_;
     std::uint64_t version_ = 0;
@@ -81,15 +85,16 @@
     unsigned adapters = 0;
 };
 
-/// A bundle of a deployment: two sites, names as long as people give them, each model in two pools of each site.
-class BundleMaker {
+/// Generates bundles like those of real deployments: two sites, names of realistic length, each model in two pools of
+/// each site.
+class BundleGenerator {
 public:
-    explicit BundleMaker(std::uint64_t seed)
+    explicit BundleGenerator(std::uint64_t seed)
         : random_(seed)
     {
     }
 
-    Bundle make(Size size)
+    Bundle generate(Size size)
     {
         Bundle bundle;
         bundle.version = BundleVersion(1);
@@ -108,7 +113,7 @@
         return bundle;
     }
 
-    /// Another version of one model's weights.
+    /// Changes the weights version of one random model.
     void change(Bundle& bundle)
     {
         bundle.version = BundleVersion(bundle.version.value() + 1);
@@ -134,22 +139,23 @@
     std::mt19937_64 random_;
 };
 
-Deadline soon() { return Deadline::after(framework::SystemClock().now(), std::chrono::minutes(10)); }
+Deadline testDeadline() { return Deadline::after(framework::SystemClock().now(), std::chrono::minutes(10)); }
 
 std::size_t heapBytes() { return mallinfo2().uordblks; }
 
 double milliseconds(std::clock_t since) { return 1000.0 * static_cast<double>(std::clock() - since) / CLOCKS_PER_SEC; }
 
-/// Stores the bundle in this many parts (0: as sign-off would) and returns the head that names it.
+/// Stores the bundle in the given number of parts (0: the number that a sign-off uses) and returns the head that names
+/// it.
 BundleHead storeBundle(CountingStore& store, const Bundle& bundle, std::size_t parts)
 {
     SplitBundle split = parts == 0 ? splitBundle(bundle) : splitBundle(bundle, parts);
     split.manifest.signedOffBy = "ada";
     split.manifest.signedOffAt = "2026-12-02T20:00:00Z";
     for (const BundlePart& part : split.parts)
-        (void)store.put(partKey(part.digest), part.text, {}, soon());
+        (void)store.put(partKey(part.digest), part.text, {}, testDeadline());
     const std::string manifest = bundleManifestText(split.manifest);
-    (void)store.put(manifestKey(bundle.version), manifest, {}, soon());
+    (void)store.put(manifestKey(bundle.version), manifest, {}, testDeadline());
     return { bundle.version, bundleDigest(manifest), "nonce", "ada", "2026-12-02T20:00:00Z" };
 }
 
@@ -164,33 +170,34 @@
     double changeMs = 0;
 };
 
-/// An error if a part is larger than a value may be.
+/// Measures one size and number of parts. Returns an error if a bundle can't be loaded, for example because a part is
+/// larger than 1 MiB.
 Result<Row> measure(Size size, std::size_t parts, std::uint64_t seed)
 {
     CountingStore store;
-    BundleMaker maker(seed);
-    Bundle bundle = maker.make(size);
+    BundleGenerator generator(seed);
+    Bundle bundle = generator.generate(size);
     const BundleHead head = storeBundle(store, bundle, parts);
     Row row;
     store.resetCounts();
     const std::size_t heapBefore = heapBytes();
     const std::clock_t startedAt = std::clock();
-    BOOST_OUTCOME_TRY(loaded, loadBundle(store, head, nullptr, soon()));
+    BOOST_OUTCOME_TRY(loaded, loadBundle(store, head, nullptr, testDeadline()));
     row.startMs = milliseconds(startedAt);
     row.heap = heapBytes() - heapBefore;
     row.parts = loaded.manifest.parts.size();
     row.startReads = store.reads;
     row.startBytes = store.bytesRead;
-    for (unsigned count = 0; count < changesMeasured; ++count) {
-        maker.change(bundle);
+    for (unsigned count = 0; count < measuredChanges; ++count) {
+        generator.change(bundle);
         const BundleHead next = storeBundle(store, bundle, parts);
         store.resetCounts();
         const std::clock_t changedAt = std::clock();
-        BOOST_OUTCOME_TRY(changed, loadBundle(store, next, &loaded, soon()));
+        BOOST_OUTCOME_TRY(changed, loadBundle(store, next, &loaded, testDeadline()));
         loaded = std::move(changed);
-        row.changeMs += milliseconds(changedAt) / changesMeasured;
-        row.changeReads += static_cast<double>(store.reads) / changesMeasured;
-        row.changeBytes += static_cast<double>(store.bytesRead) / changesMeasured;
+        row.changeMs += milliseconds(changedAt) / measuredChanges;
+        row.changeReads += static_cast<double>(store.reads) / measuredChanges;
+        row.changeBytes += static_cast<double>(store.bytesRead) / measuredChanges;
     }
     return row;
 }
@@ -219,8 +226,8 @@
     options::options_description description("usage: bundlebenchmark [--seed N] [--parts N]...");
     options::options_description_easy_init add = description.add_options();
     add("help", "print this");
-    add("seed", options::value(&seed), "of names and changes; 1 if not given");
-    add("parts", options::value(&parts), "a power of two, 0 for the product's own choice; 0 if not given");
+    add("seed", options::value(&seed), "seed for names and changes; 1 if not given");
+    add("parts", options::value(&parts), "a power of two, 0 for the number that a sign-off uses; 0 if not given");
     try {
         options::variables_map values;
         options::store(options::parse_command_line(argc, argv, description), values);
--- a/src/bundle/tests/parserfuzz_test.cpp
+++ b/src/bundle/tests/parserfuzz_test.cpp
@@ -13,19 +13,20 @@
 
 namespace {
 
-constexpr unsigned mutantsEach = 4000;
-constexpr unsigned mostMutations = 6;
+constexpr unsigned mutantsPerText = 4000;
+constexpr unsigned maxMutations = 6;
 constexpr std::uint64_t seed = 20261202;
 
-const std::vector<std::string> words { "null", "-1", "1e400", "18446744073709551616", "{}", "[]", "\"\"", "{", "]",
+const std::vector<std::string> tokens { "null", "-1", "1e400", "18446744073709551616", "{}", "[]", "\"\"", "{", "]",
     "\"\\ud800\"", ",", ":", "\xff", std::string(1, '\0'), "true", "\"version\":", "0.5" };
 
-/// Changes a text by flipped, dropped, doubled and inserted bytes and by words that JSON readers stumble over.
+/// Mutates a text by replacing, removing and duplicating bytes and by inserting tokens that JSON parsers often
+/// mishandle.
 class Mutator {
 public:
     std::string mutant(std::string text)
     {
-        const std::size_t mutations = 1 + below(mostMutations);
+        const std::size_t mutations = 1 + below(maxMutations);
         for (std::size_t count = 0; count < mutations; ++count)
             mutate(text);
         return text;
@@ -50,10 +51,10 @@
             text.insert(at, text.substr(at, std::min<std::size_t>(length, 200)));
             return;
         case 3:
-            text.insert(at, words[below(words.size())]);
+            text.insert(at, tokens[below(tokens.size())]);
             return;
         default:
-            text.replace(at, std::min<std::size_t>(length, 8), words[below(words.size())]);
+            text.replace(at, std::min<std::size_t>(length, 8), tokens[below(tokens.size())]);
             return;
         }
     }
@@ -61,8 +62,8 @@
     std::mt19937_64 random_ { seed };
 };
 
-/// Each mutant is refused with a named fault or accepted; an accepted one is the same after being written and read.
-/// `rewrite` parses a text and writes what it understood, or returns nothing for a refused one.
+/// Checks that each mutant is either refused with an error that has a detail or accepted, and that the serialized form
+/// of an accepted one parses to the same text. `rewrite` parses a text and serializes the result, or returns the error.
 void fuzz(const std::vector<std::string>& corpus,
     const std::function<framework::Result<std::string>(const std::string&)>& rewrite)
 {
@@ -70,7 +71,7 @@
     unsigned accepted = 0;
     for (const std::string& text : corpus) {
         BOOST_REQUIRE(rewrite(text).has_value());
-        for (unsigned count = 0; count < mutantsEach; ++count) {
+        for (unsigned count = 0; count < mutantsPerText; ++count) {
             const std::string mutant = mutator.mutant(text);
             const auto written = rewrite(mutant);
             if (!written) {
@@ -82,7 +83,7 @@
             BOOST_REQUIRE_MESSAGE(again && again.value() == written.value(), mutant);
         }
     }
-    BOOST_TEST_MESSAGE(accepted << " of " << mutantsEach * corpus.size() << " mutants accepted");
+    BOOST_TEST_MESSAGE(accepted << " of " << mutantsPerText * corpus.size() << " mutants accepted");
 }
 
 const std::string headText
@@ -104,7 +105,7 @@
     fuzz({ tests::bundleText(7) }, [](const std::string& text) -> framework::Result<std::string> {
         BOOST_OUTCOME_TRY(bundle, parseBundle(text, "fuzz"));
         const SplitBundle split = splitBundle(bundle, 1);
-        // Both parts are objects; together they are a bundle's text again.
+        // Both parts are JSON objects; their members together form the text of a bundle.
         const std::string common = split.parts.front().text;
         const std::string entries = split.parts.back().text;
         return R"({"format":1,"version":)" + std::to_string(bundle.version.value()) + ","
--- a/src/bundle/tests/rollout_test.cpp
+++ b/src/bundle/tests/rollout_test.cpp
@@ -15,23 +15,24 @@
 using framework::Execution;
 using objectstore::MemoryObjectStore;
 using objectstore::WriteFault;
-using tests::soon;
+using tests::testDeadline;
 
 namespace {
 
-const OperatorAct ada { "ada", "2026-12-02T20:00:00Z" };
-const OperatorAct bob { "bob", "2026-12-02T20:00:01Z" };
+const OperatorAction ada { "ada", "2026-12-02T20:00:00Z" };
+const OperatorAction bob { "bob", "2026-12-02T20:00:01Z" };
 const objectstore::ObjectKey notes = replicaKey(framework::SiteName("south"), framework::ModelName("notes"));
 
 void signOffBundle(MemoryObjectStore& store, std::uint64_t version, std::uint32_t replicas)
 {
     const auto bundle = parseBundle(tests::bundleText(version, replicas), "fixture");
-    BOOST_REQUIRE(signOff(store, bundle.value(), ada, soon()).has_value());
+    BOOST_REQUIRE(signOff(store, bundle.value(), ada, testDeadline()).has_value());
 }
 
-framework::Result<RollOutResult> rollOutAs(MemoryObjectStore& store, std::uint64_t version, const OperatorAct& act)
+framework::Result<RollOutResult> rollOutAs(
+    MemoryObjectStore& store, std::uint64_t version, const OperatorAction& action)
 {
-    return rollOut(store, BundleVersion(version), act, soon());
+    return rollOut(store, BundleVersion(version), action, testDeadline());
 }
 
 BundleHead headOf(const MemoryObjectStore& store) { return parseBundleHead(*store.valueOf(bundleHeadKey())).value(); }
@@ -41,7 +42,7 @@
     return parseReplicaObject(store.valueOf(notes).value_or(replicaObjectText({})), notes).value();
 }
 
-/// What an agent that knows this bundle may claim of the model.
+/// Returns how many replicas of the model may be claimed by an agent whose bundle has this decided count and version.
 std::uint32_t allowed(const MemoryObjectStore& store, std::uint32_t decided, std::uint64_t version)
 {
     ReplicaObject object = notesOf(store);
@@ -70,17 +71,17 @@
     MemoryObjectStore store;
     signOffBundle(store, 7, 2);
     const auto before = store.valueOf(objectstore::ObjectKey("bundles/7"));
-    const auto again = signOff(store, parseBundle(tests::bundleText(7, 2), "").value(), bob, soon());
+    const auto again = signOff(store, parseBundle(tests::bundleText(7, 2), "").value(), bob, testDeadline());
     BOOST_TEST(again.value().signedOffBy == "ada");
-    const auto other = signOff(store, parseBundle(tests::bundleText(7, 1), "").value(), bob, soon());
+    const auto other = signOff(store, parseBundle(tests::bundleText(7, 1), "").value(), bob, testDeadline());
     BOOST_TEST((other.error().code == ErrorCode::PlatformConflict));
     BOOST_TEST(other.error().detail.find("by ada") != std::string::npos);
     BOOST_TEST((store.valueOf(objectstore::ObjectKey("bundles/7")) == before));
 }
 
-// Two operators roll out at the same moment and both are told that it worked; one of the bundles is in force nowhere.
-// Each had read the same head before either moved it.
-BOOST_AUTO_TEST_CASE(ofTwoRacingOperatorsOneWinsAndTheOtherIsToldByWhom)
+// Prevents two concurrent roll-outs from both reporting success although one of the bundles isn't in force anywhere:
+// both operators read the same head before either moves it.
+BOOST_AUTO_TEST_CASE(ofConcurrentRollOutsOneWinsAndTheErrorNamesItsOperator)
 {
     MemoryObjectStore store;
     tests::rollOutBundle(store, 7);
@@ -95,9 +96,9 @@
     BOOST_TEST(headOf(store).operatorName == "bob");
 }
 
-// An operator is told that a roll-out failed although it is in force, and rolls "back" by hand. The head's write took
-// effect and its answer was lost, or was a conflict with its own first sending.
-BOOST_AUTO_TEST_CASE(aHeadMovedWithoutAnAnswerIsKnownAsMoved)
+// Prevents a roll-out from reporting a failure although its bundle is in force, so that the operator rolls "back" by
+// hand: the head's write took effect, but its answer was lost or was a conflict with its own first transmission.
+BOOST_AUTO_TEST_CASE(aRollOutSucceedsAfterALostAnswerOrRequest)
 {
     for (const WriteFault fault : { WriteFault::LoseAnswer, WriteFault::SendTwice, WriteFault::LoseRequest }) {
         MemoryObjectStore store;
@@ -109,26 +110,26 @@
     }
 }
 
-// An operator is told that a roll-out failed, and it takes effect a moment later, without its lowered counts. The
-// head's write was still on its way when the command gave up.
-BOOST_AUTO_TEST_CASE(aHeadThatMayStillMoveIsSaidToBeUnknownAndItsCountsStay)
+// Prevents a roll-out from reporting a failure and taking effect a moment later without its lowered counts: the head's
+// write is still pending when the command reaches its deadline.
+BOOST_AUTO_TEST_CASE(aPendingHeadWriteIsUnknownAndKeepsTheLoweredCounts)
 {
     MemoryObjectStore store;
     tests::rollOutBundle(store, 7, 2);
     signOffBundle(store, 8, 1);
     std::vector<WriteFault> faults(1000, WriteFault::Hold);
-    // The lowered count's write; the others are the head's.
+    // The first write is the one of the lowered count; the following ones are those of the head.
     faults.front() = WriteFault::LoseAnswer;
     store.failNextWrites(faults);
-    BOOST_TEST((rollOut(store, BundleVersion(8), bob, soon(50)).error().execution == Execution::Unknown));
+    BOOST_TEST((rollOut(store, BundleVersion(8), bob, testDeadline(50)).error().execution == Execution::Unknown));
     BOOST_TEST(allowed(store, 2, 7) == 1U);
-    store.landHeldWrites();
+    store.deliverHeldWrites();
     BOOST_TEST(headOf(store).version.value() == 8U);
     BOOST_TEST(allowed(store, 2, 7) == 1U);
 }
 
-// Bundle 8 takes `notes` from two replicas to one. An agent that hasn't heard of it claims the second one a moment
-// after the roll-out ended: its own bundle says two.
+// Bundle 8 lowers `notes` from two replicas to one. An agent that still has the previous bundle, which decides two,
+// must not be able to claim the second replica just after the roll-out.
 BOOST_AUTO_TEST_CASE(countsAreLoweredBeforeTheHeadMoves)
 {
     MemoryObjectStore store;
@@ -142,7 +143,7 @@
     BOOST_TEST(allowed(store, 1, 8) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(theLoserOfARaceTakesItsLoweredCountsBack)
+BOOST_AUTO_TEST_CASE(theLosingRollOutRevertsItsLoweredCounts)
 {
     MemoryObjectStore store;
     tests::rollOutBundle(store, 7, 3);
@@ -154,9 +155,9 @@
     BOOST_TEST(allowed(store, 3, 8) == 3U);
 }
 
-// Both racing bundles lower the same model, the winner to two, the loser to one. When the loser takes its count back,
-// the winner's must still bind agents that know only bundle 7.
-BOOST_AUTO_TEST_CASE(theLoserLeavesTheWinnersLoweredCount)
+// Two concurrent roll-outs lower the same model, the winner to two and the loser to one. After the loser has reverted
+// its count, the winner's count must still limit agents that know only bundle 7.
+BOOST_AUTO_TEST_CASE(theLosingRollOutKeepsTheWinnersLoweredCounts)
 {
     MemoryObjectStore store;
     tests::rollOutBundle(store, 7, 3);
@@ -179,12 +180,12 @@
         store.set(notes, replicaObjectText(object));
         store.failNextWrites({ fault });
         const ClaimRelease claim { notes, framework::VmName("vm-1"), "its host burnt down" };
-        const auto released = releaseClaim(store, claim, ada, soon());
+        const auto released = releaseClaim(store, claim, ada, testDeadline());
         BOOST_REQUIRE(released.has_value());
         BOOST_TEST(notesOf(store).holders.size() == 1U);
         BOOST_TEST(notesOf(store).releases.size() == 1U);
         BOOST_TEST(notesOf(store).releases.front().reason == "its host burnt down");
-        BOOST_TEST((releaseClaim(store, claim, ada, soon()).error().code == ErrorCode::NotFound));
+        BOOST_TEST((releaseClaim(store, claim, ada, testDeadline()).error().code == ErrorCode::NotFound));
     }
 }
 
--- a/src/direct/internal/catalogwatch.cpp
+++ b/src/direct/internal/catalogwatcher.cpp
@@ -1,4 +1,4 @@
-#include "direct/internal/catalogwatch.h"
+#include "direct/internal/catalogwatcher.h"
 
 #include "framework/decisionlog.h"
 #include "framework/randomid.h"
@@ -15,51 +15,51 @@
 using objectstore::FeedObject;
 using objectstore::MirrorSettings;
 
-/// The object that holds the configuration in force.
+/// Name of the object with the configuration in force.
 const std::string configurationName = "main";
-/// Engines say each load and unload in their entries, and reading several together costs one call: after each reading
-/// the next waits for this part of the time in which a leaving server must be known.
-constexpr int partOfNotice = 5;
-/// A watch whose connection has gone silent has to end well within the notice after an outage.
-constexpr int partOfOutageNotice = 2;
-/// Of the configuration, which has no such notice.
-constexpr Milliseconds configurationWait { 2500 };
-/// A storm of changes of the configuration costs a call each 100 ms.
-constexpr Milliseconds configurationPause { 100 };
-
-/// Names and services are their writers' choice, of any length.
+/// After each read of the servers' entries the next one is delayed by the leaving notice divided by this. Engines
+/// update their entries at each load and unload, and one call reads several updates.
+constexpr int noticeDivisor = 5;
+/// A watch lasts for the outage notice divided by this, so that one with a dead connection ends well within the notice.
+constexpr int outageNoticeDivisor = 2;
+/// Duration of a watch of the configuration, for which no notice is set.
+constexpr Milliseconds configurationWatchTime { 2500 };
+/// Limits a burst of configuration changes to one call each 100 ms.
+constexpr Milliseconds configurationMinInterval { 100 };
+
+/// Truncates a text for the log: whoever writes an entry chooses its name and service, of any length.
 std::string shortened(const std::string& text)
 {
-    constexpr std::size_t mostLogged = 64;
-    if (text.size() <= mostLogged)
+    constexpr std::size_t maxLoggedBytes = 64;
+    if (text.size() <= maxLoggedBytes)
         return text;
     const auto isWithinCharacter
         = [&](std::size_t at) { return (static_cast<unsigned char>(text[at]) & 0xC0) == 0x80; };
-    std::size_t end = mostLogged;
+    std::size_t end = maxLoggedBytes;
     while (end > 0 && isWithinCharacter(end))
         --end;
     return text.substr(0, end) + "...";
 }
 
-/// Guards against what a server wrote before it started again, and the store carried out only after its new entry.
+/// Detects an entry that a server wrote before it restarted, but that the store applied only after the new run's entry.
 bool isEarlier(const std::optional<catalog::StartTime>& started, const std::optional<catalog::StartTime>& latest)
 {
     return started && latest && *started < *latest;
 }
 
-/// Of two servers at one address: a server that starts again keeps the age of its entry, so the start decides. One that
-/// says no start doesn't displace one that does; the age of the entry is left for those that say none.
+/// Compares two servers at one address. The start time decides, since a restarted server keeps the age of its entry. A
+/// server without a start time doesn't displace one that has it; among servers without, the age of the entry decides.
 bool isNewer(const catalog::Upstream& upstream, const catalog::Upstream& other)
 {
-    return std::tie(upstream.started, upstream.listed) > std::tie(other.started, other.listed);
+    return std::tie(upstream.started, upstream.firstListed) > std::tie(other.started, other.firstListed);
 }
 
 MirrorSettings configurationSettings()
 {
     MirrorSettings settings;
     settings.kind = "configurations";
-    settings.watchWait = configurationWait;
-    settings.pauseAfterChange = configurationPause;
+    settings.watchWait = configurationWatchTime;
+    settings.pauseAfterChange = configurationMinInterval;
     return settings;
 }
 
@@ -67,37 +67,38 @@
 {
     MirrorSettings settings;
     settings.kind = "servers";
-    settings.watchWait = outageNotice / partOfOutageNotice;
-    settings.pauseAfterChange = leavingNotice / partOfNotice;
+    settings.watchWait = outageNotice / outageNoticeDivisor;
+    settings.pauseAfterChange = leavingNotice / noticeDivisor;
     settings.outageNotice = outageNotice;
     return settings;
 }
 
 } // namespace
 
-CatalogWatch::CatalogWatch(Context context)
+CatalogWatcher::CatalogWatcher(Context context)
     : context_(std::move(context))
     , configurations_(context_.configurations, context_.control, context_.clock, configurationSettings(),
-          { [this](const FeedObject& object) { takeConfiguration(object); }, [](const std::string&) {}, [] {},
+          { [this](const FeedObject& object) { applyConfiguration(object); }, [](const std::string&) {}, [] {},
               [](framework::SteadyTime) {} },
           framework::randomNumber())
     , servers_(context_.servers, context_.control, context_.clock,
           serverSettings(context_.leavingNotice, context_.outageNotice),
-          { [this](const FeedObject& object) { takeServer(object); },
-              [this](const std::string& name) { removeServer(name); }, [this] { tellServersSoon(); },
+          { [this](const FeedObject& object) { applyServer(object); },
+              [this](const std::string& name) { removeServer(name); }, [this] { schedulePublish(); },
               [this](framework::SteadyTime at) { context_.didConfirmServers(at); } },
           framework::randomNumber())
 {
 }
 
-void CatalogWatch::start()
+void CatalogWatcher::start()
 {
     configurations_.start();
     servers_.start();
 }
 
-/// Guards against going back: a request that was handled by a version is never followed by one handled by an older.
-void CatalogWatch::takeConfiguration(const FeedObject& object)
+/// Ignores versions that aren't newer than the current one, so that no request is handled by an older version than an
+/// earlier request.
+void CatalogWatcher::applyConfiguration(const FeedObject& object)
 {
     if (object.name != configurationName)
         return;
@@ -118,12 +119,13 @@
         return;
     configuration_ = std::make_shared<const catalog::Configuration>(std::move(read.value()));
     context_.didConfigure(configuration_);
-    if (noteUnknownServices())
-        tellServersSoon();
+    if (updateUnknownServices())
+        schedulePublish();
 }
 
-/// An entry is what was last written there: one that isn't a server's, or can't be read, names no server any more.
-void CatalogWatch::takeServer(const FeedObject& object)
+/// The last content of an entry counts: if it doesn't describe a server or can't be decoded, the entry lists no server
+/// any more.
+void CatalogWatcher::applyServer(const FeedObject& object)
 {
     Entry& entry = entries_[object.name];
     auto read = readServer(object, entry);
@@ -134,7 +136,7 @@
                         .flag("known_before", entry.upstream.has_value())
                         .text("cause", describe(read.error())));
         entry.upstream.reset();
-        return tellServersSoon();
+        return schedulePublish();
     }
     const catalog::Upstream& upstream = read.value();
     if (isEarlier(upstream.started, entry.started)) {
@@ -142,37 +144,39 @@
                         .text("server", shortened(object.name))
                         .number("started_ms", upstream.started->value())
                         .number("later_ms", entry.started->value())
-                        .flag("leaving", upstream.state == catalog::UpstreamState::Leaving)
+                        .flag("leaving", upstream.state == catalog::UpstreamState::Draining)
                         .number("revision", object.revision.value()));
-        return takeLeaving(entry, upstream);
+        return applyDraining(entry, upstream);
     }
-    logTaken(object, entry, upstream);
+    logServerChange(object, entry, upstream);
     entry.started = upstream.started;
     entry.upstream = std::move(read.value());
-    entry.upstream->listed = object.created;
-    tellServersSoon();
+    entry.upstream->firstListed = object.created;
+    schedulePublish();
 }
 
-/// Guards against a server whose clock was set back before it started again: all that it says seems to come from
-/// before. If it was the former run after all, the later one says within a heartbeat that it is ready.
-void CatalogWatch::takeLeaving(Entry& entry, const catalog::Upstream& earlier)
+/// Applies the draining state of an entry with an earlier start time. Prevents requests to a draining server whose
+/// clock was set back before it restarted, so that all its entries seem to be of an earlier run. If the entry really is
+/// of the earlier run, the later run lists itself as ready again within a heartbeat.
+void CatalogWatcher::applyDraining(Entry& entry, const catalog::Upstream& earlier)
 {
-    if (!entry.upstream || earlier.state != catalog::UpstreamState::Leaving)
+    if (!entry.upstream || earlier.state != catalog::UpstreamState::Draining)
         return;
     entry.upstream->state = earlier.state;
-    tellServersSoon();
+    schedulePublish();
 }
 
-framework::Result<catalog::Upstream> CatalogWatch::readServer(const FeedObject& object, const Entry& before) const
+framework::Result<catalog::Upstream> CatalogWatcher::readServer(const FeedObject& object, const Entry& before) const
 {
     auto read = context_.decoder.upstream(object.name, object.value);
     if (read.has_value() && before.started && !read.value().started)
         return framework::Error { framework::ErrorCode::BadObject, "read server", {},
-            "no start, which it said before" };
+            "no start time, although the entry had one before" };
     return read;
 }
 
-void CatalogWatch::logTaken(const FeedObject& object, const Entry& before, const catalog::Upstream& upstream) const
+void CatalogWatcher::logServerChange(
+    const FeedObject& object, const Entry& before, const catalog::Upstream& upstream) const
 {
     const bool isRestarted = before.upstream && before.upstream->started != upstream.started;
     if (before.upstream && !isRestarted && before.upstream->state == upstream.state)
@@ -188,33 +192,33 @@
     logDecision(line);
 }
 
-void CatalogWatch::removeServer(const std::string& name)
+void CatalogWatcher::removeServer(const std::string& name)
 {
     entries_.erase(name);
     logDecision(LogLine("server_unlisted").text("server", shortened(name)));
-    tellServersSoon();
+    schedulePublish();
 }
 
-/// Once for all changes that came together.
-void CatalogWatch::tellServersSoon()
+/// Publishes changes that arrive together only once.
+void CatalogWatcher::schedulePublish()
 {
-    if (std::exchange(isTelling_, true))
+    if (std::exchange(isPublishScheduled_, true))
         return;
-    context_.control.post([this] { tellServers(); });
+    context_.control.post([this] { publishServers(); });
 }
 
-void CatalogWatch::tellServers()
+void CatalogWatcher::publishServers()
 {
-    isTelling_ = false;
+    isPublishScheduled_ = false;
     if (!servers_.hasListed())
         return;
-    noteUnknownServices();
+    updateUnknownServices();
     context_.didListServers(newestByEndpoint());
 }
 
-/// Guards against an entry that hides a server by naming its address for a service that the operator doesn't have.
-/// Which services there are may change at any time, so the entry is kept.
-bool CatalogWatch::noteUnknownServices()
+/// Marks entries of services that the configuration doesn't have. Prevents such an entry from hiding a server at the
+/// same address. The entry is kept, since the configured services may change at any time.
+bool CatalogWatcher::updateUnknownServices()
 {
     bool hasChanged = false;
     for (auto& [name, entry] : entries_) {
@@ -230,9 +234,9 @@
     return hasChanged;
 }
 
-/// Guards against the entry of a server that has ended and whose successor is at its address already: the platform
-/// takes seconds to notice, and until then all that is sent to the old one is refused.
-std::vector<catalog::Upstream> CatalogWatch::newestByEndpoint() const
+/// Returns the newest server at each address. Leaves out a server that has ended and whose successor already uses its
+/// address: the platform takes seconds to notice, and until then every request for the old one would be refused.
+std::vector<catalog::Upstream> CatalogWatcher::newestByEndpoint() const
 {
     std::map<framework::Endpoint, const catalog::Upstream*> newest;
     for (const auto& [name, entry] : entries_) {
--- a/src/direct/internal/catalogwatch.h
+++ b/src/direct/internal/catalogwatcher.h
@@ -14,8 +14,8 @@
 
 namespace lagoon::direct {
 
-/// Keeps the operator's configuration and the list of servers up to date. Belongs to the control thread.
-class CatalogWatch {
+/// Keeps the operator's configuration and the list of servers up to date. Runs on the control thread.
+class CatalogWatcher {
 public:
     struct Context {
         framework::IControlExecutor& control;
@@ -23,51 +23,51 @@
         objectstore::IObjectFeed& configurations;
         objectstore::IObjectFeed& servers;
         const catalog::ICatalogDecoder& decoder;
-        /// As `DirectRouterSettings::leavingNotice`.
+        /// See `DirectRouterSettings::leavingNotice`.
         framework::Milliseconds leavingNotice;
-        /// As `DirectRouterSettings::outageNotice`.
+        /// See `DirectRouterSettings::outageNotice`.
         framework::Milliseconds outageNotice;
         std::function<void(catalog::ConfigurationPointer)> didConfigure;
         std::function<void(const std::vector<catalog::Upstream>&)> didListServers;
-        /// The list of servers was current as of this time.
+        /// Called with a time as of which the list of servers was up to date.
         std::function<void(framework::SteadyTime)> didConfirmServers;
     };
 
-    explicit CatalogWatch(Context);
-    CatalogWatch(const CatalogWatch&) = delete;
-    CatalogWatch& operator=(const CatalogWatch&) = delete;
+    explicit CatalogWatcher(Context);
+    CatalogWatcher(const CatalogWatcher&) = delete;
+    CatalogWatcher& operator=(const CatalogWatcher&) = delete;
 
     void start();
-    /// Whether both are known.
+    /// Whether both the configuration and the list of servers are known.
     bool isComplete() const { return configuration_ && servers_.hasListed(); }
 
 private:
-    /// What the list says under one name.
+    /// The list's entry with one name.
     struct Entry {
-        /// Nothing if the newest content isn't a server's.
+        /// std::nullopt if the newest content doesn't describe a server.
         std::optional<catalog::Upstream> upstream;
-        /// The latest start that was ever said there.
+        /// The latest start time that was accepted for this entry.
         std::optional<catalog::StartTime> started;
-        /// The content isn't used, as no service of the configuration is meant.
+        /// The entry isn't used, as the configuration has no service of its name.
         bool isOfUnknownService = false;
     };
 
-    void takeConfiguration(const objectstore::FeedObject&);
-    void takeServer(const objectstore::FeedObject&);
-    void takeLeaving(Entry&, const catalog::Upstream& earlier);
+    void applyConfiguration(const objectstore::FeedObject&);
+    void applyServer(const objectstore::FeedObject&);
+    void applyDraining(Entry&, const catalog::Upstream& earlier);
     framework::Result<catalog::Upstream> readServer(const objectstore::FeedObject&, const Entry&) const;
-    void logTaken(const objectstore::FeedObject&, const Entry& before, const catalog::Upstream&) const;
+    void logServerChange(const objectstore::FeedObject&, const Entry& before, const catalog::Upstream&) const;
     void removeServer(const std::string& name);
-    void tellServersSoon();
-    void tellServers();
-    /// Whether other entries than before are left out.
-    bool noteUnknownServices();
+    void schedulePublish();
+    void publishServers();
+    /// Returns whether the set of entries left out for an unknown service has changed.
+    bool updateUnknownServices();
     std::vector<catalog::Upstream> newestByEndpoint() const;
 
     Context context_;
     catalog::ConfigurationPointer configuration_;
     std::map<std::string, Entry> entries_;
-    bool isTelling_ = false;
+    bool isPublishScheduled_ = false;
     objectstore::ObjectMirror configurations_;
     objectstore::ObjectMirror servers_;
 };
--- a/src/direct/internal/directrouter.cpp
+++ b/src/direct/internal/directrouter.cpp
@@ -1,12 +1,12 @@
 #include "direct/directrouter.h"
 
 #include "direct/internal/agentlinks.h"
-#include "direct/internal/catalogwatch.h"
+#include "direct/internal/catalogwatcher.h"
 #include "direct/internal/links.h"
-#include "direct/internal/plainviews.h"
+#include "direct/internal/statushandlers.h"
 #include "forwarding/forwarder.h"
 #include "framework/decisionlog.h"
-#include "framework/types/serviceend.h"
+#include "framework/types/shutdowndeadlines.h"
 #include "http/exchangeserver.h"
 
 #include <future>
@@ -19,13 +19,13 @@
 using framework::LogLine;
 using framework::Milliseconds;
 
-constexpr Milliseconds drainCheckEach { 30 };
-/// For a caller whose request this router no longer takes: other routers do at once.
-constexpr Milliseconds comeBackElsewhere { 250 };
+constexpr Milliseconds drainCheckInterval { 30 };
+/// Retry delay for a caller whose request this router no longer accepts; other routers accept it at once.
+constexpr Milliseconds retryAfterRefusal { 250 };
 
 forwarding::ForwarderSettings forwarderSettings(const DirectRouterSettings& settings)
 {
-    return { settings.identity.failureDomain, settings.repeatShare, settings.repeatReserve, settings.policy };
+    return { settings.identity.failureDomain, settings.retryShare, settings.retryReserve, settings.policy };
 }
 
 http::ExchangeLimits exchangeLimits(const catalog::CallerLimits& limits)
@@ -40,14 +40,14 @@
     Implementation(const DirectRouterPorts& ports, const DirectRouterSettings& settings)
         : ports_(ports)
         , settings_(settings)
-        , transport_(makeLinks(ports.metrics))
+        , transport_(makeLinkTransport(ports.metrics))
         , forwarder_(forwarderContext(), forwarderSettings(settings))
         , links_(linksContext())
         , catalog_(catalogContext())
-        , metricsView_(ports.metrics)
+        , metricsHandler_(ports.metrics)
         , callers_(ports.traffic, forwarder_)
-        , readiness_(ports.traffic, readinessView_)
-        , ops_(ports.traffic, metricsView_)
+        , readiness_(ports.traffic, readinessHandler_)
+        , ops_(ports.traffic, metricsHandler_)
     {
     }
 
@@ -75,66 +75,67 @@
         settings_.grace = settings.grace;
         ports_.traffic.post([this, changed = forwarderSettings(settings)] { forwarder_.setSettings(changed); });
         logDecision(LogLine("reloaded")
-                        .number("repeat_share", settings.repeatShare)
-                        .number("repeat_reserve", settings.repeatReserve)
+                        .number("repeat_share", settings.retryShare)
+                        .number("repeat_reserve", settings.retryReserve)
                         .number("grace_ms", settings.grace.count()));
     }
 
     void drain()
     {
-        const auto end = framework::ServiceEnd::after(ports_.clock.now(), settings_.grace);
-        const std::size_t requests = onTraffic([this, end] { return beginEnd(end); });
-        stopBeingReady();
+        const auto end = framework::ShutdownDeadlines::after(ports_.clock.now(), settings_.grace);
+        const std::size_t requests = queryTrafficThread([this, end] { return startShutdown(end); });
+        clearReadiness();
         logDecision(LogLine("draining").number("requests", requests).number("grace_ms", settings_.grace.count()));
         std::this_thread::sleep_until(end.noticedBy.at());
         ports_.traffic.post([this] {
             callers_.closeIdle();
-            refuseComing();
+            refuseIncomplete();
         });
-        while (
-            !end.exitBy.hasPassed(ports_.clock.now()) && onTraffic([this] { return callers_.busyConnections(); }) > 0)
-            std::this_thread::sleep_for(drainCheckEach);
-        const std::size_t unanswered = onTraffic([this] { return stopTaking(); });
+        while (!end.exitBy.hasPassed(ports_.clock.now())
+            && queryTrafficThread([this] { return callers_.busyConnections(); }) > 0)
+            std::this_thread::sleep_for(drainCheckInterval);
+        const std::size_t unanswered = queryTrafficThread([this] { return stopAccepting(); });
         logDecision(LogLine("stopped").number("unanswered", unanswered));
     }
 
 private:
-    std::size_t onTraffic(const std::function<std::size_t()>& query)
+    std::size_t queryTrafficThread(const std::function<std::size_t()>& query)
     {
         std::promise<std::size_t> answer;
         ports_.traffic.post([&] { answer.set_value(query()); });
         return answer.get_future().get();
     }
 
-    /// On the traffic thread, before anyone can see that this router isn't ready any more: from then on each answer
-    /// says that its connection ends, and each request has an end. Returns how many requests there are.
-    std::size_t beginEnd(const framework::ServiceEnd& end)
+    /// Starts the shutdown and returns the number of requests in progress. Runs on the traffic thread, before the
+    /// router reports that it isn't ready: from then on each answer announces that its connection closes, and each
+    /// request has a deadline.
+    std::size_t startShutdown(const framework::ShutdownDeadlines& end)
     {
         const std::size_t requests = forwarder_.requests();
         callers_.beginDraining();
-        forwarder_.endService(end);
+        forwarder_.beginShutdown(end);
         return requests;
     }
 
-    /// Twice, since the control thread may be about to say that it is ready.
-    void stopBeingReady()
+    /// Clears the readiness a second time on the control thread, since that thread may just be about to set it.
+    void clearReadiness()
     {
         isDraining_ = true;
-        readinessView_.setReady(false);
-        ports_.control.post([this] { readinessView_.setReady(false); });
+        readinessHandler_.setReady(false);
+        ports_.control.post([this] { readinessHandler_.setReady(false); });
     }
 
-    /// Guards against a request of which a part has come when no more are taken. It surely hasn't run, and other
-    /// routers have time for it; here its answer could be cut by the end.
-    void refuseComing() { callers_.refuseComing(ports_.dialect.refusal(503, comeBackElsewhere)); }
+    /// Refuses requests that have been received only in part when no more are accepted. Such a request certainly hasn't
+    /// run, and other routers have time for it, whereas here the end of the process could cut its answer.
+    void refuseIncomplete() { callers_.refuseIncomplete(ports_.dialect.refusal(503, retryAfterRefusal)); }
 
-    /// On the traffic thread, last thing; returns how many requests have no answer. Guards against a request that is
-    /// read between the last look at the connections and the process's end, which would be sent to a server and never
-    /// answered; and against those whose timers haven't run, since the VM stood still or was busy until the end.
-    std::size_t stopTaking()
+    /// Answers or refuses all remaining requests and returns how many have no answer. Runs on the traffic thread as the
+    /// last step. Prevents a request that is read after the last check of the connections from being sent to a server
+    /// and never answered. Also covers requests whose timers haven't run because the VM was suspended or busy.
+    std::size_t stopAccepting()
     {
         forwarder_.answerNow();
-        refuseComing();
+        refuseIncomplete();
         forwarder_.logUnanswered();
         const std::size_t unanswered = forwarder_.requests();
         callers_.closeAll();
@@ -164,7 +165,7 @@
             } };
     }
 
-    CatalogWatch::Context catalogContext()
+    CatalogWatcher::Context catalogContext()
     {
         return { ports_.control, ports_.clock, ports_.configurations, ports_.servers, ports_.decoder,
             settings_.leavingNotice, settings_.outageNotice,
@@ -183,20 +184,20 @@
             forwarder_.setConfiguration(configuration);
         });
         ports_.metrics->setGauge("lagoon_configuration_version", static_cast<double>(configuration->version.value()));
-        linkEngines();
-        becomeReady();
+        updateAgentLinks();
+        updateReadiness();
     }
 
     void didListServers(const std::vector<catalog::Upstream>& servers)
     {
         servers_ = servers;
         ports_.traffic.post([this, servers] { forwarder_.setUpstreams(servers); });
-        linkEngines();
-        becomeReady();
+        updateAgentLinks();
+        updateReadiness();
     }
 
-    /// Agents are beside the servers of the services that have engines.
-    void linkEngines()
+    /// Passes on the servers that have agents: those of services with engines.
+    void updateAgentLinks()
     {
         if (!configuration_)
             return;
@@ -209,11 +210,11 @@
         links_.setEngines(engines);
     }
 
-    void becomeReady()
+    void updateReadiness()
     {
-        if (isDraining_ || readinessView_.isReady() || !catalog_.isComplete())
+        if (isDraining_ || readinessHandler_.isReady() || !catalog_.isComplete())
             return;
-        readinessView_.setReady(true);
+        readinessHandler_.setReady(true);
         logDecision(LogLine("ready")
                         .number("configuration", configuration_->version.value())
                         .number("servers", servers_.size()));
@@ -224,13 +225,13 @@
     std::shared_ptr<wire::ILinkTransport> transport_;
     std::atomic<bool> isDraining_ { false };
     forwarding::Forwarder forwarder_;
-    // Control thread.
+    // `configuration_`, `servers_`, `links_` and `catalog_` are used on the control thread only.
     catalog::ConfigurationPointer configuration_;
     std::vector<catalog::Upstream> servers_;
     AgentLinks links_;
-    CatalogWatch catalog_;
-    ReadinessView readinessView_;
-    MetricsView metricsView_;
+    CatalogWatcher catalog_;
+    ReadinessHandler readinessHandler_;
+    MetricsHandler metricsHandler_;
     http::ExchangeServer callers_;
     http::ExchangeServer readiness_;
     http::ExchangeServer ops_;
--- a/src/direct/internal/directsettings.cpp
+++ b/src/direct/internal/directsettings.cpp
@@ -22,9 +22,9 @@
     if (!object.has("repeats"))
         return;
     CheckedObject repeats = object.object("repeats");
-    settings.repeatShare = repeats.fractionOr("share", settings.repeatShare, 0, 1);
-    settings.repeatReserve = repeats.fractionOr("reserve", settings.repeatReserve, 0, 100000);
-    // A part's unknown keys are its own to find.
+    settings.retryShare = repeats.doubleOr("share", settings.retryShare, 0, 1);
+    settings.retryReserve = repeats.doubleOr("reserve", settings.retryReserve, 0, 100000);
+    // The enclosing object only checks its own keys, so unknown keys of this one are detected here.
     (void)repeats.finish();
 }
 
--- a/src/direct/internal/routerlinks.h
+++ b/src/direct/internal/routerlinks.h
@@ -1,7 +1,7 @@
 #pragma once
 
+#include "catalog/types/targetdemand.h"
 #include "catalog/types/upstream.h"
-#include "catalog/types/wanted.h"
 #include "framework/controlthread.h"
 #include "framework/iclock.h"
 #include "wire/ilink.h"
@@ -13,32 +13,32 @@
 
 namespace lagoon::direct {
 
-/// An agent's links from the routers. Belongs to the control thread.
+/// An agent's links from the routers. Runs on the control thread.
 class RouterLinks {
 public:
     struct Context {
         framework::IControlExecutor& control;
         const framework::IClock& clock;
-        std::function<void(const framework::VmName&, const catalog::InstanceId&, catalog::WantedList)> didWant;
-        std::function<void(const framework::VmName&)> didLose;
+        std::function<void(const framework::VmName&, const catalog::InstanceId&, catalog::DemandList)> didReceiveDemand;
+        std::function<void(const framework::VmName&)> didLoseRouter;
     };
 
     explicit RouterLinks(Context);
     RouterLinks(const RouterLinks&) = delete;
     RouterLinks& operator=(const RouterLinks&) = delete;
 
-    /// For the transport; from any thread.
+    /// Returns the handlers for the link transport. The transport may call them from any thread.
     wire::LinkHandlers handlers();
     void publish(const catalog::EngineState&);
-    /// The rest of the state is as published last.
+    /// Publishes the load alone; the rest of the state is as published last.
     void publishLoad(const catalog::EngineLoad&);
     /// Closes links whose routers have fallen silent.
-    void closeSilent();
+    void closeIdle();
 
 private:
     struct Router {
         framework::VmName name;
-        framework::SteadyTime heardAt {};
+        framework::SteadyTime receivedAt {};
     };
 
     void didReceive(const std::shared_ptr<wire::ILink>&, const wire::Message&);
--- a/src/direct/internal/plainviews.h
+++ b/src/direct/internal/statushandlers.h
@@ -8,8 +8,8 @@
 
 namespace lagoon::direct {
 
-/// Answers the balancer: 200 while new callers are welcome, else 503.
-class ReadinessView final : public http::IExchangeHandler {
+/// Answers load balancers: 200 while the router accepts new callers, otherwise 503.
+class ReadinessHandler final : public http::IExchangeHandler {
 public:
     void handle(const std::shared_ptr<http::IExchange>& exchange) override
     {
@@ -22,10 +22,10 @@
     std::atomic<bool> isReady_ { false };
 };
 
-/// Answers with all counters in Prometheus' text format.
-class MetricsView final : public http::IExchangeHandler {
+/// Answers with all metrics in Prometheus text format.
+class MetricsHandler final : public http::IExchangeHandler {
 public:
-    explicit MetricsView(std::shared_ptr<framework::Metrics> metrics)
+    explicit MetricsHandler(std::shared_ptr<framework::Metrics> metrics)
         : metrics_(std::move(metrics))
     {
     }
--- a/src/forwarding/internal/enginefacts.cpp
+++ b/src/forwarding/internal/enginefacts.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// What one of the engine's requests takes of its slots or of its memory.
+/// Returns the fraction of the engine's slots or memory that one of its requests occupies, whichever is larger.
 double shareOfRequest(const EngineState& state, std::uint32_t slots)
 {
     const double ofSlots = 1.0 / std::max<std::uint32_t>(1, slots);
@@ -26,28 +26,29 @@
 
 } // namespace
 
-std::optional<Milliseconds> expectedAt(const EngineFacts& engine, const ModelName& model, framework::SteadyTime now)
+std::optional<Milliseconds> expectedLoadTime(
+    const EngineFacts& engine, const ModelName& model, framework::SteadyTime now)
 {
     const auto age = std::chrono::duration_cast<Milliseconds>(now - engine.stateAt);
     for (const EngineState::Expected& expected : engine.state->expected) {
         if (expected.model != model)
             continue;
-        return expected.within >= catalog::cannotPlace ? catalog::cannotPlace
-                                                       : std::max(Milliseconds(0), expected.within - age);
+        return expected.within >= catalog::loadImpossible ? catalog::loadImpossible
+                                                          : std::max(Milliseconds(0), expected.within - age);
     }
     return std::nullopt;
 }
 
 Milliseconds loadCost(const EngineFacts& engine, const ModelProfile& model, framework::SteadyTime now)
 {
-    if (const auto expected = expectedAt(engine, model.name, now))
+    if (const auto expected = expectedLoadTime(engine, model.name, now))
         return *expected;
     Milliseconds queue(0);
     for (const EngineState::Expected& other : engine.state->expected) {
-        if (other.within < catalog::cannotPlace)
+        if (other.within < catalog::loadImpossible)
             queue = std::max(queue, other.within);
     }
-    return queue + catalog::loadTime(model, engine.state->atHand);
+    return queue + catalog::loadTime(model, engine.state->cachedWeights);
 }
 
 std::uint32_t loadersOf(const std::vector<EngineFacts>& engines, const ModelName& model)
--- a/src/forwarding/internal/forwarder.cpp
+++ b/src/forwarding/internal/forwarder.cpp
@@ -1,7 +1,7 @@
 #include "forwarding/forwarder.h"
 
 #include "catalog/routetable.h"
-#include "forwarding/internal/loadrequests.h"
+#include "forwarding/internal/demandpublisher.h"
 #include "forwarding/internal/requestjob.h"
 #include "framework/decisionlog.h"
 #include "framework/randomid.h"
@@ -24,21 +24,21 @@
 using framework::Milliseconds;
 using framework::ServiceName;
 
-/// Agents hear of changed demand this soon; what changes meanwhile goes with it.
-constexpr Milliseconds planWithin { 15 };
-/// Of what no request waits for.
-constexpr Milliseconds planCalmly { 100 };
-/// And without a change, since averages move.
-constexpr Milliseconds planEach { 500 };
-/// To come back while this process knows no configuration yet: it reads one within about a second of its start.
-constexpr Milliseconds untilConfigured { 500 };
-/// A model's request isn't answered faster than this once the model is there.
-constexpr Milliseconds fastestAnswer { 60 };
-/// How long a request waits for an agent to be linked before it is refused: links take a few network delays.
-constexpr Milliseconds agentPatience { 600 };
-/// Part of the operators' reserve of repeats that all routers together plan with: one that has just started has a full
-/// share again, and may not know yet how many others there are.
-constexpr double shareOfReserve = 0.6;
+/// Changed demand is published to the agents within this time; changes in the meantime go into the same plan.
+constexpr Milliseconds urgentPlanDelay { 15 };
+/// The delay of the plan after changes that no request waits for.
+constexpr Milliseconds backgroundPlanDelay { 100 };
+/// The interval of plans without a change, because the averages of demand change over time.
+constexpr Milliseconds planInterval { 500 };
+/// Retry-After while this process has no configuration yet: it reads one within about a second of its start.
+constexpr Milliseconds retryAfterUnconfigured { 500 };
+/// The shortest time in which a request for a model is answered once the model is loaded.
+constexpr Milliseconds minAnswerTime { 60 };
+/// How long a request waits for a connection to an agent before it is refused: connecting takes a few network delays.
+constexpr Milliseconds agentConnectTimeout { 600 };
+/// The fraction of the operators' retry reserve that all routers together plan with. A router that has just started has
+/// a full share again and may not know yet how many routers there are.
+constexpr double plannedReserveShare = 0.6;
 const catalog::RouteTarget& drawTarget(const catalog::Route& route)
 {
     double all = 0;
@@ -61,17 +61,17 @@
         : context_(std::move(context))
         , settings_(settings)
         , upstreams_(context_.traffic.context())
-        , loads_(upstreams_, context_.publish, context_.clock.now())
+        , demandPublisher_(upstreams_, context_.publish, context_.clock.now())
     {
         upstreams_.setPolicy(settings.policy);
     }
 
-    void start() { planSoon(planEach); }
+    void start() { schedulePlan(planInterval); }
 
     void handle(const std::shared_ptr<http::IExchange>& exchange)
     {
         if (!routes_)
-            return refuse(*exchange, 503, "no configuration yet", untilConfigured);
+            return refuse(*exchange, 503, "no configuration yet", retryAfterUnconfigured);
         const std::string_view host = exchange->request().headers.find("Host").value_or("");
         const catalog::Route* const route = routes_->find(host, exchange->request().target);
         if (!route)
@@ -93,14 +93,14 @@
     {
         routes_ = std::make_unique<catalog::RouteTable>(configuration);
         upstreams_.setConfiguration(std::move(configuration));
-        retryWaiting();
+        dispatchWaiting();
     }
 
     void setUpstreams(const std::vector<catalog::Upstream>& list)
     {
         upstreams_.setUpstreams(list);
-        retryWaiting();
-        planSoon(planWithin);
+        dispatchWaiting();
+        schedulePlan(urgentPlanDelay);
     }
 
     void didConfirmUpstreams(framework::SteadyTime at) { upstreams_.didConfirmList(at); }
@@ -109,13 +109,13 @@
     {
         std::vector<framework::ModelName> models = modelsOf(state);
         upstreams_.setState(std::move(state), now());
-        planSoon(retryWaitingFor(models) ? planWithin : planCalmly);
+        schedulePlan(dispatchWaitingFor(models) ? urgentPlanDelay : backgroundPlanDelay);
     }
 
     void setLoad(const catalog::EngineLoad& load)
     {
         upstreams_.setLoad(load, now());
-        planSoon(planCalmly);
+        schedulePlan(backgroundPlanDelay);
     }
 
     void forgetState(const Endpoint& engine) { upstreams_.forgetState(engine); }
@@ -123,19 +123,19 @@
     void didLoseAgent(const Endpoint& engine)
     {
         upstreams_.didLoseAgent(engine, now());
-        planSoon(planWithin);
+        schedulePlan(urgentPlanDelay);
     }
 
-    void endService(const framework::ServiceEnd& end)
+    void beginShutdown(const framework::ShutdownDeadlines& end)
     {
         end_ = end;
         for (const auto& job : jobs_)
-            job->endService(end);
-        retryWaiting();
-        // What still waits then is too late to start.
-        startTimer_ = context_.traffic.runAt(end.startBy, [weak = weak_from_this()] {
+            job->beginShutdown(end);
+        dispatchWaiting();
+        // Requests that still wait at that time are too late to start.
+        startByTimer_ = context_.traffic.runAt(end.startBy, [weak = weak_from_this()] {
             if (const auto self = weak.lock())
-                self->retryWaiting();
+                self->dispatchWaiting();
         });
     }
 
@@ -160,42 +160,42 @@
     framework::EventThread& thread() override { return context_.traffic; }
     framework::Metrics& metrics() override { return *context_.metrics; }
     framework::SteadyTime now() const override { return context_.clock.now(); }
-    bool spendRepeat(const ServiceName& service) override
+    bool spendRetry(const ServiceName& service) override
     {
         return settings_.policy.repeatsRequests && budget(service).spend();
     }
 
-    void didFindQueue(const JobTerms& terms, Milliseconds expected) override
+    void didEstimateFirstEvent(const JobSpec& spec, Milliseconds expected) override
     {
-        queues_[{ terms.facts.model, terms.route->priority }].didArrive(expected, terms.route->targetLatency, now());
+        queues_[{ spec.facts.model, spec.route->priority }].didArrive(expected, spec.route->targetLatency, now());
     }
 
-    bool isOverloaded(const JobTerms& terms, Milliseconds expected) const override
+    bool isOverloaded(const JobSpec& spec, Milliseconds expected) const override
     {
-        const Milliseconds target = terms.route->targetLatency;
-        // Without a target there is nothing by which a queue could be too long.
+        const Milliseconds target = spec.route->targetLatency;
+        // Without a target latency no queue counts as too long.
         if (target.count() <= 0 || expected <= target || !settings_.policy.refusesOverload)
             return false;
-        const auto queue = queues_.find({ terms.facts.model, terms.route->priority });
+        const auto queue = queues_.find({ spec.facts.model, spec.route->priority });
         const bool isStanding = queue != queues_.end() && queue->second.isStanding(target, now());
-        return isStanding || now() + expected > terms.firstEventBy.at();
+        return isStanding || now() + expected > spec.firstEventBy.at();
     }
 
-    void didRun(Milliseconds took) override { loads_.didRun(took); }
+    void didRun(Milliseconds took) override { demandPublisher_.didRun(took); }
 
-    void demandChanged() override { planSoon(planCalmly); }
+    void demandChanged() override { schedulePlan(backgroundPlanDelay); }
 
     void didEnd(const std::shared_ptr<RequestJob>& job) override
     {
         jobs_.erase(job);
-        noteEnd(job);
-        planSoon(planCalmly);
-        if (std::exchange(isRetryPosted_, true))
+        unindexJob(job);
+        schedulePlan(backgroundPlanDelay);
+        if (std::exchange(isDispatchPosted_, true))
             return;
-        // Not from here: the request that ended is still on the stack.
+        // Posted because the request that ended is still on the stack.
         context_.traffic.post([weak = weak_from_this()] {
             if (const auto self = weak.lock())
-                self->retryWaiting();
+                self->dispatchWaiting();
         });
     }
 
@@ -215,80 +215,81 @@
 
     void begin(const std::shared_ptr<http::IExchange>& exchange, const catalog::Route& route, RequestFacts facts)
     {
-        JobTerms terms;
-        terms.configuration = routes_->configuration();
-        terms.route = &route;
-        terms.service = drawTarget(route).service;
-        const Milliseconds patience = std::min(route.timeout, facts.timeLeft.value_or(route.timeout));
-        terms.deadline = Deadline::after(exchange->receivedAt(), patience);
-        const Milliseconds untilFirst = route.patience.count() > 0 ? route.patience : patience;
-        terms.firstEventBy = Deadline::after(exchange->receivedAt(), std::min(patience, untilFirst));
-        loads_.didArrive(terms.service, facts, now());
-        terms.facts = std::move(facts);
-        budget(terms.service).earn();
-        const auto job = std::make_shared<RequestJob>(*this, exchange, std::move(terms));
+        JobSpec spec;
+        spec.configuration = routes_->configuration();
+        spec.route = &route;
+        spec.service = drawTarget(route).service;
+        const Milliseconds callerTimeout = std::min(route.timeout, facts.timeLeft.value_or(route.timeout));
+        spec.deadline = Deadline::after(exchange->receivedAt(), callerTimeout);
+        const Milliseconds untilFirst = route.patience.count() > 0 ? route.patience : callerTimeout;
+        spec.firstEventBy = Deadline::after(exchange->receivedAt(), std::min(callerTimeout, untilFirst));
+        demandPublisher_.didArrive(spec.service, facts, now());
+        spec.facts = std::move(facts);
+        budget(spec.service).earn();
+        const auto job = std::make_shared<RequestJob>(*this, exchange, std::move(spec));
         if (end_)
-            job->endService(*end_);
+            job->beginShutdown(*end_);
         jobs_.insert(job);
-        if (!job->terms().facts.model.value().empty())
-            jobsByModel_[job->terms().facts.model].insert(job);
+        if (!job->spec().facts.model.value().empty())
+            jobsByModel_[job->spec().facts.model].insert(job);
         job->start();
         if (job->isWaiting())
-            planSoon(Milliseconds(0));
+            schedulePlan(Milliseconds(0));
     }
 
-    /// Each router spends by its own requests and its part of the reserve, so that all together keep to the operators'
-    /// bound without talking. Guards against routers that have all just started: how many there are is known only once
-    /// an agent has been heard, and until then each takes a small part.
+    /// Each router spends retries in proportion to its own requests plus its share of the reserve, so that all routers
+    /// together keep to the operators' limit without communicating. The number of routers is known only after an agent
+    /// has reported; until then each router takes a small share, so that routers that have all just started don't
+    /// exceed the limit.
     policy::RetryBudget& budget(const ServiceName& service)
     {
-        const double reserve = std::max(1.0, shareOfReserve * settings_.repeatReserve / upstreams_.routers());
-        policy::RetryBudget& budget = budgets_.try_emplace(service, settings_.repeatShare, reserve).first->second;
-        budget.setMost(reserve);
+        const double reserve = std::max(1.0, plannedReserveShare * settings_.retryReserve / upstreams_.routers());
+        policy::RetryBudget& budget = budgets_.try_emplace(service, settings_.retryShare, reserve).first->second;
+        budget.setMax(reserve);
         return budget;
     }
 
-    void noteEnd(const std::shared_ptr<RequestJob>& job)
+    void unindexJob(const std::shared_ptr<RequestJob>& job)
     {
-        const auto ofModel = jobsByModel_.find(job->terms().facts.model);
+        const auto ofModel = jobsByModel_.find(job->spec().facts.model);
         if (ofModel != jobsByModel_.end() && ofModel->second.erase(job) > 0 && ofModel->second.empty())
             jobsByModel_.erase(ofModel);
     }
 
     using Jobs = std::set<std::shared_ptr<RequestJob>>;
-    /// Engines that agents speak for, by service; gathered once for all requests that are looked at together.
+    /// Engines with an agent, by service; collected once for all requests that are checked together.
     using EnginesByService = std::map<ServiceName, std::vector<EngineFacts>>;
 
     static std::vector<framework::ModelName> modelsOf(const catalog::EngineState& state)
     {
         std::vector<framework::ModelName> models;
-        for (const catalog::HeldModel& held : state.held)
+        for (const catalog::LoadedModel& held : state.held)
             models.push_back(held.model);
         for (const catalog::EngineState::Expected& expected : state.expected)
             models.push_back(expected.model);
         return models;
     }
 
-    void retryWaiting()
+    void dispatchWaiting()
     {
-        isRetryPosted_ = false;
-        retry(jobs_);
+        isDispatchPosted_ = false;
+        dispatch(jobs_);
     }
 
-    /// Those that an engine's state may concern, so that its cost doesn't grow with the number of requests. Returns
-    /// whether there were any.
-    bool retryWaitingFor(const std::vector<framework::ModelName>& models)
+    /// Dispatches only the waiting requests that the engine's state may affect, so that the cost doesn't grow with the
+    /// total number of requests. Returns whether there were any.
+    bool dispatchWaitingFor(const std::vector<framework::ModelName>& models)
     {
-        Jobs concerned;
+        Jobs affected;
         for (const framework::ModelName& model : models) {
             const auto ofModel = jobsByModel_.find(model);
             if (ofModel != jobsByModel_.end())
-                concerned.insert(ofModel->second.begin(), ofModel->second.end());
+                affected.insert(ofModel->second.begin(), ofModel->second.end());
         }
-        return retry(concerned);
+        return dispatch(affected);
     }
 
-    bool retry(const Jobs& jobs)
+    bool dispatch(const Jobs& jobs)
     {
         std::vector<std::shared_ptr<RequestJob>> waiting;
         for (const auto& job : jobs) {
@@ -296,8 +297,8 @@
                 waiting.push_back(job);
         }
         std::sort(waiting.begin(), waiting.end(), [](const auto& left, const auto& right) {
-            return std::tie(left->terms().route->priority, left->terms().deadline)
-                < std::tie(right->terms().route->priority, right->terms().deadline);
+            return std::tie(left->spec().route->priority, left->spec().deadline)
+                < std::tie(right->spec().route->priority, right->spec().deadline);
         });
         for (const auto& job : waiting)
             job->advance();
@@ -309,31 +310,32 @@
         return !waiting.empty();
     }
 
-    /// A request that waits for a model is refused once even the soonest end of its load is too late, or when there is
-    /// nobody who could load it.
+    /// Refuses a request that waits for a model if the model will be loaded too late even in the best case, or if no
+    /// engine can load it.
     void refuseIfHopeless(RequestJob& job, EnginesByService& engines)
     {
         const auto waitingFor = job.waitingFor();
         if (!waitingFor || !settings_.policy.refusesHopeless)
             return;
-        const ServiceName& service = job.terms().service;
-        const Milliseconds left = job.terms().firstEventBy.remaining(now());
+        const ServiceName& service = job.spec().service;
+        const Milliseconds left = job.spec().firstEventBy.remaining(now());
         if (!waitingFor->target.adapter.value().empty())
             return;
         auto known = engines.find(service);
         if (known == engines.end())
             known = engines.emplace(service, upstreams_.engines(service, now())).first;
-        const auto soonest = loads_.soonest(service, known->second, *waitingFor, now());
-        if (!soonest && !loads_.hasLoader(service, waitingFor->target.model) && job.waited(now()) > agentPatience)
+        const auto timeUntilLoaded = demandPublisher_.timeUntilLoaded(service, known->second, *waitingFor, now());
+        if (!timeUntilLoaded && !demandPublisher_.hasLoader(service, waitingFor->target.model)
+            && job.waited(now()) > agentConnectTimeout)
             return job.refuseAsHopeless(left);
-        if (!soonest || *soonest + fastestAnswer <= left)
+        if (!timeUntilLoaded || *timeUntilLoaded + minAnswerTime <= left)
             return;
         if (settings_.policy.countsReturning)
-            loads_.keepFor(service, *waitingFor, job.terms().deadline);
-        job.refuseAsHopeless(*soonest);
+            demandPublisher_.expectRetry(service, *waitingFor, job.spec().deadline);
+        job.refuseAsHopeless(*timeUntilLoaded);
     }
 
-    void planSoon(Milliseconds within)
+    void schedulePlan(Milliseconds within)
     {
         const Deadline at = Deadline::after(now(), within);
         if (planTimer_ && planAt_ <= at)
@@ -345,33 +347,33 @@
         });
     }
 
-    void leaveSilent()
+    void failOverIfSilent()
     {
-        if (!upstreams_.mayHaveSilent(now()))
+        if (!upstreams_.mayAnyBeSilent(now()))
             return;
         const auto jobs = jobs_;
         for (const auto& job : jobs)
-            job->leaveSilent();
+            job->failOverIfSilent();
     }
 
     void plan()
     {
         planTimer_.reset();
-        upstreams_.forgetLosses(now());
-        leaveSilent();
+        upstreams_.expireUnreachable(now());
+        failOverIfSilent();
         if (routes_)
-            loads_.plan(
+            demandPublisher_.plan(
                 *routes_->configuration(), [this](const ServiceName& service) { return waitingFor(service); },
                 settings_.policy, now());
-        retryWaiting();
-        planSoon(planEach);
+        dispatchWaiting();
+        schedulePlan(planInterval);
     }
 
-    std::vector<WaitingFor> waitingFor(const ServiceName& service) const
+    std::vector<WaitingRequests> waitingFor(const ServiceName& service) const
     {
-        std::vector<WaitingFor> waiting;
+        std::vector<WaitingRequests> waiting;
         for (const auto& job : jobs_) {
-            if (job->terms().service != service)
+            if (job->spec().service != service)
                 continue;
             if (const auto one = job->waitingFor())
                 waiting.push_back(*one);
@@ -381,20 +383,20 @@
 
     Context context_;
     ForwarderSettings settings_;
-    /// Set once this process is to end.
-    std::optional<framework::ServiceEnd> end_;
-    std::unique_ptr<framework::Timer> startTimer_;
+    /// Set when this process begins to shut down.
+    std::optional<framework::ShutdownDeadlines> end_;
+    std::unique_ptr<framework::Timer> startByTimer_;
     UpstreamTable upstreams_;
     std::unique_ptr<catalog::RouteTable> routes_;
     Jobs jobs_;
     std::unordered_map<framework::ModelName, Jobs> jobsByModel_;
     std::map<ServiceName, policy::RetryBudget> budgets_;
-    LoadRequests loads_;
-    /// At the engines that hold a model, by the priority of those that queue.
+    DemandPublisher demandPublisher_;
+    /// Queues at the engines that have a model loaded, by model and the priority of the queued requests.
     std::map<std::pair<framework::ModelName, std::uint32_t>, policy::StandingQueue> queues_;
     std::unique_ptr<framework::Timer> planTimer_;
     Deadline planAt_;
-    bool isRetryPosted_ = false;
+    bool isDispatchPosted_ = false;
 };
 
 Forwarder::Forwarder(Context context, const ForwarderSettings& settings)
@@ -430,7 +432,7 @@
 
 void Forwarder::didLoseAgent(const Endpoint& engine) { implementation_->didLoseAgent(engine); }
 
-void Forwarder::endService(const framework::ServiceEnd& end) { implementation_->endService(end); }
+void Forwarder::beginShutdown(const framework::ShutdownDeadlines& end) { implementation_->beginShutdown(end); }
 
 void Forwarder::answerNow() { implementation_->answerNow(); }
 
--- a/src/forwarding/internal/upstreamuse.h
+++ b/src/forwarding/internal/inflightguard.h
@@ -1,21 +1,21 @@
 #pragma once
 
-#include "catalog/types/wanted.h"
+#include "catalog/types/targetdemand.h"
 #include "forwarding/internal/upstreamtable.h"
 
 #include <cstdint>
 
 namespace lagoon::forwarding {
 
-/// One request's part in the counts of a server, for as long as it is under way there.
-class UpstreamUse {
+/// Counts one request in the load figures of a server while it is in flight there.
+class InFlightGuard {
 public:
-    UpstreamUse(UpstreamPointer, catalog::ModelTarget, std::uint32_t priority, std::uint64_t newTokens);
-    ~UpstreamUse();
-    UpstreamUse(const UpstreamUse&) = delete;
-    UpstreamUse& operator=(const UpstreamUse&) = delete;
+    InFlightGuard(UpstreamPointer, catalog::ModelTarget, std::uint32_t priority, std::uint64_t newTokens);
+    ~InFlightGuard();
+    InFlightGuard(const InFlightGuard&) = delete;
+    InFlightGuard& operator=(const InFlightGuard&) = delete;
 
-    /// The answer has begun: the prompt has been read.
+    /// The answer has begun, so the engine has processed the prompt.
     void didStart();
     UpstreamRecord& upstream() { return *upstream_; }
     const UpstreamPointer& pointer() const { return upstream_; }
--- a/src/forwarding/internal/promptcache.cpp
+++ b/src/forwarding/internal/promptcache.cpp
@@ -13,12 +13,12 @@
     for (const PromptPart& part : facts.prompt) {
         const std::string id = part.id + ',';
         hash = policy::fnv1a(id.data(), id.size(), hash);
-        chain.push_back({ policy::mixed(hash), part.tokens });
+        chain.push_back({ policy::mixBits(hash), part.tokens });
     }
     return chain;
 }
 
-std::uint32_t PromptCache::kept(const PromptChain& chain) const
+std::uint32_t PromptCache::cachedTokens(const PromptChain& chain) const
 {
     std::uint32_t tokens = 0;
     for (const PromptLink& link : chain) {
@@ -34,14 +34,14 @@
     for (const PromptLink& link : chain) {
         const auto [entry, isNew] = entries_.try_emplace(link.hash);
         if (!isNew) {
-            order_.splice(order_.begin(), order_, entry->second.place);
+            order_.splice(order_.begin(), order_, entry->second.position);
             continue;
         }
         order_.push_front(link.hash);
         entry->second = { link.tokens, order_.begin() };
         used_ += link.tokens;
     }
-    while (used_ > room_.value() && !order_.empty()) {
+    while (used_ > capacity_.value() && !order_.empty()) {
         const auto oldest = entries_.find(order_.back());
         used_ -= oldest->second.tokens;
         entries_.erase(oldest);
