--- a/src/router/tests/dispatcher_test.cpp
+++ b/src/router/tests/dispatcher_test.cpp
@@ -15,7 +15,7 @@
 
 class DispatchFixture : public RouterFixture {
 public:
-    /// The agents that were asked to bid answer: the first can load, or none can.
+    /// Answers the bid request that the agent received.
     void bid(const std::string& vm, bool canLoad, bool isLoaded = false)
     {
         const auto to = link(vm);
@@ -26,25 +26,25 @@
         bid.checkpoint = static_cast<std::uint8_t>(checkpoint_);
         bid.refusal = static_cast<std::uint8_t>(ErrorCode::MemoryShort);
         to->deliver(wire::message(bid));
-        settle();
+        runPending();
     }
 
     void bidBoth(bool canLoad)
     {
-        greet("draft-1");
-        greet("draft-2");
+        completeHandshake("draft-1");
+        completeHandshake("draft-2");
         bid("draft-1", canLoad);
         bid("draft-2", canLoad);
     }
 
-    /// The agent that was told to load, and its order.
-    std::string loader()
+    /// Returns the agent that received a load order, and stores the order's correlation; empty if there was none.
+    std::string takeLoadOrder()
     {
         for (std::string vm : { "draft-1", "draft-2" }) {
             for (const wire::Message& sent : link(vm)->takeSent()) {
                 if (sent.body.type != Body::Load)
                     continue;
-                correlation_ = sent.body.AsLoad()->correlation;
+                loadCorrelation_ = sent.body.AsLoad()->correlation;
                 ++loads_;
                 return vm;
             }
@@ -55,11 +55,11 @@
     void endLoad(const std::string& vm, bool isLoaded, ErrorCode code = ErrorCode::LoadFailed)
     {
         wire::fb::LoadResultT result;
-        result.correlation = correlation_;
+        result.correlation = loadCorrelation_;
         result.is_loaded = isLoaded;
         result.code = static_cast<std::uint8_t>(code);
         link(vm)->deliver(wire::message(std::move(result)));
-        settle();
+        runPending();
     }
 
     wire::fb::DispatchIdT sentId(const std::string& vm)
@@ -67,13 +67,13 @@
         return *link(vm)->takeSent(Body::Dispatch).body.AsDispatch()->id;
     }
 
-    /// The agent that a request went to, and its dispatch.
+    /// Returns the agent that received a dispatch, and the dispatch's id.
     std::pair<std::string, wire::fb::DispatchIdT> firstDispatch()
     {
         for (std::string vm : { "draft-1", "draft-2" }) {
             if (!link(vm))
                 continue;
-            greet(vm);
+            completeHandshake(vm);
             for (const wire::Message& sent : link(vm)->takeSent()) {
                 if (sent.body.type == Body::Dispatch)
                     return { vm, *sent.body.AsDispatch()->id };
@@ -84,8 +84,8 @@
 
     static std::string other(const std::string& vm) { return vm == "draft-1" ? "draft-2" : "draft-1"; }
 
-    policy::CheckpointPlace checkpoint_ = policy::CheckpointPlace::Memory;
-    std::uint64_t correlation_ = 0;
+    policy::CheckpointLocation checkpoint_ = policy::CheckpointLocation::Memory;
+    std::uint64_t loadCorrelation_ = 0;
     int loads_ = 0;
 };
 
@@ -93,29 +93,29 @@
 
 BOOST_FIXTURE_TEST_SUITE(Dispatchers, DispatchFixture)
 
-BOOST_AUTO_TEST_CASE(aColdModelIsLoadedOnceForAllWhoWait)
+BOOST_AUTO_TEST_CASE(aColdModelIsLoadedOnceForAllWaitingRequests)
 {
     std::vector<std::shared_ptr<FakeAnswer>> answers;
     for (int caller = 0; caller < 3; ++caller)
         answers.push_back(ask(notes(), longTimeout, false));
     bidBoth(true);
-    const std::string vm = loader();
+    const std::string vm = takeLoadOrder();
     BOOST_REQUIRE(!vm.empty());
-    BOOST_TEST(loader() == "");
+    BOOST_TEST(takeLoadOrder() == "");
     endLoad(vm, true);
     for (int caller = 0; caller < 3; ++caller)
         answer(*link(vm), sentId(vm), "note");
     for (const auto& each : answers) {
-        BOOST_TEST(each->isWhole_);
-        BOOST_TEST(each->finals_ == 1);
+        BOOST_TEST(each->isComplete_);
+        BOOST_TEST(each->finalCount_ == 1);
     }
     BOOST_TEST(metrics_.text().find("lagoon_cold_start_seconds_count 3") != std::string::npos);
     BOOST_TEST(dispatcher_.requests() == 0u);
 }
 
-// No upstream can make room. The caller must hear so at once, as not run and with a time to come back, not at its
-// deadline.
-BOOST_AUTO_TEST_CASE(withoutRoomTheRefusalComesAtOnce)
+// No upstream can free enough memory. The request must be refused at once, as not run and with a retry-after time, not
+// at its deadline.
+BOOST_AUTO_TEST_CASE(aRequestIsRefusedAtOnceIfNoUpstreamHasMemory)
 {
     const auto caller = ask(notes(), longTimeout, false);
     bidBoth(false);
@@ -125,28 +125,29 @@
     BOOST_TEST(caller->refused_->retryAfter.has_value());
 }
 
-// A load fails at the first upstream: the second is tried before anyone is refused.
-BOOST_AUTO_TEST_CASE(aFailedLoadIsTriedElsewhere)
+// A load fails at the first upstream. The second must be tried before a request is refused.
+BOOST_AUTO_TEST_CASE(aFailedLoadIsRetriedOnAnotherUpstream)
 {
     const auto caller = ask(notes(), longTimeout, false);
     bidBoth(true);
-    const std::string first = loader();
+    const std::string first = takeLoadOrder();
     endLoad(first, false);
-    const std::string second = loader();
+    const std::string second = takeLoadOrder();
     BOOST_TEST(second == other(first));
     endLoad(second, true);
     answer(*link(second), sentId(second), "note");
-    BOOST_TEST(caller->isWhole_);
+    BOOST_TEST(caller->isComplete_);
 }
 
-// Operators move a model while a cold request for it waits: the count at this site is lowered a moment before this
-// router has the new bundle. The request must wait for that bundle, not be refused for want of a replica.
-BOOST_AUTO_TEST_CASE(aCountOfANewerBundleIsWaitedFor)
+// Operators move a model to another site while a cold request for it waits, and the count at this site is lowered
+// shortly before this router has the new bundle. The request must wait for that bundle, not be refused for lack of a
+// replica.
+BOOST_AUTO_TEST_CASE(aRequestWaitsForTheBundleThatLoweredTheCount)
 {
     holders_.bundleVersion = framework::BundleVersion(4);
     const auto caller = ask(notes(), longTimeout, false);
     bidBoth(true);
-    endLoad(loader(), false, ErrorCode::ReplicaCapReached);
+    endLoad(takeLoadOrder(), false, ErrorCode::ReplicaCapReached);
     control_.advance(Milliseconds(1000));
     BOOST_TEST(!caller->refused_);
     auto newer = std::make_shared<bundle::Bundle>(*bundle_);
@@ -155,33 +156,33 @@
     control_.advance(Milliseconds(200));
     bid("draft-1", true);
     bid("draft-2", false);
-    BOOST_TEST(loader() == "draft-1");
+    BOOST_TEST(takeLoadOrder() == "draft-1");
     endLoad("draft-1", true);
     answer(*link("draft-1"), sentId("draft-1"), "note");
-    BOOST_TEST(caller->isWhole_);
+    BOOST_TEST(caller->isComplete_);
 }
 
-// Before a move ends both sites decide a replica, and only the other site's is warm. It serves; meanwhile this site
-// gets its own, or it would stay cold until the other is taken away.
-BOOST_AUTO_TEST_CASE(anotherSitesReplicaServesWhileTheOwnIsLoaded)
+// During a move the bundle decides a replica at both sites, and only the one at the other site is loaded. It must
+// serve, and this site must load its own meanwhile, or it would stay cold until the other replica is removed.
+BOOST_AUTO_TEST_CASE(anotherSitesReplicaServesWhileALocalOneIsLoaded)
 {
     placements_.add(notes(), framework::VmName("far-1"));
     const auto first = ask(notes(), longTimeout, false);
-    greet("far-1");
+    completeHandshake("far-1");
     answer(*link("far-1"), sentId("far-1"), "note");
-    BOOST_TEST(first->isWhole_);
+    BOOST_TEST(first->isComplete_);
     bidBoth(true);
-    const std::string own = loader();
+    const std::string own = takeLoadOrder();
     BOOST_REQUIRE(!own.empty());
     endLoad(own, true);
     const auto second = ask(notes(), longTimeout, false);
     answer(*link(own), sentId(own), "note");
-    BOOST_TEST(second->isWhole_);
+    BOOST_TEST(second->isComplete_);
 }
 
-// The router that is home for the model freezes with its connections open. After a second without a word the next
-// router in the order must do its duty, or the request would wait until its deadline.
-BOOST_AUTO_TEST_CASE(aSilentHomeIsPassedBy)
+// The router that is home for the model freezes with its connections open. After one second without a reply the next
+// router in rendezvous order must act as home, or the request would wait until its deadline.
+BOOST_AUTO_TEST_CASE(aSilentHomeIsReplacedByTheNextRouter)
 {
     const std::string home = addHomeFor("notes");
     const auto caller = ask(notes(), longTimeout, false);
@@ -190,29 +191,30 @@
     control_.advance(Milliseconds(1100));
     BOOST_REQUIRE(link("draft-1"));
     bidBoth(true);
-    const std::string vm = loader();
+    const std::string vm = takeLoadOrder();
     endLoad(vm, true);
     answer(*link(vm), sentId(vm), "note");
-    BOOST_TEST(caller->isWhole_);
+    BOOST_TEST(caller->isComplete_);
 }
 
-// An agent's link broke under a request, which therefore avoids it; but the agent lives, and the home finds that only
-// it has the model. The request must go there, not wait until its deadline for another.
-BOOST_AUTO_TEST_CASE(anAgentThatFailedOnceIsUsedAgainIfItIsTheOnlyOne)
+// An agent's link breaks during a request, so the request excludes the agent. But the agent is healthy, and the home
+// finds that it alone serves the model. The request must be sent there, not wait for another agent until its deadline.
+BOOST_AUTO_TEST_CASE(anAgentThatFailedIsUsedAgainIfItIsTheOnlyOne)
 {
     placements_.add(notes(), framework::VmName("draft-1"));
     const auto caller = ask(notes(), longTimeout, false);
     link("draft-1")->cut("connect");
-    settle();
-    greet("draft-1");
-    greet("draft-2");
+    runPending();
+    completeHandshake("draft-1");
+    completeHandshake("draft-2");
     bid("draft-1", false, true);
     bid("draft-2", false);
     answer(*link("draft-1"), sentId("draft-1"), "note");
-    BOOST_TEST(caller->isWhole_);
+    BOOST_TEST(caller->isComplete_);
 }
 
-// The weight store crawls and the load doesn't end. The waiting request is refused as not run before its deadline.
+// The weight store is too slow for the load to end in time. The waiting request must be refused as not run before its
+// deadline.
 BOOST_AUTO_TEST_CASE(aWaitingRequestIsRefusedBeforeItsDeadline)
 {
     const auto caller = ask(notes(), Milliseconds(100), false);
@@ -220,12 +222,13 @@
     control_.advance(Milliseconds(99));
     BOOST_REQUIRE(caller->refused_);
     BOOST_CHECK(caller->refused_->execution == Execution::NotRun);
-    BOOST_TEST(caller->finals_ == 1);
+    BOOST_TEST(caller->finalCount_ == 1);
     BOOST_TEST(dispatcher_.requests() == 0u);
 }
 
-// A hold was sent and its agent never answers: at the deadline the caller hears "unknown", since it may have been made.
-BOOST_AUTO_TEST_CASE(aSentRequestIsUnknownAtItsDeadline)
+// A slot hold was sent and its agent never answers. At the deadline the caller must receive "unknown", since the hold
+// may have been made.
+BOOST_AUTO_TEST_CASE(aSentRequestEndsAsUnknownAtItsDeadline)
 {
     const auto caller = ask(holds(), Milliseconds(1000), false);
     firstDispatch();
@@ -235,19 +238,20 @@
     BOOST_CHECK(caller->refused_->execution == Execution::Unknown);
 }
 
-BOOST_AUTO_TEST_CASE(whatDidNotRunGoesElsewhere)
+BOOST_AUTO_TEST_CASE(aRequestThatDidNotRunIsRetriedOnAnotherAgent)
 {
     const auto caller = ask(holds(), longTimeout, false);
     const auto [vm, id] = firstDispatch();
     refuse(*link(vm), id, ErrorCode::Draining, Execution::NotRun);
-    greet(other(vm));
+    completeHandshake(other(vm));
     answer(*link(other(vm)), sentId(other(vm)), "held");
-    BOOST_TEST(caller->isWhole_);
+    BOOST_TEST(caller->isComplete_);
     BOOST_TEST(caller->attempt_ == 2u);
 }
 
-// An agent dies after a hold was sent. A second attempt could hold two slots: the caller hears "unknown" instead.
-BOOST_AUTO_TEST_CASE(whatMayHaveRunIsNotRepeated)
+// The upstream fails after a slot hold was sent. A second attempt could hold two slots, so the caller must receive
+// "unknown" instead.
+BOOST_AUTO_TEST_CASE(aRequestThatMayHaveRunIsNotRetried)
 {
     const auto caller = ask(holds(), longTimeout, false);
     const auto [vm, id] = firstDispatch();
@@ -257,18 +261,18 @@
     BOOST_TEST(!link(other(vm)));
 }
 
-BOOST_AUTO_TEST_CASE(whatMayBeRepeatedIs)
+BOOST_AUTO_TEST_CASE(aRepeatableRequestIsRetriedAfterAnUnknownOutcome)
 {
     const auto caller = ask(holds(), longTimeout, true);
     const auto [vm, id] = firstDispatch();
     refuse(*link(vm), id, ErrorCode::UpstreamBroken, Execution::Unknown);
-    greet(other(vm));
+    completeHandshake(other(vm));
     answer(*link(other(vm)), sentId(other(vm)), "found");
-    BOOST_TEST(caller->isWhole_);
+    BOOST_TEST(caller->isComplete_);
 }
 
-// Every upstream fails every request. Retries must stop when their budget is spent, or they multiply the overload.
-BOOST_AUTO_TEST_CASE(retriesStayInTheirBudget)
+// Every upstream fails every request. Retries must stop once their budget is spent, or they would multiply an overload.
+BOOST_AUTO_TEST_CASE(retriesStayWithinTheBudget)
 {
     settings_.retryShare = 0;
     dispatcher_.setReplicaChoice(policy::makeReplicaChoice({}, 1));
@@ -279,7 +283,7 @@
             for (const std::string vm : { "draft-1", "draft-2" }) {
                 if (!link(vm))
                     continue;
-                greet(vm);
+                completeHandshake(vm);
                 for (const wire::Message& sent : link(vm)->takeSent()) {
                     if (sent.body.type == Body::Dispatch)
                         refuse(*link(vm), *sent.body.AsDispatch()->id, ErrorCode::UpstreamBroken, Execution::Unknown);
@@ -292,19 +296,20 @@
     BOOST_TEST(refusedForBudget > 0);
 }
 
-BOOST_AUTO_TEST_CASE(aCallerThatHangsUpFreesItsPlaceAndItsWork)
+BOOST_AUTO_TEST_CASE(aDisconnectedCallersRequestIsCancelled)
 {
     const auto caller = ask(holds(), longTimeout, false);
     const auto [vm, id] = firstDispatch();
-    caller->hangUp_();
-    settle();
+    caller->onGone_();
+    runPending();
     BOOST_TEST(link(vm)->takeSent(Body::Cancel).body.AsCancel()->id->sequence == id.sequence);
     BOOST_TEST(dispatcher_.requests() == 0u);
-    BOOST_TEST(caller->finals_ == 0);
+    BOOST_TEST(caller->finalCount_ == 0);
 }
 
-// A stream is cut in the middle: the caller must see its connection break, not a refusal glued to half an answer.
-BOOST_AUTO_TEST_CASE(aBegunAnswerIsBrokenOff)
+// An answer is cut after its head was sent. The caller's connection must be broken off, without a refusal appended to
+// the incomplete answer.
+BOOST_AUTO_TEST_CASE(aStartedAnswerIsBrokenOff)
 {
     const auto caller = ask(holds(), longTimeout, true);
     const auto [vm, id] = firstDispatch();
@@ -314,28 +319,28 @@
     refuse(*link(vm), id, ErrorCode::UpstreamBroken, Execution::Unknown);
     BOOST_TEST(caller->brokenOff_.has_value());
     BOOST_TEST(!caller->refused_);
-    BOOST_TEST(caller->finals_ == 1);
+    BOOST_TEST(caller->finalCount_ == 1);
 }
 
-// The placement cache says that an agent has the model, but it was unloaded: the request is not run there, and waits
-// for a new load instead of being refused.
+// The placement cache lists an agent that has unloaded the model since. The agent refuses the request as not run, and
+// the request must wait for a new load instead of being refused.
 BOOST_AUTO_TEST_CASE(aStalePlacementLeadsToANewLoad)
 {
     placements_.add(notes(), framework::VmName("draft-1"));
     const auto caller = ask(notes(), longTimeout, false);
-    greet("draft-1");
+    completeHandshake("draft-1");
     refuse(*link("draft-1"), sentId("draft-1"), ErrorCode::NotLoaded, Execution::NotRun);
-    greet("draft-2");
+    completeHandshake("draft-2");
     bid("draft-1", true);
     bid("draft-2", false);
-    BOOST_TEST(loader() == "draft-1");
+    BOOST_TEST(takeLoadOrder() == "draft-1");
     endLoad("draft-1", true);
     answer(*link("draft-1"), sentId("draft-1"), "note");
-    BOOST_TEST(caller->isWhole_);
+    BOOST_TEST(caller->isComplete_);
 }
 
-// An agent is restarted for a new program version: it drains, ends, and a new process answers at the same place. It
-// must get work again, though nothing in the platform's list changed.
+// An agent is restarted for a new program version: it drains and exits, and a new process listens on the same endpoint.
+// It must get work again, although the platform's list hasn't changed.
 BOOST_AUTO_TEST_CASE(anAgentThatDrainedGetsWorkAgain)
 {
     const auto first = ask(holds(), longTimeout, false);
@@ -349,10 +354,10 @@
     const auto later = ask(holds(), longTimeout, false);
     const auto [vm, id] = firstDispatch();
     answer(*link(vm), id, "held");
-    BOOST_TEST(later->isWhole_);
+    BOOST_TEST(later->isComplete_);
 }
 
-BOOST_AUTO_TEST_CASE(aWakeCarriesTheHighestPriorityOfThoseWaiting)
+BOOST_AUTO_TEST_CASE(aWakeCarriesTheHighestPriorityOfItsWaitingRequests)
 {
     objectstore::VmEntry peer;
     peer.vm = framework::VmName("entry-2");
@@ -363,7 +368,7 @@
     const auto low = ask(notes(), longTimeout, false, 2);
     const wire::Message first = link("entry-2")->takeSent(Body::Wake);
     BOOST_TEST(+first.body.AsWake()->priority == 2);
-    // The home says that it has heard, or it would be passed by.
+    // The home acknowledges the wake, or it would be excluded as silent.
     wire::fb::WakeResultT heard;
     heard.correlation = first.body.AsWake()->correlation;
     heard.target = std::make_unique<wire::fb::TargetT>(*first.body.AsWake()->target);
@@ -374,25 +379,27 @@
     BOOST_TEST(+link("entry-2")->takeSent(Body::Wake).body.AsWake()->priority == 7);
 }
 
-// The store's one place is taken and another load waits for it, when a caller of high priority at some router joins
-// those who wait for a queued load. The load must overtake, and those who wait must be told of the earlier end.
-BOOST_AUTO_TEST_CASE(aHomesQueuedLoadTakesALaterWakesPriority)
+// The weight store's only slot is occupied and another load waits for it. Then a request of high priority at another
+// router joins the requests that wait for a queued load. That load must overtake the other one, and the waiting routers
+// must receive the earlier forecast.
+BOOST_AUTO_TEST_CASE(aLaterWakeRaisesThePriorityOfAQueuedLoad)
 {
-    bundle::PolicyNumbers numbers;
+    bundle::PolicyParameters numbers;
     numbers.weightLoadsAtFullSpeed = 1;
     gate_.setPolicy(numbers, policy::makeLoadOrder(numbers));
     const framework::SiteName site = directory_.find(framework::VmName("entry-1"))->site;
     const framework::Deadline deadline = framework::Deadline::after(control_.now(), longTimeout);
     for (const char* name : { "running", "queued" }) {
         const SiteTarget other { { framework::ModelName(name), {}, {} }, site };
-        gate_.enqueue({ other, policy::CheckpointPlace::Remote, framework::MebiBytes(60), { deadline, 1, 5 } }, [] {});
+        gate_.enqueue(
+            { other, policy::CheckpointLocation::Remote, framework::MebiBytes(60), { deadline, 1, 5 } }, [] {});
     }
     std::optional<framework::Deadline> soonest;
     const auto note = [&soonest](const WakeReply& reply) { soonest = reply.soonestAt; };
     WakeOrder order { { notes(), site }, 1, deadline, deadline, 1, 0 };
     home_.wake(framework::VmName("entry-1"), order, note);
-    settle();
-    checkpoint_ = policy::CheckpointPlace::Remote;
+    runPending();
+    checkpoint_ = policy::CheckpointLocation::Remote;
     bidBoth(true);
     BOOST_REQUIRE(soonest.has_value());
     const framework::Deadline before = *soonest;
@@ -401,13 +408,13 @@
     BOOST_CHECK(*soonest < before);
 }
 
-// The one replica that the bundle decides is warm, but its agent can't serve the request in time. No other will be
-// loaded: the caller must hear so at once, not wait for a replica until its deadline.
-BOOST_AUTO_TEST_CASE(aBusyReplicaWithoutAnotherRefusesAtOnce)
+// The only replica that the bundle decides is loaded, but its agent can't serve the request in time. No other replica
+// will be loaded, so the request must be refused at once, not wait until its deadline.
+BOOST_AUTO_TEST_CASE(aRequestIsRefusedAtOnceIfAllReplicasAreBusy)
 {
     placements_.add(notes(), framework::VmName("draft-1"));
     const auto caller = ask(notes(), longTimeout, false);
-    greet("draft-1");
+    completeHandshake("draft-1");
     refuse(*link("draft-1"), sentId("draft-1"), ErrorCode::DeadlineHopeless, Execution::NotRun);
     BOOST_REQUIRE(caller->refused_);
     BOOST_CHECK(caller->refused_->code == ErrorCode::DeadlineHopeless);
@@ -415,16 +422,16 @@
     BOOST_TEST(dispatcher_.requests() == 0u);
 }
 
-// Models come and go at the agents, so that many placements in the cache are stale. More requests than the retry budget
-// allows meet one; none of them may be refused for that.
-BOOST_AUTO_TEST_CASE(stalePlacementsDontUseTheRetryBudgetUp)
+// Agents often load and unload models, so that many placements in the cache are stale. More requests than the retry
+// budget allows are sent to a stale placement; none of them may be refused for that.
+BOOST_AUTO_TEST_CASE(stalePlacementsDontConsumeTheRetryBudget)
 {
     const int requests = 2 * static_cast<int>(settings_.retryReserve);
     for (int turn = 0; turn < requests; ++turn) {
         placements_.add(notes(), framework::VmName("draft-1"));
         const auto caller = ask(notes(), longTimeout, false);
         if (turn == 0)
-            greet("draft-1");
+            completeHandshake("draft-1");
         refuse(*link("draft-1"), sentId("draft-1"), ErrorCode::NotLoaded, Execution::NotRun);
         BOOST_TEST(!caller->refused_);
     }
@@ -440,81 +447,85 @@
     BOOST_CHECK(caller.refused_->code == ErrorCode::ShuttingDown);
     BOOST_CHECK(caller.refused_->execution == Execution::NotRun);
     BOOST_TEST(caller.refused_->retryAfter.has_value());
-    BOOST_TEST(caller.finals_ == 1);
+    BOOST_TEST(caller.finalCount_ == 1);
 }
 
 } // namespace
 
-// The router is told to end while a request waits for a load that takes longer than the grace period; nothing forecasts
-// it. The request must be refused as not run while there is time to be served elsewhere, not at its own late deadline.
-BOOST_AUTO_TEST_CASE(atTheEndWhatWaitsForALoadIsRefused)
+// The router shuts down while a request waits for a load that takes longer than the grace period, and there is no
+// forecast for it. The request must be refused as not run while there is still time to serve it elsewhere, not at its
+// own later deadline.
+BOOST_AUTO_TEST_CASE(onShutdownARequestWaitingForALoadIsRefused)
 {
     const auto caller = ask(notes(), longTimeout, false);
     bidBoth(true);
-    const auto end = framework::ServiceEnd::after(control_.now(), grace);
-    dispatcher_.endService(end);
-    control_.advance(end.startBy.remaining(control_.now()) - Milliseconds(1));
-    BOOST_TEST(caller->finals_ == 0, "the load may still end in time");
+    const auto deadlines = framework::ShutdownDeadlines::after(control_.now(), grace);
+    dispatcher_.beginShutdown(deadlines);
+    control_.advance(deadlines.startBy.remaining(control_.now()) - Milliseconds(1));
+    BOOST_TEST(caller->finalCount_ == 0, "the load may still end in time");
     control_.advance(Milliseconds(1));
     checkNotStarted(*caller);
     BOOST_TEST(wakes_.waiting() == 0u);
 }
 
-// The load ends within the grace period: the request is served as if the router stayed.
-BOOST_AUTO_TEST_CASE(atTheEndALoadThatComesInTimeIsUsed)
+// The load ends within the grace period. The request must be served as in normal operation.
+BOOST_AUTO_TEST_CASE(onShutdownALoadThatFinishesInTimeIsUsed)
 {
     const auto caller = ask(notes(), longTimeout, false);
     bidBoth(true);
-    const std::string vm = loader();
-    dispatcher_.endService(framework::ServiceEnd::after(control_.now(), grace));
+    const std::string vm = takeLoadOrder();
+    dispatcher_.beginShutdown(framework::ShutdownDeadlines::after(control_.now(), grace));
     endLoad(vm, true);
     answer(*link(vm), sentId(vm), "note");
-    BOOST_TEST(caller->isWhole_);
+    BOOST_TEST(caller->isComplete_);
 }
 
-// What is known to come too late is refused at once, not held until the last moment; nor is a later request.
-BOOST_AUTO_TEST_CASE(atTheEndWhatIsHopelessIsRefusedAtOnce)
+// A request whose load is forecast to end too late must be refused at once, not shortly before the router exits.
+BOOST_AUTO_TEST_CASE(onShutdownAHopelessRequestIsRefusedAtOnce)
 {
     const auto caller = ask(notes(), longTimeout, false);
     WakeReply progress;
     progress.soonestAt = framework::Deadline::after(control_.now(), Milliseconds(20000));
-    dispatcher_.takeExpectation(progress, { RequestNumber(1) });
-    BOOST_TEST(caller->finals_ == 0);
-    dispatcher_.endService(framework::ServiceEnd::after(control_.now(), grace));
-    dispatcher_.takeExpectation(progress, { RequestNumber(1) });
+    dispatcher_.handleForecast(progress, { RequestNumber(1) });
+    BOOST_TEST(caller->finalCount_ == 0);
+    dispatcher_.beginShutdown(framework::ShutdownDeadlines::after(control_.now(), grace));
+    dispatcher_.handleForecast(progress, { RequestNumber(1) });
     checkNotStarted(*caller);
 }
 
-// A request whose body came late is handed over when nothing may be started any more.
-BOOST_AUTO_TEST_CASE(atTheEndALateRequestIsRefusedAtOnce)
+// A request whose body arrived late is accepted after the time until which requests may be started. It must be refused
+// at once.
+BOOST_AUTO_TEST_CASE(onShutdownALateRequestIsRefusedAtOnce)
 {
-    const auto end = framework::ServiceEnd::after(control_.now(), grace);
-    dispatcher_.endService(end);
-    control_.advance(end.startBy.remaining(control_.now()));
+    const auto deadlines = framework::ShutdownDeadlines::after(control_.now(), grace);
+    dispatcher_.beginShutdown(deadlines);
+    control_.advance(deadlines.startBy.remaining(control_.now()));
     checkNotStarted(*ask(holds(), longTimeout, false));
 }
 
-// An agent's link isn't open yet: the request has not left the router, so it surely didn't run.
-BOOST_AUTO_TEST_CASE(atTheEndWhatWasNotSentIsNotRun)
+// The link to the agent isn't open yet, so the request hasn't left the router. It must be refused as not run and never
+// be sent.
+BOOST_AUTO_TEST_CASE(onShutdownAnUnsentRequestIsNotRun)
 {
     const auto caller = ask(holds(), longTimeout, false);
-    const auto end = framework::ServiceEnd::after(control_.now(), grace);
-    dispatcher_.endService(end);
-    control_.advance(end.startBy.remaining(control_.now()));
+    const auto deadlines = framework::ShutdownDeadlines::after(control_.now(), grace);
+    dispatcher_.beginShutdown(deadlines);
+    control_.advance(deadlines.startBy.remaining(control_.now()));
     BOOST_REQUIRE(caller->refused_);
     BOOST_CHECK(caller->refused_->execution == Execution::NotRun);
     for (const std::string vm : { "draft-1", "draft-2" }) {
         if (!link(vm))
             continue;
-        greet(vm);
+        completeHandshake(vm);
         for (const wire::Message& sent : link(vm)->takeSent())
             BOOST_CHECK(sent.body.type != Body::Dispatch);
     }
 }
 
-// An agent has two requests when time is up, one of them with a begun answer. The first may have run; the second is
-// broken off, never ended as if it were whole. The agent is told to stop both.
-BOOST_AUTO_TEST_CASE(atTheEndWhatRunsIsUnknownOrBrokenOff)
+// Two requests still run when the time for answers is over, one of them with a started answer. The one without an
+// answer may have run, so it must end as "unknown". The started answer must be broken off, never ended as if it were
+// complete.
+BOOST_AUTO_TEST_CASE(onShutdownARunningRequestIsUnknownOrBrokenOff)
 {
     const auto silent = ask(holds(), longTimeout, false);
     const auto [vm, first] = firstDispatch();
@@ -524,36 +535,36 @@
     head.id = std::make_unique<wire::fb::DispatchIdT>(second);
     head.status = 200;
     link(otherVm)->deliver(wire::message(std::move(head)));
-    settle();
-    const auto end = framework::ServiceEnd::after(control_.now(), grace);
-    dispatcher_.endService(end);
+    runPending();
+    const auto deadlines = framework::ShutdownDeadlines::after(control_.now(), grace);
+    dispatcher_.beginShutdown(deadlines);
     for (const std::string& each : { vm, otherVm })
         link(each)->takeSent();
-    // In steps that an agent's sign of life can keep pace with.
-    while (!end.answerBy.hasPassed(control_.now())) {
-        BOOST_TEST(silent->finals_ + begun->finals_ == 0);
+    // Advances in steps short enough for the agents' pongs to keep the links from counting as silent.
+    while (!deadlines.answerBy.hasPassed(control_.now())) {
+        BOOST_TEST(silent->finalCount_ + begun->finalCount_ == 0);
         for (const std::string& each : { vm, otherVm })
             link(each)->deliver(wire::message(wire::fb::PongT()));
-        control_.advance(std::min(Milliseconds(500), end.answerBy.remaining(control_.now())));
+        control_.advance(std::min(Milliseconds(500), deadlines.answerBy.remaining(control_.now())));
     }
     BOOST_REQUIRE(silent->refused_);
     BOOST_CHECK(silent->refused_->code == ErrorCode::ShuttingDown);
     BOOST_CHECK(silent->refused_->execution == Execution::Unknown);
     BOOST_TEST(begun->brokenOff_.has_value());
-    BOOST_TEST(!begun->isWhole_);
+    BOOST_TEST(!begun->isComplete_);
     BOOST_TEST(dispatcher_.requests() == 0u);
 }
 
-// An agent that is told to end refuses its whole queue as not run. Each of these is to go to another agent: the budget
-// that keeps retries from multiplying an overload must not refuse them, as an agent that drains is asked no second
-// time.
-BOOST_AUTO_TEST_CASE(aDrainingAgentsQueueGoesElsewhere)
+// An agent that shuts down refuses its whole queue as not run. Each of these requests must be retried on another agent.
+// The retry budget, which keeps retries from multiplying an overload, must not refuse them, since a draining agent is
+// not selected a second time.
+BOOST_AUTO_TEST_CASE(aDrainingAgentsQueueIsRetriedOnOtherAgents)
 {
     std::vector<std::shared_ptr<FakeAnswer>> callers;
     for (int caller = 0; caller < 100; ++caller)
         callers.push_back(ask(holds(), longTimeout, false));
-    greet("draft-1");
-    greet("draft-2");
+    completeHandshake("draft-1");
+    completeHandshake("draft-2");
     std::vector<wire::fb::DispatchIdT> queue;
     for (const wire::Message& sent : link("draft-1")->takeSent()) {
         if (sent.body.type == Body::Dispatch)
@@ -563,19 +574,19 @@
     for (const wire::fb::DispatchIdT& id : queue)
         refuse(*link("draft-1"), id, ErrorCode::Draining, Execution::NotRun);
     for (const auto& caller : callers)
-        BOOST_TEST(caller->finals_ == 0);
+        BOOST_TEST(caller->finalCount_ == 0);
     BOOST_TEST(dispatcher_.requests() == 100u);
 }
 
-// A request that may be repeated was lost with its first agent, which may have run it, and then waits in vain for
-// another. "Not run" would not be true.
-BOOST_AUTO_TEST_CASE(whatMayHaveRunIsNeverCalledNotRunLater)
+// The first agent fails a repeatable request that may have run, and the request then waits for another replica until
+// its deadline. It must not be refused as "not run".
+BOOST_AUTO_TEST_CASE(aRequestThatMayHaveRunIsNotReportedAsNotRunLater)
 {
     placements_.add(notes(), framework::VmName("draft-1"));
     const auto caller = ask(notes(), Milliseconds(5000), true);
     const auto [vm, id] = firstDispatch();
     refuse(*link(vm), id, ErrorCode::UpstreamFailed, Execution::Unknown);
-    BOOST_TEST(caller->finals_ == 0, "it waits for another replica");
+    BOOST_TEST(caller->finalCount_ == 0, "it waits for another replica");
     control_.advance(Milliseconds(5000));
     BOOST_REQUIRE(caller->refused_);
     BOOST_CHECK(caller->refused_->execution == Execution::Unknown);
--- a/tests/demo/narration.cpp
+++ b/tests/demo/narration.cpp
@@ -11,7 +11,7 @@
 
 const std::string indent = "      ";
 
-/// Whether the line is a sample of the metric, with labels or without.
+/// Whether the line is a sample of the metric, with or without labels.
 bool isSampleOf(const std::string& line, const std::string& name)
 {
     if (line.compare(0, name.size(), name) != 0 || line.size() == name.size())
@@ -37,21 +37,21 @@
     std::cout << std::flush;
 }
 
-void printCounters(const std::string& ops, const std::vector<std::pair<std::string, std::string>>& meanings)
+void printCounters(const std::string& ops, const std::vector<std::pair<std::string, std::string>>& descriptions)
 {
     const std::string metrics = testsupport::getFrom(ops, "/metrics").body;
-    for (const auto& [name, meaning] : meanings) {
-        printLine(meaning + ":");
+    for (const auto& [name, description] : descriptions) {
+        printLine(description + ":");
         std::istringstream lines(metrics);
-        bool isShown = false;
+        bool hasSample = false;
         for (std::string line; std::getline(lines, line);) {
             if (!isSampleOf(line, name))
                 continue;
             printBlock(line);
-            isShown = true;
+            hasSample = true;
         }
-        if (!isShown)
-            printBlock(name + ": no sample, so it never happened");
+        if (!hasSample)
+            printBlock(name + ": no sample, so this has not happened");
     }
 }
 
--- a/tests/demo/traffic.cpp
+++ b/tests/demo/traffic.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Between one answer and the next call.
-constexpr std::chrono::milliseconds pause { 20 };
+/// The pause between an answer and the next call.
+constexpr std::chrono::milliseconds pauseBetweenCalls { 20 };
 
 } // namespace
 
@@ -33,7 +33,7 @@
 {
     while (!isStopped_) {
         callOnce();
-        std::this_thread::sleep_for(pause);
+        std::this_thread::sleep_for(pauseBetweenCalls);
     }
 }
 
--- a/tests/integration/answers_test.cpp
+++ b/tests/integration/answers_test.cpp
@@ -10,7 +10,7 @@
 
 constexpr int callers = 12;
 
-/// Words that only this caller's answer can have.
+/// A prompt of 20 tokens, all of which contain the caller's number. The stand-in engine answers with the prompt.
 std::string promptOf(int caller)
 {
     std::string prompt;
@@ -20,12 +20,12 @@
     return prompt;
 }
 
-/// One model on one engine behind a fault proxy, asked by many callers at once.
-struct Drafts {
-    Drafts()
+/// A deployment with one model on one engine, and fault proxies on both sides of the engine's agent.
+struct AnswersFixture {
+    AnswersFixture()
     {
         deployment.addUpstream("gpu-1",
-            { .standinWords = { "--memory-mib", "1000", "--token-ms", "20" },
+            { .standinArguments = { "--memory-mib", "1000", "--token-ms", "20" },
                 .hasLinkProxy = true,
                 .hasUpstreamProxy = true });
         deployment.addRouter("entry-1");
@@ -35,7 +35,7 @@
                                .text());
         deployment.waitUntilReady();
         if (completionText(ask(0, false).answer()) != promptOf(0))
-            throw std::runtime_error("the path doesn't work without faults");
+            throw std::runtime_error("the call without faults failed");
     }
 
     PendingCall ask(int caller, bool isStream)
@@ -52,8 +52,7 @@
         return calls;
     }
 
-    /// Waits until each stream has begun.
-    void waitForBeginnings(const std::vector<PendingCall>& calls)
+    void waitUntilAllStarted(const std::vector<PendingCall>& calls)
     {
         waitFor("all streams have begun", [&] {
             return std::all_of(
@@ -67,8 +66,8 @@
     Deployment deployment;
 };
 
-/// Whether one caller's words are in what another was given.
-bool hasOthersWords(const HttpAnswer& answer, int caller)
+/// Whether the caller's answer contains tokens of another caller's prompt.
+bool hasTokensOfOthers(const HttpAnswer& answer, int caller)
 {
     for (int other = 0; other < callers; ++other) {
         if (other != caller && answer.body.find("c" + std::to_string(other) + "w") != std::string::npos)
@@ -79,59 +78,61 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(EachCallerGetsItsOwnWholeAnswer, Drafts)
+BOOST_FIXTURE_TEST_SUITE(CallersGetTheirOwnCompleteAnswers, AnswersFixture)
 
-BOOST_AUTO_TEST_CASE(manyStreamsAtOnceDoNotMix)
+BOOST_AUTO_TEST_CASE(concurrentStreamsDoNotMix)
 {
     std::vector<PendingCall> calls = askAll();
     for (int caller = 0; caller < callers; ++caller)
         BOOST_TEST(completionText(calls[caller].answer()) == promptOf(caller));
 }
 
-// Frames of the agent's answers cross on their way to the router. A caller may see its answer break off, but never
-// another's words, nor its own in another order as if whole.
-BOOST_AUTO_TEST_CASE(crossedFramesNeverReachTheWrongCaller)
+// Frames of the agent's answers arrive at the router in another order. A caller's answer may break off, but it must
+// never contain another caller's tokens, nor end as complete with its own tokens in the wrong order.
+BOOST_AUTO_TEST_CASE(reorderedFramesNeverReachTheWrongCaller)
 {
     std::vector<PendingCall> calls = askAll();
-    waitForBeginnings(calls);
+    waitUntilAllStarted(calls);
     setFaults(linkProxy(), R"({"swap": {"to_client": 40}})");
     for (int caller = 0; caller < callers; ++caller) {
         const HttpAnswer& answer = calls[caller].answer();
-        BOOST_TEST(!hasOthersWords(answer, caller));
-        if (answer.isWhole() && answer.status == 200)
+        BOOST_TEST(!hasTokensOfOthers(answer, caller));
+        if (answer.isComplete() && answer.status == 200)
             BOOST_TEST(completionText(answer) == promptOf(caller));
     }
     BOOST_TEST(getJson(linkProxy(), "/standin/record").at("swapped").as_integer() > 0);
 }
 
-// The link is cut in the middle of all streams. The router opens another and goes on where each had stopped.
-BOOST_AUTO_TEST_CASE(aCutLinkIsMendedInMidStream)
+// The link between router and agent breaks while all streams are in progress. The router opens a new link and resumes
+// each stream at the byte where it stopped.
+BOOST_AUTO_TEST_CASE(aBrokenLinkIsReplacedDuringStreams)
 {
     std::vector<PendingCall> calls = askAll();
-    waitForBeginnings(calls);
+    waitUntilAllStarted(calls);
     setFaults(linkProxy(), R"({"cut": true})");
     for (int caller = 0; caller < callers; ++caller)
         BOOST_TEST(completionText(calls[caller].answer()) == promptOf(caller));
 }
 
-// The link goes silent for good in the middle of all streams; new connections work.
-BOOST_AUTO_TEST_CASE(aSilentLinkIsReplacedInMidStream)
+// The link between router and agent stops delivering bytes while all streams are in progress, without being closed. New
+// connections work, so the router replaces the link.
+BOOST_AUTO_TEST_CASE(aSilentLinkIsReplacedDuringStreams)
 {
     std::vector<PendingCall> calls = askAll();
-    waitForBeginnings(calls);
+    waitUntilAllStarted(calls);
     setFaults(linkProxy(), R"({"silent": "both"})");
     for (int caller = 0; caller < callers; ++caller)
         BOOST_TEST(completionText(calls[caller].answer()) == promptOf(caller));
 }
 
-// The engine's connection breaks in the middle of a stream. The caller must see an error, not a short answer that
-// looks whole.
-BOOST_AUTO_TEST_CASE(aCutUpstreamStreamEndsAsAnError)
+// The agent's connection to the engine breaks during a stream. The caller must see an error instead of a truncated
+// answer that looks complete.
+BOOST_AUTO_TEST_CASE(aBrokenUpstreamStreamEndsAsAnError)
 {
     PendingCall call = ask(3, true);
     waitFor("the stream has begun", [&] { return !call.bodySoFar().empty(); });
     setFaults(upstreamProxy(), R"({"cut": true})");
-    BOOST_TEST(!call.answer().isWhole());
+    BOOST_TEST(!call.answer().isComplete());
     BOOST_TEST(completionText(call.answer()) != promptOf(3));
 }
 
