--- a/src/forwarding/internal/forwarder.cpp
+++ b/src/forwarding/internal/forwarder.cpp
@@ -221,7 +221,7 @@
         spec.service = drawTarget(route).service;
         const Milliseconds callerTimeout = std::min(route.timeout, facts.timeLeft.value_or(route.timeout));
         spec.deadline = Deadline::after(exchange->receivedAt(), callerTimeout);
-        const Milliseconds untilFirst = route.patience.count() > 0 ? route.patience : callerTimeout;
+        const Milliseconds untilFirst = route.callerIdleTimeout.count() > 0 ? route.callerIdleTimeout : callerTimeout;
         spec.firstEventBy = Deadline::after(exchange->receivedAt(), std::min(callerTimeout, untilFirst));
         demandPublisher_.didArrive(spec.service, facts, now());
         spec.facts = std::move(facts);
