--- a/models/bundlehead.pml
+++ b/models/bundlehead.pml
@@ -1,6 +1,6 @@
-/* The bundle's head: `moveHead` of racing operators (src/bundle/internal/rollout.cpp) and `take` by processes that read
- * it (BundleWatch). Held: the head only goes up; no process goes back; an operator who is told that it won has, and one
- * who is told that it lost has not, then or later.
+/* The bundle's head: `moveHead` of racing operators (src/bundle/internal/rollout.cpp) and `applyHead` by processes that
+ * read it (BundleWatch). Held: the head only goes up; no process goes back; an operator who is told that it won has,
+ * and one who is told that it lost has not, then or later.
  *
  * A write may arrive late, and its answer may be lost. Reads by processes may be stale by any amount.
  * Broken on purpose: NO_EXPECTED, NO_NONCE, NO_MAXIMUM, NO_ABOVE, MOVED_IS_LOST. */
--- a/models/engineorders.pml
+++ b/models/engineorders.pml
@@ -1,6 +1,6 @@
-/* Orders of a direct agent to its engine (src/engines/internal/enginekeeper.cpp): each carries fence, expected count and
- * instance. Held: the engine never holds more than fits, never carries out an order of an older life of the agent after
- * one of a newer, nor one that was meant for its former instance.
+/* Orders of a direct agent to its engine (src/engines/internal/enginecontroller.cpp): each carries fence, expected
+ * count and instance. Held: the engine never holds more than fits, never carries out an order of an older life of the
+ * agent after one of a newer, nor one that was meant for its former instance.
  *
  * An order may get no answer, and be carried out at any time later, behind newer ones. The agent may be killed at any time;
  * its orders stay under way, and its next life has a greater fence. The engine may start anew, empty.
--- a/src/app/internal/claimcommand.cpp
+++ b/src/app/internal/claimcommand.cpp
@@ -58,9 +58,8 @@
         add("adapter", options::value(&parsed.adapter), "adapter, if the claim is for an adapter");
         add("vm", options::value(&parsed.vm)->required(), "VM that holds the claim");
         add("reason", options::value(&parsed.reason)->required(),
-            "why the VM certainly doesn't have the model any more: its engine isn't queried, and another VM may load "
-            "the "
-            "model at once");
+            "why the VM certainly doesn't have the model any more: its engine isn't queried, and another VM "
+            "may load the model at once");
     }
 
     static bundle::ClaimRelease claimOf(const ReleaseArguments& parsed)
--- a/src/direct/internal/catalogwatcher.cpp
+++ b/src/direct/internal/catalogwatcher.cpp
@@ -27,7 +27,7 @@
 /// Limits a burst of configuration changes to one call each 100 ms.
 constexpr Milliseconds configurationMinInterval { 100 };
 
-/// Truncates a text for the log: whoever writes an entry chooses its name and service, of any length.
+/// Truncates a text for the log: the writer of an entry chooses its name and service, which may have any length.
 std::string shortened(const std::string& text)
 {
     constexpr std::size_t maxLoggedBytes = 64;
--- a/src/forwarding/internal/requestjob.cpp
+++ b/src/forwarding/internal/requestjob.cpp
@@ -29,8 +29,8 @@
 constexpr Milliseconds minRetryAfter { 250 };
 /// Retry-After if no server is known: the platform takes a second or two to provide one.
 constexpr Milliseconds retryAfterWithoutServer { 1000 };
-/// Engine priority of the most urgent routes: engines count from 0, treat 0 to 3 as urgent, and assume 5 for requests
-/// without a priority.
+/// Engine priority of the most urgent routes (route priority 0); less urgent routes follow, up to lowestEnginePriority.
+/// An engine takes a priority of 0 to 9: 0 is served first, and 5 applies to requests without a priority.
 constexpr std::uint32_t highestEnginePriority = 3;
 constexpr std::uint32_t lowestEnginePriority = 9;
 
--- a/src/router/internal/agentsession.cpp
+++ b/src/router/internal/agentsession.cpp
@@ -421,8 +421,8 @@
         linkLost(Error { ErrorCode::LinkLost, "await answer", agent_.value(), "silent" });
         connect();
     } else if (isOpen_ && nextPing_.hasPassed(now) && now - lastReceived >= context_.settings.pingInterval) {
-        // Pings only links that receive nothing else: while tokens stream, pings on each link of a router at the target
-        // size would be 89 KB/s of 27 (docs/CAPACITY.md).
+        // Pings only links that receive nothing else: while tokens stream, pings on each link would cost a router at
+        // the target size 89 KB/s, where its budget for control traffic is 27 KB/s (docs/CAPACITY.md).
         nextPing_ = Deadline::after(now, context_.settings.pingInterval);
         wire::fb::PingT ping;
         ping.nonce = nextCorrelation_++;
--- a/tests/integration/notrun_test.cpp
+++ b/tests/integration/notrun_test.cpp
@@ -63,8 +63,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(NotRunIsReliableAndNothingRunsTwice, BookingFixture)
 
-// The link to the agent stops delivering bytes just before a slot hold is sent; new connections work. The caller is
-// told "not run". Later the network delivers the delayed frame: the hold must not be executed even then.
+// The link to the agent stops delivering bytes just before a slot hold is sent; new connections work. The call is
+// refused as not run. Later the network delivers the delayed frame: the hold must not be executed even then.
 BOOST_AUTO_TEST_CASE(aDispatchDeliveredAfterItsFenceIsNotRun)
 {
     setFaults(linkProxy(), R"({"hold": "to_server"})");
@@ -110,8 +110,8 @@
     BOOST_TEST(executions() == 1u);
 }
 
-// The agent is killed and restarted while the service executes the hold. The agent's ledger is lost, so the caller must
-// be told "unknown", and neither router nor agent may send the hold again.
+// The agent is killed and restarted while the service executes the hold. The agent's ledger is lost, so the call must
+// be answered as unknown, and neither router nor agent may send the hold again.
 BOOST_AUTO_TEST_CASE(aCallIsUnknownIfItsAgentIsKilled)
 {
     setFaults(booking().upstream(), R"({"work_ms": 1000})");
