--- a/src/objectstore/internal/httpcalls.cpp
+++ b/src/objectstore/internal/httpcalls.cpp
@@ -109,7 +109,7 @@
     const auto startedAt = clock.now();
     if (const auto wait = budget_.tryAcquire(startedAt)) {
         countResult(call, "over_budget");
-        Error refusal = error(call, ErrorCode::PlatformUnavailable, "the call budget of this process is exhausted");
+        Error refusal = error(call, ErrorCode::PlatformUnavailable, "this process's call budget is spent");
         refusal.retryAfter = wait;
         return refusal;
     }
--- a/src/objectstore/internal/httpobjectstore.cpp
+++ b/src/objectstore/internal/httpobjectstore.cpp
@@ -84,7 +84,7 @@
     const auto version = versionOf(answer.entityTag);
     if (!version) {
         calls_->countResult(call, "malformed");
-        return calls_->error(call, ErrorCode::PlatformUnavailable, "the answer has no version");
+        return calls_->error(call, ErrorCode::PlatformUnavailable, "answer without a version");
     }
     calls_->countResult(call, "ok");
     return StoredObject { std::move(answer.body), *version };
@@ -94,7 +94,7 @@
 {
     const HttpCall call = objectCall("get", "GET", key, CallEffect::Read);
     if (!isObjectKey(key))
-        return calls_->error(call, ErrorCode::BadObject, "malformed object key");
+        return calls_->error(call, ErrorCode::BadObject, "not a key");
     BOOST_OUTCOME_TRY(answer, calls_->send(call, deadline));
     if (answer.status == status_codes::NotFound) {
         calls_->countResult(call, "absent");
@@ -130,7 +130,7 @@
     const Milliseconds wait = std::min(deadline.remaining(framework::SystemClock().now()), maxWatchWait);
     HttpCall call = objectCall("watch", "GET", key, CallEffect::Read);
     if (!isObjectKey(key))
-        return calls_->error(call, ErrorCode::BadObject, "malformed object key");
+        return calls_->error(call, ErrorCode::BadObject, "not a key");
     call.wait = wait;
     web::uri_builder uri("/v1/objects/" + key.value());
     uri.append_query("watch", known.value()).append_query("timeout_ms", wait.count());
@@ -143,7 +143,7 @@
     }
     if (answer.status == status_codes::NotFound) {
         calls_->countResult(call, "absent");
-        return calls_->error(call, ErrorCode::NotFound, "the object no longer exists");
+        return calls_->error(call, ErrorCode::NotFound, "the object is gone");
     }
     if (answer.status != status_codes::OK) {
         calls_->countResult(call, "refused");
@@ -158,7 +158,7 @@
 {
     HttpCall call = objectCall("put", "PUT", key, CallEffect::Write);
     if (!isObjectKey(key))
-        return calls_->error(call, ErrorCode::BadObject, "malformed object key");
+        return calls_->error(call, ErrorCode::BadObject, "not a key");
     if (value.size() > maxValueBytes)
         return calls_->error(call, ErrorCode::TooLarge, "a value holds at most 1 MiB");
     expectVersion(call, expected);
@@ -178,7 +178,7 @@
     calls_->countResult(call, version ? "ok" : "malformed");
     if (version)
         return *version;
-    Error unknownOutcome = calls_->error(call, ErrorCode::PlatformUnavailable, "the answer has no version");
+    Error unknownOutcome = calls_->error(call, ErrorCode::PlatformUnavailable, "answer without a version");
     unknownOutcome.execution = Execution::Unknown;
     return unknownOutcome;
 }
@@ -187,7 +187,7 @@
 {
     HttpCall call = objectCall("remove", "DELETE", key, CallEffect::Write);
     if (!isObjectKey(key))
-        return calls_->error(call, ErrorCode::BadObject, "malformed object key");
+        return calls_->error(call, ErrorCode::BadObject, "not a key");
     call.request.headers().add("If-Match", quoted(expected));
     BOOST_OUTCOME_TRY(answer, calls_->send(call, deadline));
     if (answer.status == status_codes::PreconditionFailed) {
