--- a/src/direct/directsettings.h
+++ b/src/direct/directsettings.h
@@ -29,9 +29,11 @@
     policy::PolicySwitches policy;
     /// Time from the request to shut down until the process is killed.
     framework::Milliseconds grace { 8000 };
-    /// Maximum time after the store lists a server as draining until the router excludes it from selection.
+    /// Maximum time from when the store knows that a server drains or was removed until the router excludes it from
+    /// selection.
     framework::Milliseconds leavingNotice { 2000 };
-    /// Maximum time after an outage of the store until the router excludes servers that began to drain during it.
+    /// Maximum time after an outage of the store until the router excludes servers that began to drain, or were
+    /// removed, during it.
     framework::Milliseconds outageNotice { 3000 };
 };
 
--- a/src/forwarding/internal/serverchoice.cpp
+++ b/src/forwarding/internal/serverchoice.cpp
@@ -13,7 +13,8 @@
 
 /// Assumed prompt tokens of a request that another router has queued at the engine: agents don't report its size.
 constexpr double assumedQueuedTokens = 3000;
-/// The time that each running request adds to the next tokens of all requests, over the prefill of one prompt.
+/// The delay that each running request causes over the prefill of one prompt: it makes the engine slower at producing
+/// the next token of every request.
 constexpr double millisecondsPerRunning = 1.5;
 /// An engine that runs out of memory preempts: it later processes the newest of the least urgent requests again.
 constexpr double millisecondsWithoutMemory = 3000;
