--- a/tests/integration/direct_test.cpp
+++ b/tests/integration/direct_test.cpp
@@ -105,18 +105,23 @@
 // A lookup that fails on one server is retried on another. One lookup in seven fails on an ordinary day, and without
 // the router's retry each of them costs its caller a second attempt over a new connection.
 BOOST_AUTO_TEST_CASE(aFailedLookupIsRetriedOnAnotherServer)
+{
+    plain1.failNext(1);
+    BOOST_TEST(call({ .method = "GET", .target = "/get/1", .attempt = "g1" }).status == 200);
+    BOOST_TEST(call({ .method = "GET", .target = "/get/1", .attempt = "g2" }).status == 200);
+}
+
+// Not part of the case above: until an agent has reported the number of routers, a router can afford a single retry.
+BOOST_AUTO_TEST_CASE(aLookupThatFailsOnAllServersGetsAServersAnswer)
 {
     plain1.failNext(1);
     plain2.failNext(1);
-    const CallerAnswer bothFail = call({ .method = "GET", .target = "/get/1", .attempt = "g1" });
-    BOOST_TEST(bothFail.status == 500);
-    BOOST_TEST(bothFail.body.starts_with("failed at "));
-    BOOST_TEST(bothFail.headers.at("X-Response-Seal") == "seal-" + bothFail.body.substr(10));
+    const CallerAnswer answer = call({ .method = "GET", .target = "/get/1", .attempt = "g1" });
+    BOOST_TEST(answer.status == 500);
+    BOOST_TEST(answer.body.starts_with("failed at "));
+    BOOST_TEST(answer.headers.at("X-Response-Seal") == "seal-" + answer.body.substr(10));
     BOOST_TEST(plain1.runs("g1") == 1);
     BOOST_TEST(plain2.runs("g1") == 1);
-    plain1.failNext(1);
-    BOOST_TEST(call({ .method = "GET", .target = "/get/1", .attempt = "g2" }).status == 200);
-    BOOST_TEST(call({ .method = "GET", .target = "/get/1", .attempt = "g3" }).status == 200);
 }
 
 // Prevents a double booking: the first server fails after it has stored the hold, so the hold must not be retried.
