--- a/tests/benchmarks/overload.cpp
+++ b/tests/benchmarks/overload.cpp
@@ -81,9 +81,9 @@
 void startWarm(Deployment& deployment, int engines)
 {
     addEngines(deployment, engines, 10000);
-    RouterOptions eager;
-    eager.extraSettings = web::json::value::parse(R"({"dispatch": {"scale_up_in_flight": 1}})");
-    deployment.addRouter(routerVm, eager);
+    RouterOptions routerOptions;
+    routerOptions.extraSettings = web::json::value::parse(R"({"dispatch": {"scale_up_in_flight": 1}})");
+    deployment.addRouter(routerVm, routerOptions);
     deployment.rollOut(BundleBuilder(1)
                            .enginePool("engines", "old", 10000)
                            .model(model, 100, { "engines" }, { { "old", static_cast<std::uint32_t>(engines) } })
@@ -159,7 +159,7 @@
     return std::max(1.0, last);
 }
 
-std::string share(int part, int whole) { return whole == 0 ? "-" : std::to_string(part * 100 / whole) + " %"; }
+std::string percentText(int part, int whole) { return whole == 0 ? "-" : std::to_string(part * 100 / whole) + " %"; }
 
 /// Counters of the router before and after a run.
 struct Counters {
@@ -172,9 +172,9 @@
     double retries;
 };
 
-void measureLoad(Deployment& deployment, double times, int engines, int seconds)
+void measureOfferedLoad(Deployment& deployment, double loadFactor, int engines, int seconds)
 {
-    const double rate = times * engines * callsPerSecondOfEngine;
+    const double rate = loadFactor * engines * callsPerSecondOfEngine;
     const Counters before(deployment);
     const auto answers = offer(rate, seconds, [&](OpenLoop& calls, int number) {
         const bool isHigh = number % highEvery == 0;
@@ -183,11 +183,11 @@
     const Counters after(deployment);
     Summary summary = summarize(answers);
     const double calls = static_cast<double>(answers.size());
-    std::cout << std::fixed << std::setprecision(1) << "| " << times << " | " << rate << " | "
+    std::cout << std::fixed << std::setprecision(1) << "| " << loadFactor << " | " << rate << " | "
               << (summary.served[high] + summary.served[low]) / servingSeconds(answers) << " | "
-              << share(summary.served[high], summary.begun[high]) << " | "
-              << share(summary.served[low], summary.begun[low]) << " | " << percentile(summary.servedMs, 0.5) << " / "
-              << percentile(summary.servedMs, 0.99) << " | " << percentile(summary.refusedMs, 0.5) << " / "
+              << percentText(summary.served[high], summary.begun[high]) << " | "
+              << percentText(summary.served[low], summary.begun[low]) << " | " << percentile(summary.servedMs, 0.5)
+              << " / " << percentile(summary.servedMs, 0.99) << " | " << percentile(summary.refusedMs, 0.5) << " / "
               << percentile(summary.refusedMs, 0.99) << " | " << std::setprecision(3)
               << (after.retries - before.retries) / calls << " | " << (after.dispatches - before.dispatches) / calls
               << " | " << summary.withoutRetryAfter << " | " << summary.broken << " | ";
@@ -196,7 +196,7 @@
     std::cout << "|" << std::endl;
 }
 
-void measureLoads(int seconds)
+void measureOfferedLoads(int seconds)
 {
     constexpr int engines = 2;
     Deployment deployment;
@@ -205,8 +205,8 @@
         << "| times capacity | offered/s | served/s | high served | low served | served ms p50 / p99 | refused ms "
            "p50 / p99 | retries each | dispatches each | no Retry-After | broken | refusals |\n"
            "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
-    for (const double times : { 0.5, 1.0, 2.0, 4.0 })
-        measureLoad(deployment, times, engines, seconds);
+    for (const double loadFactor : { 0.5, 1.0, 2.0, 4.0 })
+        measureOfferedLoad(deployment, loadFactor, engines, seconds);
 }
 
 void measureSlowEngine(Deployment& deployment, int engines, const std::string& what, int seconds)
@@ -216,10 +216,10 @@
     const auto answers = offer(0.4 * engines * callsPerSecondOfEngine, seconds,
         [&](OpenLoop& calls, int number) { calls.begin(makeCall(deployment, model, number, 10000, false), low); });
     Summary summary = summarize(answers);
-    const int there = static_cast<int>(executionsAt(slow).size() - before);
+    const int executionsAtSlow = static_cast<int>(executionsAt(slow).size() - before);
     std::cout << std::fixed << std::setprecision(1) << "| " << what << " | " << answers.size() << " | "
-              << summary.served[low] << " | " << share(there, static_cast<int>(answers.size())) << " | "
-              << percentile(summary.servedMs, 0.5) << " | " << percentile(summary.servedMs, 0.95) << " | "
+              << summary.served[low] << " | " << percentText(executionsAtSlow, static_cast<int>(answers.size()))
+              << " | " << percentile(summary.servedMs, 0.5) << " | " << percentile(summary.servedMs, 0.95) << " | "
               << percentile(summary.servedMs, 0.99) << " |" << std::endl;
 }
 
@@ -240,7 +240,7 @@
 }
 
 /// Twice as many models as there is room for, so that loads never cease; for a while each takes 3 s more.
-void measureSlowLoads()
+void measureSlowModelLoads()
 {
     constexpr int models = 20;
     constexpr int engines = 2;
@@ -266,8 +266,8 @@
                 setFaults(engine, fault);
         }
         // Each model comes in turn, but for the first four, which every second call is for.
-        const int which = number % 2 == 0 ? number / 2 % 4 : 4 + number / 2 % (models - 4);
-        calls.begin(makeCall(deployment, model + std::to_string(which), number, 4000, false), low);
+        const int modelNumber = number % 2 == 0 ? number / 2 % 4 : 4 + number / 2 % (models - 4);
+        calls.begin(makeCall(deployment, model + std::to_string(modelNumber), number, 4000, false), low);
         if (number % static_cast<int>(rate) == 0)
             waiting[number / static_cast<int>(rate)]
                 = metricAt(deployment.router(routerVm).ops(), "lagoon_requests_waiting");
@@ -300,9 +300,9 @@
     const auto options = parseBenchmarkOptions<Options>(argc, argv);
     const auto has = [&](const char* part) { return hasPart(options.parts, part); };
     if (has("load"))
-        measureLoads(options.seconds);
+        measureOfferedLoads(options.seconds);
     if (has("slow"))
         measureSlowEngines(options.seconds);
     if (has("loads"))
-        measureSlowLoads();
+        measureSlowModelLoads();
 }
