--- a/tests/benchmarks/processslopes.cpp
+++ b/tests/benchmarks/processslopes.cpp
@@ -61,16 +61,16 @@
         + record.at("to_client").at("delivered_bytes").as_double();
 }
 
-/// `agentVm` is the one whose process is measured; bytes are of all links to the `linked` agents.
-Snapshot takeSnapshot(Deployment& deployment, const std::string& agentVm, const std::vector<std::string>& linked)
+/// `agentVm` is the one whose process is measured; bytes are of all links to the `linkedVms` agents.
+Snapshot takeSnapshot(Deployment& deployment, const std::string& agentVm, const std::vector<std::string>& linkedVms)
 {
-    Snapshot taken;
-    taken.router = usageOf(deployment.router(routerVm).process->pid());
-    taken.agent = usageOf(deployment.upstream(agentVm).agent->pid());
-    taken.platformCalls = platformCalls(deployment);
-    for (const std::string& vm : linked)
-        taken.linkBytes += linkBytes(deployment.upstream(vm));
-    return taken;
+    Snapshot snapshot;
+    snapshot.router = usageOf(deployment.router(routerVm).process->pid());
+    snapshot.agent = usageOf(deployment.upstream(agentVm).agent->pid());
+    snapshot.platformCalls = platformCalls(deployment);
+    for (const std::string& vm : linkedVms)
+        snapshot.linkBytes += linkBytes(deployment.upstream(vm));
+    return snapshot;
 }
 
 void printHeader()
@@ -90,37 +90,38 @@
               << " |" << std::endl;
 }
 
-/// A scene whose processes are up, and what is measured of it.
-struct Scene {
+/// A scenario whose processes are up, and what is measured of it.
+struct Scenario {
     std::string what;
     int size = 0;
     std::string agentVm;
-    std::vector<std::string> linked;
+    std::vector<std::string> linkedVms;
     /// Sends one round of the trickle.
     std::function<void()> trickle;
 };
 
-void measure(Deployment& deployment, const Scene& scene, const std::string& state, int seconds, bool trickles)
+void measure(Deployment& deployment, const Scenario& scenario, const std::string& state, int seconds, bool hasTrickle)
 {
-    const Snapshot from = takeSnapshot(deployment, scene.agentVm, scene.linked);
+    const Snapshot from = takeSnapshot(deployment, scenario.agentVm, scenario.linkedVms);
     const auto start = Clock::now();
     const auto end = start + std::chrono::seconds(seconds);
     const auto interval = std::chrono::milliseconds(1000 / trickleCallsPerSecond);
     for (auto next = start; next < end; next += interval) {
         std::this_thread::sleep_until(next);
-        if (trickles)
-            scene.trickle();
+        if (hasTrickle)
+            scenario.trickle();
     }
     std::this_thread::sleep_until(end);
-    const Snapshot to = takeSnapshot(deployment, scene.agentVm, scene.linked);
-    printRow(scene.what, scene.size, state, from, to, std::chrono::duration<double>(Clock::now() - start).count());
+    const Snapshot to = takeSnapshot(deployment, scenario.agentVm, scenario.linkedVms);
+    printRow(
+        scenario.what, scenario.size, state, from, to, std::chrono::duration<double>(Clock::now() - start).count());
 }
 
-void measureStates(Deployment& deployment, const Scene& scene, int seconds)
+void measureStates(Deployment& deployment, const Scenario& scenario, int seconds)
 {
-    measure(deployment, scene, "idle, no links", seconds, false);
-    measure(deployment, scene, "trickle", seconds, true);
-    measure(deployment, scene, "idle, links up", seconds, false);
+    measure(deployment, scenario, "idle, no links", seconds, false);
+    measure(deployment, scenario, "trickle", seconds, true);
+    measure(deployment, scenario, "idle, links up", seconds, false);
 }
 
 void callService(Deployment& deployment, const std::string& router, const std::string& service)
@@ -144,7 +145,7 @@
 {
     Deployment deployment;
     BundleBuilder bundle(1);
-    Scene scene { "agents", agents, serviceVm(1), {}, {} };
+    Scenario scenario { "agents", agents, serviceVm(1), {}, {} };
     for (int number = 1; number <= agents; ++number) {
         UpstreamOptions options;
         options.kind = UpstreamKind::Service;
@@ -152,16 +153,16 @@
         options.hasLinkProxy = true;
         deployment.addUpstream(serviceVm(number), options);
         bundle.servicePool(options.pool, "old").service("service-" + std::to_string(number), { options.pool });
-        scene.linked.push_back(serviceVm(number));
+        scenario.linkedVms.push_back(serviceVm(number));
     }
     deployment.addRouter(routerVm);
     deployment.rollOut(bundle.text());
     deployment.waitUntilReady();
-    scene.trickle = [&] {
+    scenario.trickle = [&] {
         for (int number = 1; number <= agents; ++number)
             callService(deployment, routerVm, "service-" + std::to_string(number));
     };
-    measureStates(deployment, scene, seconds);
+    measureStates(deployment, scenario, seconds);
 }
 
 void addEngine(Deployment& deployment)
@@ -183,11 +184,11 @@
                            .model("m", 100, { "engines" }, { { "old", 1 } })
                            .text());
     deployment.waitUntilReady();
-    const Scene scene { "routers", routers, engineVm, { engineVm }, [&] {
-                           for (int number = 1; number <= routers; ++number)
-                               callModel(deployment, "entry-" + std::to_string(number), "m");
-                       } };
-    measureStates(deployment, scene, seconds);
+    const Scenario scenario { "routers", routers, engineVm, { engineVm }, [&] {
+                                 for (int number = 1; number <= routers; ++number)
+                                     callModel(deployment, "entry-" + std::to_string(number), "m");
+                             } };
+    measureStates(deployment, scenario, seconds);
 }
 
 void measureModels(int models, int adapters, int seconds)
@@ -205,9 +206,9 @@
     }
     deployment.rollOut(bundle.text());
     deployment.waitUntilReady();
-    const Scene scene { "models", models, engineVm, { engineVm },
+    const Scenario scenario { "models", models, engineVm, { engineVm },
         [&] { callModel(deployment, routerVm, "model-of-a-usual-length-0"); } };
-    measureStates(deployment, scene, seconds);
+    measureStates(deployment, scenario, seconds);
 }
 
 /// Processor time per call, in a row of calls on connections of their own.
@@ -270,10 +271,10 @@
     setFaults(engine, R"({"slow_load_ms": 10000})");
     const double before = usageOf(deployment.router(routerVm).process->pid()).residentMib;
     OpenLoop calls;
-    const HttpCall patient
+    const HttpCall waitingCall
         = completionCall(deployment.router(routerVm).callers(), "m", "a prompt", { .timeoutMs = 30000 });
     for (int number = 0; number < requests; ++number)
-        calls.begin(patient);
+        calls.begin(waitingCall);
     const std::string ops = deployment.router(routerVm).ops();
     waitFor("all wait", [&] { return metricAt(ops, "lagoon_requests_waiting") >= requests; });
     const double waiting = usageOf(deployment.router(routerVm).process->pid()).residentMib;
