--- a/tests/benchmarks/slopesbenchmark.cpp
+++ b/tests/benchmarks/slopesbenchmark.cpp
@@ -23,7 +23,7 @@
 const framework::SteadyTime now { std::chrono::hours(1000) };
 
 /// Processor time of this thread, in nanoseconds for one of `count` calls.
-template <typename Action> double nanoseconds(std::size_t count, Action action)
+template <typename Action> double nanosecondsPerCall(std::size_t count, Action action)
 {
     const auto processorTime = [] {
         timespec time {};
@@ -41,7 +41,7 @@
     std::printf("%-34s %7zu %12.1f %s\n", what.c_str(), size, value, unit);
 }
 
-std::vector<framework::VmName> vms(std::size_t count)
+std::vector<framework::VmName> vmNames(std::size_t count)
 {
     std::vector<framework::VmName> names;
     for (std::size_t index = 0; index < count; ++index)
@@ -52,8 +52,8 @@
 void measureRendezvous()
 {
     for (const std::size_t size : { 9U, 90U, 370U, 840U, 1680U }) {
-        const auto names = vms(size);
-        const double time = nanoseconds(
+        const auto names = vmNames(size);
+        const double time = nanosecondsPerCall(
             400, [&names](std::size_t call) { (void)policy::rendezvousOrder("model-" + std::to_string(call), names); });
         print("rendezvous order, VMs", size, time, "ns");
     }
@@ -72,7 +72,7 @@
         }
         const auto choice = policy::makeReplicaChoice({}, seed);
         print("replica choice, replicas", size,
-            nanoseconds(20000, [&](std::size_t call) { (void)choice->choose(views, call, now); }), "ns");
+            nanosecondsPerCall(20000, [&](std::size_t call) { (void)choice->choose(views, call, now); }), "ns");
     }
 }
 
@@ -94,11 +94,12 @@
         }
         const framework::MebiBytes accelerator(81920);
         print("keep-warm scan, replicas", size,
-            nanoseconds(
+            nanosecondsPerCall(
                 500, [&](std::size_t) { (void)policy::expiredReplicas(*keepWarm, replicas, accelerator, now); }),
             "ns");
         print("victims, replicas", size,
-            nanoseconds(500, [&](std::size_t) { (void)keepWarm->victims(replicas, framework::MebiBytes(20000), now); }),
+            nanosecondsPerCall(
+                500, [&](std::size_t) { (void)keepWarm->victims(replicas, framework::MebiBytes(20000), now); }),
             "ns");
     }
 }
@@ -119,10 +120,10 @@
 
 wire::fb::TargetT target()
 {
-    wire::fb::TargetT made;
-    made.model = "policy-review-large";
-    made.adapter = "university-blocks";
-    return made;
+    wire::fb::TargetT result;
+    result.model = "policy-review-large";
+    result.adapter = "university-blocks";
+    return result;
 }
 
 std::unique_ptr<wire::fb::DispatchIdT> dispatchId()
@@ -139,9 +140,10 @@
     const wire::Message message = wire::message(std::move(body));
     const std::vector<std::uint8_t> bytes = wire::encode(message);
     print("frame " + name + ", bytes", 1, static_cast<double>(bytes.size()), "bytes");
-    print("frame " + name + ", encode", 1, nanoseconds(20000, [&](std::size_t) { (void)wire::encode(message); }), "ns");
+    print("frame " + name + ", encode", 1, nanosecondsPerCall(20000, [&](std::size_t) { (void)wire::encode(message); }),
+        "ns");
     print("frame " + name + ", decode", 1,
-        nanoseconds(20000,
+        nanosecondsPerCall(20000,
             [&](std::size_t) {
                 (void)wire::decode(bytes.data() + wire::lengthPrefixBytes, bytes.size() - wire::lengthPrefixBytes);
             }),
@@ -161,10 +163,10 @@
     wake.waiters = 3;
     wake.bundle_version = 940;
     printFrame("Wake", std::move(wake));
-    wire::fb::BidRequestT ask;
-    ask.correlation = 12;
-    ask.target = std::make_unique<wire::fb::TargetT>(target());
-    printFrame("BidRequest", std::move(ask));
+    wire::fb::BidRequestT bidRequest;
+    bidRequest.correlation = 12;
+    bidRequest.target = std::make_unique<wire::fb::TargetT>(target());
+    printFrame("BidRequest", std::move(bidRequest));
     wire::fb::BidT bid;
     bid.correlation = 12;
     bid.can_load = true;
@@ -176,10 +178,10 @@
     load.target = std::make_unique<wire::fb::TargetT>(target());
     load.bundle_version = 940;
     printFrame("Load", std::move(load));
-    wire::fb::LoadResultT loaded;
-    loaded.correlation = 12;
-    loaded.is_loaded = true;
-    printFrame("LoadResult", std::move(loaded));
+    wire::fb::LoadResultT loadResult;
+    loadResult.correlation = 12;
+    loadResult.is_loaded = true;
+    printFrame("LoadResult", std::move(loadResult));
     for (const std::size_t bodyBytes : { 0U, 1024U, 16384U }) {
         wire::fb::DispatchT dispatch;
         dispatch.id = dispatchId();
