--- a/tests/benchmarks/pathbenchmark.cpp
+++ b/tests/benchmarks/pathbenchmark.cpp
@@ -55,13 +55,13 @@
 /// In turns of a few calls each, so that both ways meet the same noise of the machine.
 void measureLatency(std::vector<Way>& ways, std::size_t calls)
 {
-    constexpr std::size_t turn = 50;
+    constexpr std::size_t callsPerTurn = 50;
     std::vector<http_client> clients;
     for (const Way& way : ways)
         clients.emplace_back(web::uri("http://" + way.endpoint));
-    for (std::size_t done = 0; done < calls; done += turn) {
+    for (std::size_t measured = 0; measured < calls; measured += callsPerTurn) {
         for (std::size_t index = 0; index < ways.size(); ++index) {
-            for (std::size_t call = 0; call < turn; ++call)
+            for (std::size_t call = 0; call < callsPerTurn; ++call)
                 ways[index].milliseconds.push_back(callOnce(clients[index], ways[index]));
         }
     }
@@ -69,14 +69,14 @@
 
 double measureThroughput(const Way& way, const Options& options)
 {
-    std::atomic<std::size_t> left { options.throughputCalls };
+    std::atomic<std::size_t> remainingCalls { options.throughputCalls };
     std::vector<std::thread> callers;
     const auto start = Clock::now();
     for (std::size_t index = 0; index < options.callers; ++index) {
         callers.emplace_back([&] {
             http_client client(web::uri("http://" + way.endpoint));
-            for (std::size_t before = left.fetch_sub(1); before > 0 && before <= options.throughputCalls;
-                 before = left.fetch_sub(1))
+            for (std::size_t before = remainingCalls.fetch_sub(1); before > 0 && before <= options.throughputCalls;
+                 before = remainingCalls.fetch_sub(1))
                 callOnce(client, way);
         });
     }
