--- a/tests/benchmarks/benchmarkparts.h
+++ b/tests/benchmarks/benchmarkparts.h
@@ -7,14 +7,15 @@
 
 namespace lagoon::testsupport {
 
-/// Reads `--seconds N` and `--part NAME...` of a benchmark into options that hold their defaults.
+/// Parses the flags `--seconds N` and `--part NAME` of a benchmark; `--part` may be repeated. An absent flag leaves the
+/// default in `Options` unchanged.
 template <typename Options> Options parseBenchmarkOptions(int argc, char** argv)
 {
     namespace po = boost::program_options;
     Options options;
     po::options_description description;
-    description.add_options()("seconds", po::value(&options.seconds), "of each row")(
-        "part", po::value(&options.parts), "which to measure");
+    description.add_options()("seconds", po::value(&options.seconds), "measuring time of each row in seconds")(
+        "part", po::value(&options.parts), "part to measure, may be repeated");
     po::variables_map values;
     po::store(po::parse_command_line(argc, argv, description), values);
     po::notify(values);
--- a/tests/benchmarks/overload.cpp
+++ b/tests/benchmarks/overload.cpp
@@ -1,6 +1,10 @@
-// One router before engines of a known capacity, in an open loop: what is served in time and how soon the rest is
-// refused past saturation; one slow engine among fast ones; slow loads for a while under calls of many models. Prints
-// tables; judges nothing.
+// Measures one router in front of engines of known capacity, with an open-loop load generator. Prints tables; has no
+// pass or fail criterion. The parts are:
+//
+//   load   load below and above the engines' capacity: how many calls are served in time, and how soon the others are
+//          refused
+//   slow   one engine that is slower than the others: how many calls it gets, and how the latency changes
+//   loads  calls of more models than fit into the engines' memory, while model loads are slow for a part of the run
 //
 // usage: lagoonbench_overload [--seconds N] [--part load|slow|loads]...
 
@@ -34,7 +38,7 @@
 constexpr int tokens = 10;
 constexpr double callsPerSecondOfEngine = slots * 1000.0 / (tokenMs * tokens);
 constexpr std::uint64_t timeoutMs = 1500;
-/// One call in so many has high priority.
+/// One in this many calls has high priority.
 constexpr int highEvery = 5;
 
 struct Options {
@@ -56,7 +60,7 @@
 
 HttpCall makeCall(Deployment& deployment, const std::string& target, int number, std::uint64_t timeout, bool isHigh)
 {
-    // Prompts differ from their first word, or the affinity of prefixes would send all to one engine.
+    // Prompts differ from their first word on; otherwise prefix affinity would make the router prefer one engine.
     std::string prompt = "call-" + std::to_string(number);
     for (int word = 1; word < tokens; ++word)
         prompt += " word";
@@ -65,7 +69,7 @@
     return completionCall(deployment.router(routerVm).callers(), target, prompt, options);
 }
 
-/// Calls until each engine has the model.
+/// Sends calls until every engine has the model.
 void warmUp(Deployment& deployment, int engines)
 {
     int number = 1000000;
@@ -81,6 +85,7 @@
 void startWarm(Deployment& deployment, int engines)
 {
     addEngines(deployment, engines, 10000);
+    // With one call in flight the router already requests another replica, so that the model is loaded on every engine.
     RouterOptions routerOptions;
     routerOptions.extraSettings = web::json::value::parse(R"({"dispatch": {"scale_up_in_flight": 1}})");
     deployment.addRouter(routerVm, routerOptions);
@@ -92,7 +97,8 @@
     warmUp(deployment, engines);
 }
 
-/// Begins calls at the rate, late ones at once, and waits for all.
+/// Begins `perSecond` calls per second for `seconds`, and waits until all of them have ended. Calls that are behind
+/// schedule begin immediately.
 std::vector<TimedAnswer> offer(double perSecond, double seconds, const std::function<void(OpenLoop&, int)>& begin)
 {
     OpenLoop calls;
@@ -117,11 +123,12 @@
 struct Summary {
     std::map<std::string, int> begun;
     std::map<std::string, int> served;
-    /// By code and execution.
+    /// Counts by `code/execution`, the two fields of a refusal.
     std::map<std::string, int> refusals;
     std::vector<double> servedMs;
     std::vector<double> refusedMs;
     int withoutRetryAfter = 0;
+    /// Calls that ended with neither a served answer nor a refusal.
     int broken = 0;
 };
 
@@ -147,7 +154,8 @@
     return summary;
 }
 
-/// From the first beginning to the last served end: past the offer, the queue is still served.
+/// Returns the time from the beginning of the first call to the end of the last served one, at least 1 s. Queued calls
+/// are served even after the last call has begun.
 double servingSeconds(const std::vector<TimedAnswer>& answers)
 {
     double last = 0;
@@ -161,7 +169,7 @@
 
 std::string percentText(int part, int whole) { return whole == 0 ? "-" : std::to_string(part * 100 / whole) + " %"; }
 
-/// Counters of the router before and after a run.
+/// The router's counters at one moment; the difference between two of them describes a run.
 struct Counters {
     explicit Counters(Deployment& deployment)
         : dispatches(metricSumAt(deployment.router(routerVm).ops(), "lagoon_dispatches_total"))
@@ -239,7 +247,8 @@
     measureSlowEngine(deployment, engines, "recovered, at first", seconds);
 }
 
-/// Twice as many models as there is room for, so that loads never cease; for a while each takes 3 s more.
+/// Calls twice as many models as the engines have memory for, so that models are loaded all the time. For a part of the
+/// run each load takes 3 s longer.
 void measureSlowModelLoads()
 {
     constexpr int models = 20;
@@ -265,7 +274,7 @@
             for (const std::string& engine : deployment.upstreams(UpstreamKind::Engine))
                 setFaults(engine, fault);
         }
-        // Each model comes in turn, but for the first four, which every second call is for.
+        // Every second call is for one of the first four models, the others are for the remaining models; both in turn.
         const int modelNumber = number % 2 == 0 ? number / 2 % 4 : 4 + number / 2 % (models - 4);
         calls.begin(makeCall(deployment, model + std::to_string(modelNumber), number, 4000, false), low);
         if (number % static_cast<int>(rate) == 0)
--- a/tests/benchmarks/pathbenchmark.cpp
+++ b/tests/benchmarks/pathbenchmark.cpp
@@ -1,5 +1,6 @@
-// What the path through a router and an agent costs beside a direct call of the same upstream, in one run, and what
-// idle processes take. Prints a table; judges nothing.
+// Compares the latency and throughput of calls through a router and an agent with those of direct calls to the same
+// upstream, in one run. Also measures the memory and the start-up time of the router and the agent. Prints a table; has
+// no pass or fail criterion.
 //
 // usage: lagoonbench_path [--calls N] [--callers N] [--throughput-calls N]
 
@@ -29,12 +30,12 @@
     std::size_t throughputCalls = 16000;
 };
 
-/// One way to the upstream.
+/// A way to call the upstream: directly, or through the router and the agent.
 struct Way {
     std::string name;
     std::string endpoint;
     std::string path;
-    /// A repeatable call goes over the agent's pooled connections, another over a fresh one.
+    /// The agent sends a repeatable call over a pooled connection, any other call over a new one.
     bool isRepeatable = false;
     std::vector<double> milliseconds = {};
 };
@@ -52,7 +53,7 @@
     return std::chrono::duration<double, std::milli>(Clock::now() - start).count();
 }
 
-/// In turns of a few calls each, so that both ways meet the same noise of the machine.
+/// Alternates between the ways after a few calls each, so that the machine's background load affects all of them alike.
 void measureLatency(std::vector<Way>& ways, std::size_t calls)
 {
     constexpr std::size_t callsPerTurn = 50;
@@ -92,7 +93,7 @@
     return values[static_cast<std::size_t>(share * static_cast<double>(values.size() - 1))];
 }
 
-/// Resident memory of a process in MiB.
+/// Returns the resident memory of a process in MiB; 0 if it can't be read.
 double residentMemory(pid_t pid)
 {
     std::ifstream status("/proc/" + std::to_string(pid) + "/status");
@@ -120,9 +121,9 @@
     namespace po = boost::program_options;
     Options options;
     po::options_description description;
-    description.add_options()("calls", po::value(&options.calls), "for latency, each way")("callers",
-        po::value(&options.callers),
-        "at once, for throughput")("throughput-calls", po::value(&options.throughputCalls), "for throughput, each way");
+    description.add_options()("calls", po::value(&options.calls), "calls per way that measure the latency")(
+        "callers", po::value(&options.callers), "concurrent callers that measure the throughput")(
+        "throughput-calls", po::value(&options.throughputCalls), "calls per way that measure the throughput");
     po::variables_map values;
     po::store(po::parse_command_line(argc, argv, description), values);
     po::notify(values);
--- a/tests/benchmarks/processslopes.cpp
+++ b/tests/benchmarks/processslopes.cpp
@@ -1,5 +1,6 @@
-// What one router and one agent take as the system around them grows: processor time, resident memory, calls of the
-// platform and bytes on links, by number of agents, of routers and of models. Prints a table; judges nothing.
+// Measures the resources that one router and one agent use as the deployment grows: processor time, resident memory,
+// platform calls and bytes on links, by the number of agents, routers and models, per request, and per request that
+// waits for a model's load. Prints tables; has no pass or fail criterion.
 //
 // usage: lagoonbench_processes [--seconds N] [--part agents|routers|models|requests|waiting]...
 
@@ -35,7 +36,7 @@
 
 std::string serviceVm(int number) { return "lookup-" + std::to_string(number); }
 
-/// All figures at one moment.
+/// All measured values at one moment.
 struct Snapshot {
     ProcessUsage router;
     ProcessUsage agent;
@@ -61,7 +62,8 @@
         + record.at("to_client").at("delivered_bytes").as_double();
 }
 
-/// `agentVm` is the one whose process is measured; bytes are of all links to the `linkedVms` agents.
+/// Reads the usage of the router and of the agent on `agentVm`, the calls that all processes have made to the platform,
+/// and the bytes on the links to the agents on `linkedVms`.
 Snapshot takeSnapshot(Deployment& deployment, const std::string& agentVm, const std::vector<std::string>& linkedVms)
 {
     Snapshot snapshot;
@@ -90,13 +92,13 @@
               << " |" << std::endl;
 }
 
-/// A scenario whose processes are up, and what is measured of it.
+/// Describes a deployment whose processes are running, and what is measured in it.
 struct Scenario {
     std::string what;
     int size = 0;
     std::string agentVm;
     std::vector<std::string> linkedVms;
-    /// Sends one round of the trickle.
+    /// Sends one round of calls. The state "trickle" has `trickleCallsPerSecond` rounds per second.
     std::function<void()> trickle;
 };
 
@@ -129,7 +131,7 @@
     const HttpAnswer answer
         = call(serviceCall(deployment.router(router).callers(), service, "x", { { "X-Lagoon-Timeout-Ms", "5000" } }));
     if (answer.status != 200)
-        throw std::runtime_error("service: " + std::to_string(answer.status) + " " + answer.body);
+        throw std::runtime_error("service call failed: " + std::to_string(answer.status) + " " + answer.body);
 }
 
 void callModel(Deployment& deployment, const std::string& router, const std::string& model)
@@ -137,10 +139,10 @@
     const HttpAnswer answer
         = call(completionCall(deployment.router(router).callers(), model, "a b", { .timeoutMs = 10000 }));
     if (answer.status != 200)
-        throw std::runtime_error("completion: " + std::to_string(answer.status) + " " + answer.body);
+        throw std::runtime_error("completion failed: " + std::to_string(answer.status) + " " + answer.body);
 }
 
-/// Each agent has a pool and a service of its own, so that the trickle reaches every one.
+/// Each agent has its own pool and service, so that each round of the trickle reaches every agent.
 void measureAgents(int agents, int seconds)
 {
     Deployment deployment;
@@ -211,7 +213,8 @@
     measureStates(deployment, scenario, seconds);
 }
 
-/// Processor time per call, in a row of calls on connections of their own.
+/// Prints the mean processor time and link bytes per call over `calls` sequential calls, each on its own connection. A
+/// first call, which isn't measured, opens the link and loads the model.
 void measurePerRequest(Deployment& deployment, const std::string& what, const std::string& agentVm, int calls,
     const std::function<void()>& callOnce)
 {
@@ -253,10 +256,11 @@
         = completionCall(deployment.router(routerVm).callers(), "m", "a prompt", { .isStream = true, .maxTokens = 50 });
     measurePerRequest(deployment, "stream of 50 tokens", engineVm, streams, [&] {
         if (call(stream).status != 200)
-            throw std::runtime_error("no stream");
+            throw std::runtime_error("stream of 50 tokens failed");
     });
 }
 
+/// Prints the router's memory per request that waits for a model whose load takes 10 s longer than usual.
 void measureWaiting(int requests)
 {
     Deployment deployment;
@@ -276,7 +280,7 @@
     for (int number = 0; number < requests; ++number)
         calls.begin(waitingCall);
     const std::string ops = deployment.router(routerVm).ops();
-    waitFor("all wait", [&] { return metricAt(ops, "lagoon_requests_waiting") >= requests; });
+    waitFor("all requests wait for the model", [&] { return metricAt(ops, "lagoon_requests_waiting") >= requests; });
     const double waiting = usageOf(deployment.router(routerVm).process->pid()).residentMib;
     const auto answers = calls.finish();
     const auto served
--- a/tests/benchmarks/slopesbenchmark.cpp
+++ b/tests/benchmarks/slopesbenchmark.cpp
@@ -14,7 +14,8 @@
 #include <string>
 #include <vector>
 
-/// Slopes for docs/CAPACITY.md: what one more VM, replica, target or frame costs in processor time, heap and bytes.
+/// Measures the slopes in docs/CAPACITY.md: what one more VM, replica, target or frame costs in processor time, heap
+/// and bytes. Prints a table; has no pass or fail criterion.
 namespace {
 
 using namespace lagoon;
@@ -22,7 +23,7 @@
 
 const framework::SteadyTime now { std::chrono::hours(1000) };
 
-/// Processor time of this thread, in nanoseconds for one of `count` calls.
+/// Runs the action `count` times and returns the mean processor time of one run on this thread, in nanoseconds.
 template <typename Action> double nanosecondsPerCall(std::size_t count, Action action)
 {
     const auto processorTime = [] {
@@ -209,8 +210,9 @@
 {
     namespace po = boost::program_options;
     std::uint64_t seed = 1;
-    po::options_description description("Slopes for the capacity page");
-    description.add_options()("help", "this text")("seed", po::value(&seed)->default_value(1), "of generated states");
+    po::options_description description("Measures the slopes for docs/CAPACITY.md");
+    description.add_options()("help", "print this help")(
+        "seed", po::value(&seed)->default_value(1), "seed for generated states");
     po::variables_map values;
     try {
         po::store(po::parse_command_line(argc, argv, description), values);
