--- a/models/bundlehead.pml
+++ b/models/bundlehead.pml
@@ -1,9 +1,20 @@
-/* The bundle's head: `moveHead` of racing operators (src/bundle/internal/rollout.cpp) and `applyHead` by processes that
- * read it (BundleWatch). Held: the head only goes up; no process goes back; an operator who is told that it won has,
- * and one who is told that it lost has not, then or later.
+/* Models operators that roll out bundles at the same time (`moveHead` in src/bundle/internal/rollout.cpp) and processes
+ * that read the bundle head (`applyHead` in src/bundle/internal/bundlewatch.cpp).
  *
- * A write may arrive late, and its answer may be lost. Reads by processes may be stale by any amount.
- * Broken on purpose: NO_EXPECTED, NO_NONCE, NO_MAXIMUM, NO_ABOVE, MOVED_IS_LOST. */
+ * Properties: the bundle version in the head only increases. No process returns to a lower version. An operator whose
+ * outcome is "won" has moved the head. The write of an operator whose outcome is "lost" has not taken effect and never
+ * will.
+ *
+ * Faults: a write may arrive late, its request or its answer may be lost, and a process may read any earlier state of
+ * the head.
+ *
+ * Variants that are broken on purpose:
+ *   NO_EXPECTED    writes of the head are unconditional
+ *   NO_NONCE       operators don't look for their nonce: any change of the head counts as another operator's write
+ *   NO_MAXIMUM     a process takes whatever version it reads
+ *   NO_ABOVE       a roll-out starts even if the head has its version or a higher one
+ *   MOVED_IS_LOST  a head that was moved on counts as proof that the operator's own unanswered write did not take
+ *                  effect, although that write may have been overwritten */
 
 #define OPERATORS 2
 #define FIRST 1
@@ -11,7 +22,8 @@
 
 mtype = { pending, won, lost, undecided };
 
-/* The object: bundle version and the operator's nonce; its own version counts the writes. */
+/* The head as an object of the platform. `written` is the object's version, which each write increases; `headBundle`
+ * has the bundle version for each version of the object, and `headNonce` is the nonce of the latest write. */
 byte headBundle[WRITES];
 byte headNonce = 0;
 byte written = 0;
@@ -26,7 +38,7 @@
 Operator operators[OPERATORS];
 
 #define NONCE (me + 1)
-/* More than one write since the read: the own one may be among those that others have written over. */
+/* If more than one write took effect since the read, others may have overwritten the operator's own write. */
 #ifdef MOVED_IS_LOST
 #define MAY_BE_OVERWRITTEN false
 #else
@@ -63,7 +75,8 @@
     od
 }
 
-/* Rolls out bundle 3 - me: the operators start from the same head, and the slower may have the lower version. */
+/* Rolls out bundle version 3 - me. Both operators start from the same head, and the slower one may have the lower
+ * version. */
 proctype rollOut(byte me)
 {
     byte expected;
@@ -92,7 +105,8 @@
         fi
     :: true /* no answer in time */
     fi;
-    /* Settled by reading again: the own nonce, a head that another has moved, or the one that was there. */
+    /* The operator reads the head again. It has the operator's nonce, or another operator has moved it, or it is
+     * unchanged. */
     atomic {
         if
 #ifdef NO_NONCE
@@ -115,7 +129,8 @@
     skip
 }
 
-/* A process: reads whatever version of the head an old or new copy shows, keeps the highest. */
+/* A process that reads the head. Each read may return any earlier version or the current one; the process keeps the
+ * highest version that it has read. */
 proctype reader()
 {
     byte inForce = 0;
--- a/models/dispatch.pml
+++ b/models/dispatch.pml
@@ -1,11 +1,22 @@
-/* One request that may not be repeated: `dispatch`, `resolve`, `fence`, `settle`, `complete` and `restart` as in
- * src/agent/internal/requestledger.h, and the router's side of them (src/router). Held: it runs at most once; "not run"
- * is true for ever; what the caller gets as whole is whole.
+/* Models one request that must not run twice: the actions `dispatch`, `resolve`, `fence`, `settle`, `complete` and
+ * `restart` of the agent's ledger (RequestLedger, src/agent/internal/requestledger.h), and the router's end of the
+ * session (AgentSession, src/router/internal/agentsession.h).
  *
- * A link may go silent for good: its frames to the agent may still arrive, however late, also at a restarted agent;
- * those to the router are lost, since the router has closed its end. The agent may crash between any two steps.
- * A refusal as not run is tried once more under a new id.
- * Broken on purpose: NO_FENCE, NO_INCARNATION, NO_FLOOR, BLIND_RETRY, CLOSE_IS_END, NO_OFFSET, RETRY_UNKNOWN. */
+ * Properties: the request runs at most once. If the router reports "not run", the request has not run and never will.
+ * An answer that the caller receives as complete is complete.
+ *
+ * Faults: a link may go silent for good. Its frames to the agent may still arrive at any later time, also after the
+ * agent has restarted; its frames to the router are lost, because the router has closed its end. The agent may crash
+ * between any two steps. After a refusal as "not run" the request is retried once, under a new id.
+ *
+ * Variants that are broken on purpose:
+ *   NO_FENCE        `resolve` reports an id that the agent has not seen as not run, but doesn't fence it
+ *   NO_INCARNATION  the agent accepts frames addressed to its former process, and the router doesn't notice a restart
+ *   NO_FLOOR        the agent runs dispatches whose id is below the floor
+ *   BLIND_RETRY     if a link goes silent, the router dispatches again under a new id, without `resolve`
+ *   RETRY_UNKNOWN   the router dispatches again although the outcome is unknown
+ *   CLOSE_IS_END    if a link goes silent after the first chunk, the router takes the answer for complete
+ *   NO_OFFSET       the agent resends an answer from its beginning, and the router doesn't check offsets */
 
 #define LINKS 4
 #define IDS 2
@@ -18,7 +29,9 @@
 mtype = { unseen, running, done, fencedEntry };
 mtype = { open, whole, notRun, unknown };
 
-/* type, id, agent incarnation or offset, floor or received chunks */
+/* Frames to the agent: type, id, incarnation of the agent that the frame is addressed to, and the floor (`dispatch`,
+ * `settle`) or the number of chunks that the router has received (`resolve`). Frames to the router: type, id, and the
+ * offset of a chunk or the length of the answer (`end`). */
 typedef Link {
     chan toAgent = [3] of { mtype, byte, byte, byte };
     chan toRouter = [3] of { mtype, byte, byte };
@@ -26,7 +39,7 @@
 Link links[LINKS];
 byte routerLink = 0;
 
-/* The agent's process, and its ledger. */
+/* The agent's process and its ledger. */
 byte incarnation = 1;
 mtype entry[IDS];
 byte floor = 0;
@@ -34,7 +47,7 @@
 byte sent[IDS];
 byte restarts = 0;
 
-/* Outside: how often the upstream ran it; what the caller was told. */
+/* How often the upstream ran the request, and the outcome that the caller received. */
 byte executed = 0;
 mtype outcome = open;
 
@@ -74,10 +87,10 @@
         :: links[1].toAgent ? settle, id, meantFor, argument -> goto onSettle
         :: links[2].toAgent ? settle, id, meantFor, argument -> goto onSettle
         :: links[3].toAgent ? settle, id, meantFor, argument -> goto onSettle
-        /* The upstream runs it. */
+        /* The upstream runs the request. */
         :: entry[0] == running && sent[0] == 0 -> id = 0; goto execute
         :: entry[1] == running && sent[1] == 0 -> id = 1; goto execute
-        /* Answers leave piece by piece on the link that the id is attached to. */
+        /* An answer is sent in chunks, over the link that its id is attached to. */
         :: entry[0] == done && sent[0] <= CHUNKS && nfull(links[attached[0]].toRouter) -> id = 0; goto answer
         :: entry[1] == done && sent[1] <= CHUNKS && nfull(links[attached[1]].toRouter) -> id = 1; goto answer
         :: restarts < RESTARTS -> goto restart
@@ -158,7 +171,7 @@
         assert(executed <= 1);
         assert(outcome != notRun)
     }
-    /* complete */
+    /* `complete`, or a crash before it */
     if
     :: entry[id] = done
     :: atomic { restarts < RESTARTS -> goto restart }
@@ -177,7 +190,8 @@
 
 restart:
     skip;
-    /* An empty ledger under a new incarnation. Frames for the former one may still be on their way. */
+    /* The restarted agent has an empty ledger and a new incarnation. Frames addressed to the former incarnation may
+     * still be in transit. */
     d_step {
         restarts++; incarnation++; floor = 0;
         entry[0] = unseen; entry[1] = unseen;
@@ -193,7 +207,7 @@
     byte received = 0;
     byte offset = 0;
 
-    /* The HelloAck of the link says whom it reached. */
+    /* The HelloAck of a link states the incarnation of the agent that it reached. */
     knows = incarnation;
     links[0].toAgent ! dispatch, id, knows, 0;
 
@@ -217,13 +231,13 @@
         :: links[routerLink].toRouter ? fenced, eval(id), _ -> goto wasNotRun
         :: links[routerLink].toRouter ? refusedNotRun, eval(id), _ -> goto wasNotRun
         :: links[routerLink].toRouter ? refusedUnknown, eval(id), _ -> goto isUnknown
-        /* Frames of an earlier id. */
+        /* Frames of the earlier id are ignored. */
         :: links[routerLink].toRouter ? chunk, eval(1 - id), _ -> goto await
         :: links[routerLink].toRouter ? end, eval(1 - id), _ -> goto await
         :: links[routerLink].toRouter ? refusedNotRun, eval(1 - id), _ -> goto await
         :: links[routerLink].toRouter ? fenced, eval(1 - id), _ -> goto await
         :: routerLink + 1 < LINKS -> goto silent
-        :: routerLink + 1 == LINKS -> goto isUnknown /* the deadline */
+        :: routerLink + 1 == LINKS -> goto isUnknown /* the deadline passes */
         fi
     }
 
@@ -255,7 +269,8 @@
     :: received > 0 -> goto isUnknown
     :: else
     fi;
-    /* Whatever refused it: settled, so that the agent may forget it. Then once more under a new id, or told. */
+    /* Whichever frame reported "not run": the id is settled, so that the agent may drop its entry. Then the request is
+     * dispatched once more under a new id, or the caller receives the refusal. */
     if
     :: routerLink > 0 && id == 0 -> links[routerLink].toAgent ! settle, 0, knows, 1
     :: else
--- a/models/engineorders.pml
+++ b/models/engineorders.pml
@@ -1,10 +1,19 @@
-/* Orders of a direct agent to its engine (src/engines/internal/enginecontroller.cpp): each carries fence, expected
- * count and instance. Held: the engine never holds more than fits, never carries out an order of an older life of the
- * agent after one of a newer, nor one that was meant for its former instance.
+/* Models the orders that a direct agent gives to its engine (EngineController,
+ * src/engines/internal/enginecontroller.cpp). Each order carries the agent's fencing token (`fence`), the order count
+ * that it expects of the engine (`expected`), and the engine's instance (`meant`).
  *
- * An order may get no answer, and be carried out at any time later, behind newer ones. The agent may be killed at any time;
- * its orders stay under way, and its next life has a greater fence. The engine may start anew, empty.
- * Broken on purpose: NO_EXPECTED, NO_INSTANCE. NO_FENCE holds: the count alone keeps an older life's orders out. */
+ * Properties: the engine never holds more models than fit into it. It never carries out an order of an earlier agent
+ * process after one of a later process, nor an order that was addressed to an earlier instance of the engine.
+ *
+ * Faults: an order may get no answer, and may be carried out at any later time, after newer orders. The agent may be
+ * killed at any time; its orders stay in transit, and its next process has a higher fencing token. The engine may
+ * restart once, as a new instance that holds no model.
+ *
+ * Variants that are broken on purpose:
+ *   NO_EXPECTED  the engine doesn't check the expected order count
+ *   NO_INSTANCE  the engine doesn't check the instance
+ * With NO_FENCE the engine doesn't check fencing tokens. The properties still hold, because the expected order count
+ * alone keeps out the orders of an earlier agent process. */
 
 #define MODELS 3
 #define ROOM 1
@@ -22,9 +31,9 @@
 byte newestLife = 0;
 byte lives = 0;
 
-/* Orders under way: kind, model, expected count, fence, instance, number. */
+/* Orders in transit: kind, model, expected order count, fencing token, instance, number of the order. */
 chan network = [ORDERS] of { mtype, byte, byte, byte, byte, byte };
-/* The number of the last order that was answered. */
+/* The number of the last order whose answer has arrived. */
 byte answered = 0;
 byte sent = 0;
 
@@ -39,7 +48,7 @@
 end:
     do
     :: atomic {
-        /* Any of them, since each may be late. */
+        /* Receives any order in transit, not only the oldest one, because each may be late. */
         network ?? kind, model, expected, fence, meant, number;
         if
 #ifndef NO_INSTANCE
@@ -84,7 +93,8 @@
     od
 }
 
-/* One life: reads the engine's report, which is fresh on its VM, and orders by it. Ends at any time. */
+/* One process of the agent (a "life" in the names of this model). It decides by the engine's report, which is current,
+ * because the agent runs on the engine's VM. It may end at any time. */
 proctype agent(byte fence)
 {
     byte model;
@@ -106,7 +116,7 @@
         fi;
         model = 0
     }
-        /* Waits for the answer, or gives up: then the report decides, as it does next anyway. */
+        /* Waits for the answer or gives up. In both cases the next decision is based on the engine's report. */
         if
         :: answered == number
         :: skip
--- a/models/replicaclaim.pml
+++ b/models/replicaclaim.pml
@@ -1,12 +1,23 @@
-/* The replica cap: `claim`, `release` and `restart` as in src/agent (ReplicaClaims, ReplicaController), over one
- * replica object that only conditional updates change. The cap is counted at the engines, at each load.
+/* Models the replica cap: `claim` and `release` of ReplicaClaims (src/agent/internal/replicaclaims.h), the load and
+ * unload orders of ReplicaController (src/agent/internal/replicacontroller.h), and restarts of the agents. The claims
+ * are in one replica object, which only conditional updates change.
  *
- * Two VMs, a cap of one. An agent may be paused anywhere (any interleaving), crash and restart; a write may be applied
- * late, or its answer lost; a load order may reach the engine late, also after its agent has died; VM 1 may be reclaimed.
+ * Property: the engines never hold more replicas than the cap allows. This is checked at the engines, at each load.
  *
- * FENCED: engines refuse an order with an old fencing number. Without it a claim is freed after a settling time, by
- * which, the model assumes, an order has arrived or is lost.
- * Broken on purpose: LAPSE, FREE_FORMER, NO_SETTLING, NO_NONCE, NO_EXPECTED, FREE_LEAVING. */
+ * Faults: two VMs share a cap of one. An agent may be paused anywhere, since every interleaving is searched, and may
+ * crash and restart. A write may take effect late, and its request or its answer may be lost. A load order may be lost,
+ * or reach the engine late, even after its agent has died. VM 1 may be reclaimed.
+ *
+ * With FENCED, engines refuse an order with an outdated fencing token. Without it, a claim is released only after a
+ * settling time; the model assumes that by then an order has arrived or is lost.
+ *
+ * Variants that are broken on purpose:
+ *   LAPSE         a claim lapses by time, although its holder may only be paused
+ *   FREE_FORMER   a restarted agent releases the claim of its former process if the engine doesn't have the replica
+ *   NO_SETTLING   a claim is released while an order may still be in transit
+ *   NO_NONCE      a write without an answer counts as applied
+ *   NO_EXPECTED   writes are unconditional
+ *   FREE_LEAVING  the claim of a VM that is leaving, but not gone, is dropped */
 
 #define CAP 1
 #ifndef WRITES
@@ -19,17 +30,18 @@
 #define CRASHES 1
 #endif
 
-/* The platform's object: each VM's claim as its nonce (0: none). */
+/* The replica object on the platform: the nonce of each VM's claim (0 if the VM has none), and the object's version. */
 byte holder[2];
 byte version = 1;
 
-/* Writes on their way to it: what the object is to be, and the version that is expected. */
+/* Writes in transit to the platform: the new claims of the writer's VM and of the other VM, the object version that the
+ * write expects, and the number of the operation. */
 typedef Writes { chan queue = [2] of { byte, byte, byte, byte } };
 Writes writes[2];
 byte answeredTo[2];
 bool didApply[2];
 
-/* Outside: engines, orders on their way to them, VMs. */
+/* The engines, the orders in transit to them, and the state of VM 1. */
 typedef Orders { chan queue = [2] of { byte } };
 Orders orders[2];
 bool isLoaded[2];
@@ -51,7 +63,7 @@
     fi
 }
 
-/* Writes are applied whenever they arrive, and answered to a process that may not listen any more. */
+/* Applies a write whenever it arrives. The process that the answer is for may have ended by then. */
 proctype platform(byte v)
 {
     byte own;
@@ -98,7 +110,7 @@
     od
 }
 
-/* VM 1 is reclaimed: first announced, then its agent and what its accelerators held are gone. */
+/* VM 1 is reclaimed. First it is announced as leaving; then its agent and the content of its accelerators are gone. */
 proctype fleet()
 {
 end_announce:
@@ -117,7 +129,7 @@
 
 restart:
 end_restart:
-    /* Nothing is ordered before the own claims have been read. */
+    /* The agent orders nothing before it has read its own claims. */
     atomic {
         nonce = 0; fence = 0; readOther = 0; operation = 0;
         readVersion = version;
@@ -133,8 +145,8 @@
     :: else
     fi;
 #endif
-    /* A former process's claim is taken over, not freed: its order may still reach the engine. The write gives a higher
-     * fencing number. */
+    /* The claim of a former process is taken over, not released, because that process's order may still reach the
+     * engine. The write yields a higher fencing token. */
     atomic {
         if
         :: version == readVersion && version < WRITES -> version++; fence = version; goto unload
@@ -156,7 +168,7 @@
         readOther = holder[OTHER];
         if
 #ifdef LAPSE
-        :: true -> readOther = 0 /* "its lease has lapsed": the holder is paused, its engine isn't */
+        :: true -> readOther = 0 /* the claim has lapsed like a lease; its holder is paused, but the engine isn't */
 #endif
 #ifdef FREE_LEAVING
         :: v == 0 && isLeaving -> readOther = 0
@@ -183,8 +195,8 @@
     :: atomic { answeredTo[v] == operation && didApply[v] -> fence = version }
     :: answeredTo[v] == operation && !didApply[v] -> goto idle
     :: true ->
-        /* No answer in time. Settled by reading again and looking for the nonce; as long as the version is the one
-         * that the write expects, it may still be applied, so the same write is sent again. */
+        /* No answer in time. The agent reads the object again and looks for its nonce. While the object has the version
+         * that the write expects, the write may still take effect, so the agent sends the same write again. */
 #ifdef NO_NONCE
         atomic { fence = version }
 #else
@@ -207,7 +219,7 @@
     crash();
 
 unload:
-    /* Confirmed by the engine: it doesn't have the replica now. */
+    /* The engine confirms the unload, so it doesn't have the replica now. */
     atomic {
         if
         :: STOPS -> goto stopped
@@ -231,7 +243,7 @@
     :: !STOPS && empty(orders[v].queue)
     fi;
     if
-    :: isLoaded[v] -> goto unload /* an order had been on its way */
+    :: isLoaded[v] -> goto unload /* an order has arrived late */
     :: else
     fi;
 #endif
--- a/models/streamresume.pml
+++ b/models/streamresume.pml
@@ -1,21 +1,29 @@
-/* A stream that goes on at another server (src/forwarding/internal/requestjob.cpp, eventsplitter.cpp). Held: the caller
- * gets each event once and in order, no part of one, nothing of a server that was given up, and an end only behind the
- * last.
+/* Models a stream that a direct router resumes at a second server (RequestJob,
+ * src/forwarding/internal/requestjob.cpp; EventSplitter, src/forwarding/internal/eventsplitter.cpp).
  *
- * A server may stop anywhere, also within an event, or begin at a later event than it was asked for; what it has sent may
- * arrive after the router has turned to another server. One that says "end" behind the last event that it has, though
- * there are more, can't be told from one that is done: left out.
- * Broken on purpose: HALF_EVENTS, NO_ORDER, OLD_CONNECTION, CLOSE_IS_END. */
+ * Properties: the caller receives each event once, in order and whole, and nothing from a server that the router has
+ * given up. The stream ends only after the last event.
+ *
+ * Faults: a server may stop anywhere, also within an event, or resume at a later event than requested. What it has sent
+ * may arrive after the router has switched to the other server. Not modelled: a server that ends the stream normally
+ * after the last event that it has, although there are more, because the router can't distinguish it from a server that
+ * is done.
+ *
+ * Variants that are broken on purpose:
+ *   HALF_EVENTS     the router forwards parts of events
+ *   NO_ORDER        the router doesn't check the ids of events
+ *   OLD_CONNECTION  the router still reads the first server's connection after it has switched to the second server
+ *   CLOSE_IS_END    the router takes a closed connection for the end of the stream */
 
 #define EVENTS 3
 #define SERVERS 2
 
 mtype = { begun, whole, lastChunk, closed };
 
-/* What a server sends: part of an event and its number. One connection a server. */
+/* What a server sends: a part of an event and the number of the event. There is one connection per server. */
 chan wire0 = [2] of { mtype, byte };
 chan wire1 = [2] of { mtype, byte };
-/* Behind which event a server is asked to go on; 9 is not yet. */
+/* The event after which a server is asked to resume; 9 if it hasn't been asked yet. */
 byte askedAfter[SERVERS];
 
 byte delivered = 0;
@@ -32,7 +40,7 @@
     byte event;
     askedAfter[me] != 9;
     event = askedAfter[me];
-    /* One that counts wrongly begins an event too far. */
+    /* A faulty second server may skip an event. */
     if
     :: me == 1 && event + 1 < EVENTS -> event++
     :: skip
@@ -68,7 +76,8 @@
         wire1 ? part, event;
         from = 1;
         goto took
-    /* Given up without a word from it, such as for events out of order: its connection is closed first. */
+    /* The router gives the first server up on its own, for example because its events are out of order, and closes its
+     * connection first. */
     :: !isOver && current == 0 && !hasHalf ->
         current = 1;
         askedAfter[1] = delivered;
