--- a/cmake/LagoonModule.cmake
+++ b/cmake/LagoonModule.cmake
@@ -1,8 +1,11 @@
-# With LAGOON_TESTS off, only the program is built, and nothing under a `tests` folder is needed.
+# If LAGOON_TESTS is off, neither the tests nor their stand-ins are built, and the build needs no file under a `tests`
+# folder.
 option(LAGOON_TESTS "Build tests, stand-ins and benchmarks" ON)
 
-# lagoon_module(<name> SOURCES … DEPENDS …) declares the static library lagoon_<name>.
-# lagoon_test(<name> SOURCES … DEPENDS … ARGUMENTS …) declares a Boost.Test program and registers it with ctest.
+# lagoon_module(<name> SOURCES … DEPENDS …) declares the static library lagoon_<name>. Modules whose name ends in
+# `_testing` are declared only if LAGOON_TESTS is on.
+# lagoon_test(<name> SOURCES … DEPENDS … ARGUMENTS … TIMEOUT <seconds>) declares a Boost.Test program and registers
+# it with CTest.
 
 function(lagoon_module name)
     if(NOT LAGOON_TESTS AND name MATCHES "_testing$")
