--- a/tests/benchmarks/overload.cpp
+++ b/tests/benchmarks/overload.cpp
@@ -1,6 +1,10 @@
-// One router before engines of a known capacity, in an open loop: what is served in time and how soon the rest is
-// refused past saturation; one slow engine among fast ones; slow loads for a while under calls of many models. Prints
-// tables; judges nothing.
+// Measures one router in front of engines of known capacity, with an open-loop load generator. Prints tables; has no
+// pass or fail criterion. The parts are:
+//
+//   load   load below and above the engines' capacity: how many calls are served in time, and how soon the others are
+//          refused
+//   slow   one engine that is slower than the others: how many calls it gets, and how the latency changes
+//   loads  calls of more models than fit into the engines' memory, while model loads are slow for a part of the run
 //
 // usage: lagoonbench_overload [--seconds N] [--part load|slow|loads]...
 
@@ -34,7 +38,7 @@
 constexpr int tokens = 10;
 constexpr double callsPerSecondOfEngine = slots * 1000.0 / (tokenMs * tokens);
 constexpr std::uint64_t timeoutMs = 1500;
-/// One call in so many has high priority.
+/// One in this many calls has high priority.
 constexpr int highEvery = 5;
 
 struct Options {
@@ -56,7 +60,7 @@
 
 HttpCall makeCall(Deployment& deployment, const std::string& target, int number, std::uint64_t timeout, bool isHigh)
 {
-    // Prompts differ from their first word, or the affinity of prefixes would send all to one engine.
+    // Prompts differ from their first word on; otherwise prefix affinity would make the router prefer one engine.
     std::string prompt = "call-" + std::to_string(number);
     for (int word = 1; word < tokens; ++word)
         prompt += " word";
@@ -65,7 +69,7 @@
     return completionCall(deployment.router(routerVm).callers(), target, prompt, options);
 }
 
-/// Calls until each engine has the model.
+/// Sends calls until every engine has the model.
 void warmUp(Deployment& deployment, int engines)
 {
     int number = 1000000;
@@ -81,9 +85,10 @@
 void startWarm(Deployment& deployment, int engines)
 {
     addEngines(deployment, engines, 10000);
-    RouterOptions eager;
-    eager.extraSettings = web::json::value::parse(R"({"dispatch": {"scale_up_in_flight": 1}})");
-    deployment.addRouter(routerVm, eager);
+    // With one call in flight the router already requests another replica, so that the model is loaded on every engine.
+    RouterOptions routerOptions;
+    routerOptions.extraSettings = web::json::value::parse(R"({"dispatch": {"scale_up_in_flight": 1}})");
+    deployment.addRouter(routerVm, routerOptions);
     deployment.rollOut(BundleBuilder(1)
                            .enginePool("engines", "old", 10000)
                            .model(model, 100, { "engines" }, { { "old", static_cast<std::uint32_t>(engines) } })
@@ -92,7 +97,8 @@
     warmUp(deployment, engines);
 }
 
-/// Begins calls at the rate, late ones at once, and waits for all.
+/// Begins `perSecond` calls per second for `seconds`, and waits until all of them have ended. Calls that are behind
+/// schedule begin immediately.
 std::vector<TimedAnswer> offer(double perSecond, double seconds, const std::function<void(OpenLoop&, int)>& begin)
 {
     OpenLoop calls;
@@ -117,11 +123,12 @@
 struct Summary {
     std::map<std::string, int> begun;
     std::map<std::string, int> served;
-    /// By code and execution.
+    /// Counts by `code/execution`, the two fields of a refusal.
     std::map<std::string, int> refusals;
     std::vector<double> servedMs;
     std::vector<double> refusedMs;
     int withoutRetryAfter = 0;
+    /// Calls that ended with neither a served answer nor a refusal.
     int broken = 0;
 };
 
@@ -147,7 +154,8 @@
     return summary;
 }
 
-/// From the first beginning to the last served end: past the offer, the queue is still served.
+/// Returns the time from the beginning of the first call to the end of the last served one, at least 1 s. Queued calls
+/// are served even after the last call has begun.
 double servingSeconds(const std::vector<TimedAnswer>& answers)
 {
     double last = 0;
@@ -159,9 +167,9 @@
     return std::max(1.0, last);
 }
 
-std::string share(int part, int whole) { return whole == 0 ? "-" : std::to_string(part * 100 / whole) + " %"; }
+std::string percentText(int part, int whole) { return whole == 0 ? "-" : std::to_string(part * 100 / whole) + " %"; }
 
-/// Counters of the router before and after a run.
+/// The router's counters at one moment; the difference between two of them describes a run.
 struct Counters {
     explicit Counters(Deployment& deployment)
         : dispatches(metricSumAt(deployment.router(routerVm).ops(), "lagoon_dispatches_total"))
@@ -172,9 +180,9 @@
     double retries;
 };
 
-void measureLoad(Deployment& deployment, double times, int engines, int seconds)
+void measureOfferedLoad(Deployment& deployment, double loadFactor, int engines, int seconds)
 {
-    const double rate = times * engines * callsPerSecondOfEngine;
+    const double rate = loadFactor * engines * callsPerSecondOfEngine;
     const Counters before(deployment);
     const auto answers = offer(rate, seconds, [&](OpenLoop& calls, int number) {
         const bool isHigh = number % highEvery == 0;
@@ -183,11 +191,11 @@
     const Counters after(deployment);
     Summary summary = summarize(answers);
     const double calls = static_cast<double>(answers.size());
-    std::cout << std::fixed << std::setprecision(1) << "| " << times << " | " << rate << " | "
+    std::cout << std::fixed << std::setprecision(1) << "| " << loadFactor << " | " << rate << " | "
               << (summary.served[high] + summary.served[low]) / servingSeconds(answers) << " | "
-              << share(summary.served[high], summary.begun[high]) << " | "
-              << share(summary.served[low], summary.begun[low]) << " | " << percentile(summary.servedMs, 0.5) << " / "
-              << percentile(summary.servedMs, 0.99) << " | " << percentile(summary.refusedMs, 0.5) << " / "
+              << percentText(summary.served[high], summary.begun[high]) << " | "
+              << percentText(summary.served[low], summary.begun[low]) << " | " << percentile(summary.servedMs, 0.5)
+              << " / " << percentile(summary.servedMs, 0.99) << " | " << percentile(summary.refusedMs, 0.5) << " / "
               << percentile(summary.refusedMs, 0.99) << " | " << std::setprecision(3)
               << (after.retries - before.retries) / calls << " | " << (after.dispatches - before.dispatches) / calls
               << " | " << summary.withoutRetryAfter << " | " << summary.broken << " | ";
@@ -196,7 +204,7 @@
     std::cout << "|" << std::endl;
 }
 
-void measureLoads(int seconds)
+void measureOfferedLoads(int seconds)
 {
     constexpr int engines = 2;
     Deployment deployment;
@@ -205,8 +213,8 @@
         << "| times capacity | offered/s | served/s | high served | low served | served ms p50 / p99 | refused ms "
            "p50 / p99 | retries each | dispatches each | no Retry-After | broken | refusals |\n"
            "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
-    for (const double times : { 0.5, 1.0, 2.0, 4.0 })
-        measureLoad(deployment, times, engines, seconds);
+    for (const double loadFactor : { 0.5, 1.0, 2.0, 4.0 })
+        measureOfferedLoad(deployment, loadFactor, engines, seconds);
 }
 
 void measureSlowEngine(Deployment& deployment, int engines, const std::string& what, int seconds)
@@ -216,10 +224,10 @@
     const auto answers = offer(0.4 * engines * callsPerSecondOfEngine, seconds,
         [&](OpenLoop& calls, int number) { calls.begin(makeCall(deployment, model, number, 10000, false), low); });
     Summary summary = summarize(answers);
-    const int there = static_cast<int>(executionsAt(slow).size() - before);
+    const int executionsAtSlow = static_cast<int>(executionsAt(slow).size() - before);
     std::cout << std::fixed << std::setprecision(1) << "| " << what << " | " << answers.size() << " | "
-              << summary.served[low] << " | " << share(there, static_cast<int>(answers.size())) << " | "
-              << percentile(summary.servedMs, 0.5) << " | " << percentile(summary.servedMs, 0.95) << " | "
+              << summary.served[low] << " | " << percentText(executionsAtSlow, static_cast<int>(answers.size()))
+              << " | " << percentile(summary.servedMs, 0.5) << " | " << percentile(summary.servedMs, 0.95) << " | "
               << percentile(summary.servedMs, 0.99) << " |" << std::endl;
 }
 
@@ -239,8 +247,9 @@
     measureSlowEngine(deployment, engines, "recovered, at first", seconds);
 }
 
-/// Twice as many models as there is room for, so that loads never cease; for a while each takes 3 s more.
-void measureSlowLoads()
+/// Calls twice as many models as the engines have memory for, so that models are loaded all the time. For a part of the
+/// run each load takes 3 s longer.
+void measureSlowModelLoads()
 {
     constexpr int models = 20;
     constexpr int engines = 2;
@@ -265,9 +274,9 @@
             for (const std::string& engine : deployment.upstreams(UpstreamKind::Engine))
                 setFaults(engine, fault);
         }
-        // Each model comes in turn, but for the first four, which every second call is for.
-        const int which = number % 2 == 0 ? number / 2 % 4 : 4 + number / 2 % (models - 4);
-        calls.begin(makeCall(deployment, model + std::to_string(which), number, 4000, false), low);
+        // Every second call is for one of the first four models, the others are for the remaining models; both in turn.
+        const int modelNumber = number % 2 == 0 ? number / 2 % 4 : 4 + number / 2 % (models - 4);
+        calls.begin(makeCall(deployment, model + std::to_string(modelNumber), number, 4000, false), low);
         if (number % static_cast<int>(rate) == 0)
             waiting[number / static_cast<int>(rate)]
                 = metricAt(deployment.router(routerVm).ops(), "lagoon_requests_waiting");
@@ -300,9 +309,9 @@
     const auto options = parseBenchmarkOptions<Options>(argc, argv);
     const auto has = [&](const char* part) { return hasPart(options.parts, part); };
     if (has("load"))
-        measureLoads(options.seconds);
+        measureOfferedLoads(options.seconds);
     if (has("slow"))
         measureSlowEngines(options.seconds);
     if (has("loads"))
-        measureSlowLoads();
+        measureSlowModelLoads();
 }
--- a/tests/benchmarks/processslopes.cpp
+++ b/tests/benchmarks/processslopes.cpp
@@ -1,5 +1,6 @@
-// What one router and one agent take as the system around them grows: processor time, resident memory, calls of the
-// platform and bytes on links, by number of agents, of routers and of models. Prints a table; judges nothing.
+// Measures the resources that one router and one agent use as the deployment grows: processor time, resident memory,
+// platform calls and bytes on links, by the number of agents, routers and models, per request, and per request that
+// waits for a model's load. Prints tables; has no pass or fail criterion.
 //
 // usage: lagoonbench_processes [--seconds N] [--part agents|routers|models|requests|waiting]...
 
@@ -35,7 +36,7 @@
 
 std::string serviceVm(int number) { return "lookup-" + std::to_string(number); }
 
-/// All figures at one moment.
+/// All measured values at one moment.
 struct Snapshot {
     ProcessUsage router;
     ProcessUsage agent;
@@ -61,16 +62,17 @@
         + record.at("to_client").at("delivered_bytes").as_double();
 }
 
-/// `agentVm` is the one whose process is measured; bytes are of all links to the `linked` agents.
-Snapshot takeSnapshot(Deployment& deployment, const std::string& agentVm, const std::vector<std::string>& linked)
+/// Reads the usage of the router and of the agent on `agentVm`, the calls that all processes have made to the platform,
+/// and the bytes on the links to the agents on `linkedVms`.
+Snapshot takeSnapshot(Deployment& deployment, const std::string& agentVm, const std::vector<std::string>& linkedVms)
 {
-    Snapshot taken;
-    taken.router = usageOf(deployment.router(routerVm).process->pid());
-    taken.agent = usageOf(deployment.upstream(agentVm).agent->pid());
-    taken.platformCalls = platformCalls(deployment);
-    for (const std::string& vm : linked)
-        taken.linkBytes += linkBytes(deployment.upstream(vm));
-    return taken;
+    Snapshot snapshot;
+    snapshot.router = usageOf(deployment.router(routerVm).process->pid());
+    snapshot.agent = usageOf(deployment.upstream(agentVm).agent->pid());
+    snapshot.platformCalls = platformCalls(deployment);
+    for (const std::string& vm : linkedVms)
+        snapshot.linkBytes += linkBytes(deployment.upstream(vm));
+    return snapshot;
 }
 
 void printHeader()
@@ -90,37 +92,38 @@
               << " |" << std::endl;
 }
 
-/// A scene whose processes are up, and what is measured of it.
-struct Scene {
+/// Describes a deployment whose processes are running, and what is measured in it.
+struct Scenario {
     std::string what;
     int size = 0;
     std::string agentVm;
-    std::vector<std::string> linked;
-    /// Sends one round of the trickle.
+    std::vector<std::string> linkedVms;
+    /// Sends one round of calls. The state "trickle" has `trickleCallsPerSecond` rounds per second.
     std::function<void()> trickle;
 };
 
-void measure(Deployment& deployment, const Scene& scene, const std::string& state, int seconds, bool trickles)
+void measure(Deployment& deployment, const Scenario& scenario, const std::string& state, int seconds, bool hasTrickle)
 {
-    const Snapshot from = takeSnapshot(deployment, scene.agentVm, scene.linked);
+    const Snapshot from = takeSnapshot(deployment, scenario.agentVm, scenario.linkedVms);
     const auto start = Clock::now();
     const auto end = start + std::chrono::seconds(seconds);
     const auto interval = std::chrono::milliseconds(1000 / trickleCallsPerSecond);
     for (auto next = start; next < end; next += interval) {
         std::this_thread::sleep_until(next);
-        if (trickles)
-            scene.trickle();
+        if (hasTrickle)
+            scenario.trickle();
     }
     std::this_thread::sleep_until(end);
-    const Snapshot to = takeSnapshot(deployment, scene.agentVm, scene.linked);
-    printRow(scene.what, scene.size, state, from, to, std::chrono::duration<double>(Clock::now() - start).count());
+    const Snapshot to = takeSnapshot(deployment, scenario.agentVm, scenario.linkedVms);
+    printRow(
+        scenario.what, scenario.size, state, from, to, std::chrono::duration<double>(Clock::now() - start).count());
 }
 
-void measureStates(Deployment& deployment, const Scene& scene, int seconds)
+void measureStates(Deployment& deployment, const Scenario& scenario, int seconds)
 {
-    measure(deployment, scene, "idle, no links", seconds, false);
-    measure(deployment, scene, "trickle", seconds, true);
-    measure(deployment, scene, "idle, links up", seconds, false);
+    measure(deployment, scenario, "idle, no links", seconds, false);
+    measure(deployment, scenario, "trickle", seconds, true);
+    measure(deployment, scenario, "idle, links up", seconds, false);
 }
 
 void callService(Deployment& deployment, const std::string& router, const std::string& service)
@@ -128,7 +131,7 @@
     const HttpAnswer answer
         = call(serviceCall(deployment.router(router).callers(), service, "x", { { "X-Lagoon-Timeout-Ms", "5000" } }));
     if (answer.status != 200)
-        throw std::runtime_error("service: " + std::to_string(answer.status) + " " + answer.body);
+        throw std::runtime_error("service call failed: " + std::to_string(answer.status) + " " + answer.body);
 }
 
 void callModel(Deployment& deployment, const std::string& router, const std::string& model)
@@ -136,15 +139,15 @@
     const HttpAnswer answer
         = call(completionCall(deployment.router(router).callers(), model, "a b", { .timeoutMs = 10000 }));
     if (answer.status != 200)
-        throw std::runtime_error("completion: " + std::to_string(answer.status) + " " + answer.body);
+        throw std::runtime_error("completion failed: " + std::to_string(answer.status) + " " + answer.body);
 }
 
-/// Each agent has a pool and a service of its own, so that the trickle reaches every one.
+/// Each agent has its own pool and service, so that each round of the trickle reaches every agent.
 void measureAgents(int agents, int seconds)
 {
     Deployment deployment;
     BundleBuilder bundle(1);
-    Scene scene { "agents", agents, serviceVm(1), {}, {} };
+    Scenario scenario { "agents", agents, serviceVm(1), {}, {} };
     for (int number = 1; number <= agents; ++number) {
         UpstreamOptions options;
         options.kind = UpstreamKind::Service;
@@ -152,16 +155,16 @@
         options.hasLinkProxy = true;
         deployment.addUpstream(serviceVm(number), options);
         bundle.servicePool(options.pool, "old").service("service-" + std::to_string(number), { options.pool });
-        scene.linked.push_back(serviceVm(number));
+        scenario.linkedVms.push_back(serviceVm(number));
     }
     deployment.addRouter(routerVm);
     deployment.rollOut(bundle.text());
     deployment.waitUntilReady();
-    scene.trickle = [&] {
+    scenario.trickle = [&] {
         for (int number = 1; number <= agents; ++number)
             callService(deployment, routerVm, "service-" + std::to_string(number));
     };
-    measureStates(deployment, scene, seconds);
+    measureStates(deployment, scenario, seconds);
 }
 
 void addEngine(Deployment& deployment)
@@ -183,11 +186,11 @@
                            .model("m", 100, { "engines" }, { { "old", 1 } })
                            .text());
     deployment.waitUntilReady();
-    const Scene scene { "routers", routers, engineVm, { engineVm }, [&] {
-                           for (int number = 1; number <= routers; ++number)
-                               callModel(deployment, "entry-" + std::to_string(number), "m");
-                       } };
-    measureStates(deployment, scene, seconds);
+    const Scenario scenario { "routers", routers, engineVm, { engineVm }, [&] {
+                                 for (int number = 1; number <= routers; ++number)
+                                     callModel(deployment, "entry-" + std::to_string(number), "m");
+                             } };
+    measureStates(deployment, scenario, seconds);
 }
 
 void measureModels(int models, int adapters, int seconds)
@@ -205,12 +208,13 @@
     }
     deployment.rollOut(bundle.text());
     deployment.waitUntilReady();
-    const Scene scene { "models", models, engineVm, { engineVm },
+    const Scenario scenario { "models", models, engineVm, { engineVm },
         [&] { callModel(deployment, routerVm, "model-of-a-usual-length-0"); } };
-    measureStates(deployment, scene, seconds);
+    measureStates(deployment, scenario, seconds);
 }
 
-/// Processor time per call, in a row of calls on connections of their own.
+/// Prints the mean processor time and link bytes per call over `calls` sequential calls, each on its own connection. A
+/// first call, which isn't measured, opens the link and loads the model.
 void measurePerRequest(Deployment& deployment, const std::string& what, const std::string& agentVm, int calls,
     const std::function<void()>& callOnce)
 {
@@ -252,10 +256,11 @@
         = completionCall(deployment.router(routerVm).callers(), "m", "a prompt", { .isStream = true, .maxTokens = 50 });
     measurePerRequest(deployment, "stream of 50 tokens", engineVm, streams, [&] {
         if (call(stream).status != 200)
-            throw std::runtime_error("no stream");
+            throw std::runtime_error("stream of 50 tokens failed");
     });
 }
 
+/// Prints the router's memory per request that waits for a model whose load takes 10 s longer than usual.
 void measureWaiting(int requests)
 {
     Deployment deployment;
@@ -270,12 +275,12 @@
     setFaults(engine, R"({"slow_load_ms": 10000})");
     const double before = usageOf(deployment.router(routerVm).process->pid()).residentMib;
     OpenLoop calls;
-    const HttpCall patient
+    const HttpCall waitingCall
         = completionCall(deployment.router(routerVm).callers(), "m", "a prompt", { .timeoutMs = 30000 });
     for (int number = 0; number < requests; ++number)
-        calls.begin(patient);
+        calls.begin(waitingCall);
     const std::string ops = deployment.router(routerVm).ops();
-    waitFor("all wait", [&] { return metricAt(ops, "lagoon_requests_waiting") >= requests; });
+    waitFor("all requests wait for the model", [&] { return metricAt(ops, "lagoon_requests_waiting") >= requests; });
     const double waiting = usageOf(deployment.router(routerVm).process->pid()).residentMib;
     const auto answers = calls.finish();
     const auto served
