--- a/src/policy/benchmarks/loadsimulation.cpp
+++ b/src/policy/benchmarks/loadsimulation.cpp
@@ -43,12 +43,12 @@
     return values[static_cast<std::size_t>(std::max(1.0, rank)) - 1];
 }
 
-bundle::PolicyParameters storeNumbers(const Deployment& deployment)
+bundle::PolicyParameters storeParameters(const Deployment& deployment)
 {
-    bundle::PolicyParameters numbers;
-    numbers.weightLoadsPerSecond = deployment.storeLoadsPerSecond;
-    numbers.weightLoadsAtFullSpeed = deployment.storeFullSpeedLoads;
-    return numbers;
+    bundle::PolicyParameters parameters;
+    parameters.weightLoadsPerSecond = deployment.storeLoadsPerSecond;
+    parameters.weightLoadsAtFullSpeed = deployment.storeFullSpeedLoads;
+    return parameters;
 }
 
 } // namespace
@@ -88,7 +88,7 @@
 {
     const auto routers = static_cast<std::uint32_t>(homes_.size());
     for (std::uint32_t rank = 0; rank < routers; ++rank) {
-        homes_[rank].share = std::make_unique<WeightStoreShare>(storeNumbers(deployment), policySet.mayBorrow);
+        homes_[rank].share = std::make_unique<WeightStoreShare>(storeParameters(deployment), policySet.mayBorrow);
         homes_[rank].share->setLiveRouters(routers, rank);
     }
     for (std::size_t index = 0; index < servers_.size(); ++index) {
--- a/src/policy/benchmarks/policybenchmark.cpp
+++ b/src/policy/benchmarks/policybenchmark.cpp
@@ -19,7 +19,7 @@
 using Hours = std::chrono::hours;
 using Minutes = std::chrono::minutes;
 
-lagoon::bundle::PolicyParameters numbers(const Deployment& deployment)
+lagoon::bundle::PolicyParameters parameters(const Deployment& deployment)
 {
     lagoon::bundle::PolicyParameters made;
     made.coldStartWeight = deployment.coldStartWeight;
@@ -28,9 +28,9 @@
 
 PolicySet lagoonPolicies()
 {
-    return { "lagoon", [](const Deployment& deployment) { return policy::makeLoadPlacement(numbers(deployment)); },
-        [](const Deployment& deployment) { return policy::makeKeepWarm(numbers(deployment)); },
-        [](const Deployment& deployment) { return policy::makeLoadOrder(numbers(deployment)); }, true, false };
+    return { "lagoon", [](const Deployment& deployment) { return policy::makeLoadPlacement(parameters(deployment)); },
+        [](const Deployment& deployment) { return policy::makeKeepWarm(parameters(deployment)); },
+        [](const Deployment& deployment) { return policy::makeLoadOrder(parameters(deployment)); }, true, false };
 }
 
 PolicySet fixedTimeout(const std::string& name, lagoon::framework::Milliseconds timeout)
--- a/src/policy/internal/policysetup.cpp
+++ b/src/policy/internal/policysetup.cpp
@@ -17,9 +17,9 @@
     return std::make_unique<BoundedLoadReplicaChoice>(seed);
 }
 
-std::unique_ptr<IKeepWarm> makeKeepWarm(const bundle::PolicyParameters& numbers)
+std::unique_ptr<IKeepWarm> makeKeepWarm(const bundle::PolicyParameters& parameters)
 {
-    return std::make_unique<SkiRentalKeepWarm>(numbers.coldStartWeight);
+    return std::make_unique<SkiRentalKeepWarm>(parameters.coldStartWeight);
 }
 
 std::unique_ptr<ILoadOrder> makeLoadOrder(const bundle::PolicyParameters&)
--- a/src/policy/internal/weightstoreshare.cpp
+++ b/src/policy/internal/weightstoreshare.cpp
@@ -13,13 +13,13 @@
 
 } // namespace
 
-WeightStoreShare::WeightStoreShare(const bundle::PolicyParameters& numbers, bool mayBorrow)
-    : numbers_(numbers)
+WeightStoreShare::WeightStoreShare(const bundle::PolicyParameters& parameters, bool mayBorrow)
+    : parameters_(parameters)
     , mayBorrow_(mayBorrow)
 {
 }
 
-void WeightStoreShare::setLimits(const bundle::PolicyParameters& numbers) { numbers_ = numbers; }
+void WeightStoreShare::setLimits(const bundle::PolicyParameters& parameters) { parameters_ = parameters; }
 
 void WeightStoreShare::setLiveRouters(std::uint32_t count, std::uint32_t rank)
 {
@@ -34,7 +34,7 @@
     if (!mayBorrow_ || now < waitingSince + waitBeforeBorrowing || !borrowingPausedUntil_.hasPassed(now))
         return false;
     // Borrowing is limited to the number of loads that the store admits in one second.
-    return running_ < numbers_.weightLoadsAtFullSpeed && tokens(now) > -numbers_.weightLoadsPerSecond;
+    return running_ < parameters_.weightLoadsAtFullSpeed && tokens(now) > -parameters_.weightLoadsPerSecond;
 }
 
 void WeightStoreShare::start(framework::SteadyTime now)
@@ -57,12 +57,12 @@
 
 std::uint32_t WeightStoreShare::slots() const
 {
-    const std::uint32_t total = numbers_.weightLoadsAtFullSpeed;
+    const std::uint32_t total = parameters_.weightLoadsAtFullSpeed;
     const std::uint32_t remainder = rank_ < total % routers_ ? 1 : 0;
     return std::max(1U, total / routers_ + remainder);
 }
 
-double WeightStoreShare::loadsPerSecond() const { return numbers_.weightLoadsPerSecond / routers_; }
+double WeightStoreShare::loadsPerSecond() const { return parameters_.weightLoadsPerSecond / routers_; }
 
 double WeightStoreShare::tokens(framework::SteadyTime now) const
 {
--- a/src/policy/tests/keepwarm_test.cpp
+++ b/src/policy/tests/keepwarm_test.cpp
@@ -33,9 +33,9 @@
 
 std::unique_ptr<policy::IKeepWarm> keepWarm(double weight = 10)
 {
-    bundle::PolicyParameters numbers;
-    numbers.coldStartWeight = weight;
-    return policy::makeKeepWarm(numbers);
+    bundle::PolicyParameters parameters;
+    parameters.coldStartWeight = weight;
+    return policy::makeKeepWarm(parameters);
 }
 
 framework::Milliseconds kept(const LoadedReplica& idle, double weight = 10)
--- a/src/policy/tests/weightstoreshare_test.cpp
+++ b/src/policy/tests/weightstoreshare_test.cpp
@@ -10,7 +10,7 @@
 
 const framework::SteadyTime start = framework::SteadyTime() + 1h;
 
-bundle::PolicyParameters numbers(double rate, std::uint32_t slots)
+bundle::PolicyParameters parameters(double rate, std::uint32_t slots)
 {
     bundle::PolicyParameters made;
     made.weightLoadsPerSecond = rate;
@@ -42,7 +42,7 @@
 {
     int started = 0;
     for (int router = 0; router < 3; ++router) {
-        WeightStoreShare share(numbers(1.5, 4), false);
+        WeightStoreShare share(parameters(1.5, 4), false);
         share.setLiveRouters(3, static_cast<std::uint32_t>(router));
         started += startedWithin(share, 60s, true);
     }
@@ -54,7 +54,7 @@
     for (const std::uint32_t routers : { 1U, 2U, 3U, 4U }) {
         int started = 0;
         for (std::uint32_t router = 0; router < routers; ++router) {
-            WeightStoreShare share(numbers(100, 4), false);
+            WeightStoreShare share(parameters(100, 4), false);
             share.setLiveRouters(routers, router);
             started += startedWithin(share, 10s, false);
         }
@@ -64,7 +64,7 @@
 
 BOOST_AUTO_TEST_CASE(aBorrowingHomeUsesTheSlotsThatOthersLeaveFree)
 {
-    WeightStoreShare share(numbers(4, 4), true);
+    WeightStoreShare share(parameters(4, 4), true);
     share.setLiveRouters(3, 0);
     BOOST_TEST(startedWithin(share, 10s, false) == 4);
 }
@@ -73,7 +73,7 @@
 // they continued to borrow, each refused load would be retried and be refused again.
 BOOST_AUTO_TEST_CASE(borrowingPausesAfterARefusal)
 {
-    WeightStoreShare share(numbers(4, 4), true);
+    WeightStoreShare share(parameters(4, 4), true);
     share.setLiveRouters(4, 0);
     share.recordRefusal(start);
     BOOST_TEST(startedWithin(share, 9s, false) == 1);
@@ -81,7 +81,7 @@
 
 BOOST_AUTO_TEST_CASE(aRouterAmongHundredsCanStillLoad)
 {
-    WeightStoreShare share(numbers(4, 4));
+    WeightStoreShare share(parameters(4, 4));
     share.setLiveRouters(370, 0);
     BOOST_CHECK(share.mayStart(start, start));
     BOOST_TEST(share.slots() == 1U);
--- a/src/policy/weightstoreshare.h
+++ b/src/policy/weightstoreshare.h
@@ -42,7 +42,7 @@
 private:
     double tokens(framework::SteadyTime now) const;
 
-    bundle::PolicyParameters numbers_;
+    bundle::PolicyParameters parameters_;
     bool mayBorrow_;
     std::uint32_t routers_ = 1;
     std::uint32_t rank_ = 0;
--- a/src/router/internal/router.cpp
+++ b/src/router/internal/router.cpp
@@ -193,11 +193,11 @@
     return bundle ? bundle->version : BundleVersion();
 }
 
-void Router::Implementation::setPolicies(const bundle::PolicyParameters& numbers)
+void Router::Implementation::setPolicies(const bundle::PolicyParameters& parameters)
 {
-    gate_.setPolicy(numbers, policy::makeLoadOrder(numbers));
-    home_.setLoadPlacement(policy::makeLoadPlacement(numbers));
-    dispatcher_.setReplicaChoice(policy::makeReplicaChoice(numbers));
+    gate_.setPolicy(parameters, policy::makeLoadOrder(parameters));
+    home_.setLoadPlacement(policy::makeLoadPlacement(parameters));
+    dispatcher_.setReplicaChoice(policy::makeReplicaChoice(parameters));
 }
 
 void Router::Implementation::handleVmList(const objectstore::VmEntries& vms)
--- a/src/router/tests/dispatcher_test.cpp
+++ b/src/router/tests/dispatcher_test.cpp
@@ -384,9 +384,9 @@
 // must receive the earlier forecast.
 BOOST_AUTO_TEST_CASE(aLaterWakeRaisesThePriorityOfAQueuedLoad)
 {
-    bundle::PolicyParameters numbers;
-    numbers.weightLoadsAtFullSpeed = 1;
-    gate_.setPolicy(numbers, policy::makeLoadOrder(numbers));
+    bundle::PolicyParameters parameters;
+    parameters.weightLoadsAtFullSpeed = 1;
+    gate_.setPolicy(parameters, policy::makeLoadOrder(parameters));
     const framework::SiteName site = directory_.find(framework::VmName("entry-1"))->site;
     const framework::Deadline deadline = framework::Deadline::after(control_.now(), longTimeout);
     for (const char* name : { "running", "queued" }) {
--- a/src/router/tests/loadgate_test.cpp
+++ b/src/router/tests/loadgate_test.cpp
@@ -22,10 +22,10 @@
 public:
     GateFixture()
     {
-        bundle::PolicyParameters numbers;
-        numbers.weightLoadsPerSecond = 10;
-        numbers.weightLoadsAtFullSpeed = 1;
-        gate_.setPolicy(numbers, policy::makeLoadOrder(numbers));
+        bundle::PolicyParameters parameters;
+        parameters.weightLoadsPerSecond = 10;
+        parameters.weightLoadsAtFullSpeed = 1;
+        gate_.setPolicy(parameters, policy::makeLoadOrder(parameters));
         gate_.setHomes(1, 0);
         enqueue(load("running"));
     }
