--- a/src/forwarding/outlierdetector.h
+++ b/src/forwarding/outlierdetector.h
@@ -13,7 +13,7 @@
     void didServe();
     void didFail(framework::SteadyTime now);
     bool isSuspect(framework::SteadyTime now) const { return !ejectedUntil_.hasPassed(now); }
-    std::uint32_t failuresInARow() const { return failures_; }
+    std::uint32_t consecutiveFailures() const { return failures_; }
 
 private:
     std::uint32_t failures_ = 0;
