--- a/src/forwarding/internal/upstreamattempt.cpp
+++ b/src/forwarding/internal/upstreamattempt.cpp
@@ -31,7 +31,7 @@
     connection_->abandon();
 }
 
-bool UpstreamAttempt::passesEvents(const RequestJob& job) const
+bool UpstreamAttempt::relaysEvents(const RequestJob& job) const
 {
     return answerClass_ == AnswerClass::Served && job.spec().route->kind == catalog::RouteKind::Streaming;
 }
@@ -58,7 +58,7 @@
         return false;
     }
     head_ = head;
-    if (passesEvents(*job))
+    if (relaysEvents(*job))
         job->didBeginStream(head);
     return true;
 }
@@ -69,7 +69,7 @@
     if (!job)
         return;
     job->didSeeActivity(guard_->upstream());
-    if (passesEvents(*job))
+    if (relaysEvents(*job))
         return job->didReceiveEvents(piece);
     body_.append(piece);
     if (body_.size() <= maxAnswerBytes)
@@ -86,7 +86,7 @@
     switch (answerClass_) {
     case AnswerClass::Served:
         guard_->upstream().outlierDetector.didServe();
-        return passesEvents(*job) ? job->didEndStream() : job->didAnswer(head_, std::move(body_));
+        return relaysEvents(*job) ? job->didEndStream() : job->didAnswer(head_, std::move(body_));
     case AnswerClass::Failed:
         return job->didFailAtServer(head_, std::move(body_));
     case AnswerClass::NotRun:
--- a/src/forwarding/internal/upstreamattempt.h
+++ b/src/forwarding/internal/upstreamattempt.h
@@ -31,7 +31,7 @@
     void didFail(const http::ClientFailure&) override;
 
 private:
-    bool passesEvents(const RequestJob&) const;
+    bool relaysEvents(const RequestJob&) const;
 
     std::weak_ptr<RequestJob> job_;
     const IRequestDialect& dialect_;
