--- a/src/engines/internal/placementplanner.cpp
+++ b/src/engines/internal/placementplanner.cpp
@@ -133,11 +133,11 @@
     decision.order = adapterOrder(input);
     if (decision.order)
         decision.reason = "requests wait for adapter";
-    Milliseconds soFar = untilFree(input);
+    Milliseconds plannedTime = untilFree(input);
     if (!loading_.value().empty())
-        decision.expected.push_back({ loading_, soFar });
+        decision.expected.push_back({ loading_, plannedTime });
     for (const TargetDemand& demand : missingModels(input))
-        planModel(input, demand, decision, soFar);
+        planModel(input, demand, decision, plannedTime);
     if (!unloading_.value().empty())
         decision.draining.push_back(unloading_);
     drains_.noteDraining(decision.draining, uses, input.now);
@@ -264,7 +264,7 @@
 }
 
 void PlacementPlanner::planModel(
-    const PlacementInput& input, const TargetDemand& demand, PlacementDecision& decision, Milliseconds& soFar)
+    const PlacementInput& input, const TargetDemand& demand, PlacementDecision& decision, Milliseconds& plannedTime)
 {
     const ModelName& model = demand.target.model;
     const auto victims = victimsFor(input, demand);
@@ -273,9 +273,9 @@
         return;
     }
     const bool isFirst = !decision.order && !input.report.isBusy && decision.draining.empty();
-    soFar += catalog::loadTime(*input.profile.find(model), input.report.cachedWeights) + unloadTime * victims->size()
-        + drains_.expected(*victims, usesIn(input), input.now);
-    decision.expected.push_back({ model, soFar });
+    plannedTime += catalog::loadTime(*input.profile.find(model), input.report.cachedWeights)
+        + unloadTime * victims->size() + drains_.expected(*victims, usesIn(input), input.now);
+    decision.expected.push_back({ model, plannedTime });
     if (!isFirst)
         return;
     decision.reason = (demand.waiting > 0         ? "requests waiting: " + std::to_string(demand.waiting)
--- a/src/engines/placementplanner.h
+++ b/src/engines/placementplanner.h
@@ -77,7 +77,7 @@
     double retentionValue(const PlacementInput&, const framework::ModelName&) const;
     framework::Milliseconds untilFree(const PlacementInput&) const;
     void planModel(
-        const PlacementInput&, const catalog::TargetDemand&, PlacementDecision&, framework::Milliseconds& soFar);
+        const PlacementInput&, const catalog::TargetDemand&, PlacementDecision&, framework::Milliseconds& plannedTime);
 
     std::unique_ptr<policy::ILoadOrder> loadOrder_;
     std::map<catalog::ModelTarget, Use> uses_;
