--- a/src/direct/internal/agentlinks.cpp
+++ b/src/direct/internal/agentlinks.cpp
@@ -201,10 +201,10 @@
     const wire::fb::EngineStateT* const state = message.body.AsEngineState();
     if (!state)
         return;
-    catalog::EngineState heard = fromWire(*state);
+    catalog::EngineState received = fromWire(*state);
     // The link determines the engine, regardless of the endpoint in the frame.
-    heard.engine = engine;
-    context_.didReceiveState(std::move(heard));
+    received.engine = engine;
+    context_.didReceiveState(std::move(received));
 }
 
 void AgentLinks::didClose(
--- a/src/direct/internal/catalogwatcher.cpp
+++ b/src/direct/internal/catalogwatcher.cpp
@@ -19,7 +19,7 @@
 const std::string configurationName = "main";
 /// After each read of the servers' entries the next one is delayed by the leaving notice divided by this. Engines
 /// update their entries at each load and unload, and one call reads several updates.
-constexpr int noticeDivisor = 5;
+constexpr int leavingNoticeDivisor = 5;
 /// A watch lasts for the outage notice divided by this, so that one with a dead connection ends well within the notice.
 constexpr int outageNoticeDivisor = 2;
 /// Duration of a watch of the configuration, for which no notice is set.
@@ -68,7 +68,7 @@
     MirrorSettings settings;
     settings.kind = "servers";
     settings.watchWait = outageNotice / outageNoticeDivisor;
-    settings.pauseAfterChange = leavingNotice / noticeDivisor;
+    settings.pauseAfterChange = leavingNotice / leavingNoticeDivisor;
     settings.outageNotice = outageNotice;
     return settings;
 }
--- a/src/direct/internal/routerlinks.cpp
+++ b/src/direct/internal/routerlinks.cpp
@@ -42,8 +42,8 @@
     router->second = { framework::VmName(demand->router), now };
     if (isNew) {
         logDecision(LogLine("router_heard").text("router", demand->router));
-        if (last_)
-            link->send(toWire(*last_));
+        if (lastState_)
+            link->send(toWire(*lastState_));
     }
     context_.didReceiveDemand(router->second.name, catalog::InstanceId(demand->instance), fromWire(*demand, now));
 }
@@ -69,13 +69,13 @@
 
 void RouterLinks::publish(const catalog::EngineState& state)
 {
-    last_ = state;
+    lastState_ = state;
     sendToAll(toWire(state));
 }
 
 void RouterLinks::publishLoad(const catalog::EngineLoad& load)
 {
-    if (last_ && catalog::applyLoad(*last_, load))
+    if (lastState_ && catalog::applyLoad(*lastState_, load))
         sendToAll(toWire(load));
 }
 
--- a/src/direct/internal/routerlinks.h
+++ b/src/direct/internal/routerlinks.h
@@ -48,7 +48,7 @@
 
     Context context_;
     std::map<std::shared_ptr<wire::ILink>, Router> routers_;
-    std::optional<catalog::EngineState> last_;
+    std::optional<catalog::EngineState> lastState_;
     std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
