--- a/src/policy/benchmarks/loadsimulation.cpp
+++ b/src/policy/benchmarks/loadsimulation.cpp
@@ -20,7 +20,7 @@
 
 constexpr Milliseconds startRetryInterval { 200 };
 constexpr Milliseconds reviewInterval { 1000 };
-constexpr Milliseconds wakeTime { 5 };
+constexpr Milliseconds wakeDelay { 5 };
 constexpr Milliseconds minAnswerTime { 1000 };
 constexpr std::size_t maxRecentUses = 8;
 
@@ -174,7 +174,7 @@
     demand.pending.waiters += 1;
     demand.pending.earliestDeadline = std::min(demand.pending.earliestDeadline, request.deadline);
     demand.pending.priority = std::max(demand.pending.priority, request.priority);
-    scheduleLoadStarts(homeOf(request.target), wakeTime);
+    scheduleLoadStarts(homeOf(request.target), wakeDelay);
     // The load starts for a hopeless request too: its caller finds the model warm when it retries.
     if (policySet_.refusesHopeless && isHopeless(home, demand, request.target, request)) {
         refuse(request, outcome_.hopeless);
@@ -447,10 +447,10 @@
         homes_[homeOf(target)].share->end();
         events_.at(now() + afterTransfer_.at(target), [this, target] { endLoad(target); });
     }
-    const std::uint64_t plan = ++storeUpdateNumber_;
+    const std::uint64_t update = ++storeUpdateNumber_;
     if (const auto next = store_.nextEnd()) {
-        events_.at(*next, [this, plan] {
-            if (plan == storeUpdateNumber_)
+        events_.at(*next, [this, update] {
+            if (update == storeUpdateNumber_)
                 updateStore();
         });
     }
--- a/src/policy/benchmarks/overloadbenchmark.cpp
+++ b/src/policy/benchmarks/overloadbenchmark.cpp
@@ -57,11 +57,11 @@
 void printRow(const OverloadPolicySet& policySet, const OverloadCase& overload, std::uint64_t seed)
 {
     const OverloadOutcome outcome = OverloadSimulation(overload, policySet, seed).run();
-    const double high = static_cast<double>(std::max<std::size_t>(1, outcome.high));
+    const double high = static_cast<double>(std::max<std::size_t>(1, outcome.highPriorityRequests));
     std::printf("%-21s %5.1f %4zu %7zu %9.1f %6.1f %8zu %8zu %8zu %7.2f %7.2f %8.2f\n", policySet.name.c_str(),
         overload.load, overload.slowUpstreams, outcome.requests,
         static_cast<double>(outcome.answered) / overload.seconds,
-        100 * static_cast<double>(outcome.highAnswered) / high, outcome.refusedAtOnce, outcome.refusedLate,
+        100 * static_cast<double>(outcome.highPriorityAnswered) / high, outcome.refusedAtOnce, outcome.refusedLate,
         outcome.retries, percentile(outcome.latencies, 50), percentile(outcome.latencies, 99),
         percentile(outcome.refusalSeconds, 99));
 }
--- a/src/policy/benchmarks/overloadsimulation.cpp
+++ b/src/policy/benchmarks/overloadsimulation.cpp
@@ -16,7 +16,7 @@
 using Seconds = std::chrono::duration<double>;
 
 constexpr std::uint32_t maxAttempts = 3;
-constexpr double highShare = 0.1;
+constexpr double highPriorityShare = 0.1;
 constexpr std::uint8_t highPriority = 9;
 constexpr double newWeight = 0.2;
 constexpr double atOnceShare = 0.1;
@@ -68,12 +68,12 @@
     auto request = std::make_shared<Request>();
     request->at = now();
     request->deadline = Deadline(now() + ticks(case_.deadlineSeconds));
-    request->priority = draw() < highShare ? highPriority : request->priority;
+    request->priority = draw() < highPriorityShare ? highPriority : request->priority;
     request->router = random_() % routers_.size();
     // Half of the requests share the beginning of their prompt with others.
     request->prefix = draw() < 0.5 ? 1 + random_() % prefixes : 0;
     ++outcome_.requests;
-    outcome_.high += request->priority == highPriority ? 1 : 0;
+    outcome_.highPriorityRequests += request->priority == highPriority ? 1 : 0;
     routers_[request->router].budget.earn();
     send(request);
     events_.at(request->deadline.at(), [this, request] {
@@ -170,7 +170,7 @@
         return;
     request->isFinished = true;
     ++outcome_.answered;
-    outcome_.highAnswered += request->priority == highPriority ? 1 : 0;
+    outcome_.highPriorityAnswered += request->priority == highPriority ? 1 : 0;
     outcome_.latencies.push_back(seconds);
 }
 
--- a/src/policy/benchmarks/overloadsimulation.h
+++ b/src/policy/benchmarks/overloadsimulation.h
@@ -41,8 +41,8 @@
 
 struct OverloadOutcome {
     std::size_t requests = 0;
-    std::size_t high = 0;
-    std::size_t highAnswered = 0;
+    std::size_t highPriorityRequests = 0;
+    std::size_t highPriorityAnswered = 0;
     std::size_t answered = 0;
     std::size_t refusedAtOnce = 0;
     /// Requests that were refused after a tenth of their deadline or more, or when the deadline had passed.
--- a/src/policy/benchmarks/policybenchmark.cpp
+++ b/src/policy/benchmarks/policybenchmark.cpp
@@ -56,18 +56,18 @@
         fixedTimeout("never-unload", Hours(1000)) };
     if (!hasParts)
         return all;
-    using Change = PolicySet;
+    using Policies = PolicySet;
     all.push_back(withReplacedPart(
-        "in-turn placement", [](Change& made, const PolicySet& other) { made.placement = other.placement; }));
+        "in-turn placement", [](Policies& made, const PolicySet& other) { made.placement = other.placement; }));
     all.push_back(withReplacedPart(
-        "fixed-30min keep", [](Change& made, const PolicySet& other) { made.keepWarm = other.keepWarm; }));
+        "fixed-30min keep", [](Policies& made, const PolicySet& other) { made.keepWarm = other.keepWarm; }));
     all.push_back(withReplacedPart("fixed-5min keep",
-        [](Change& made, const PolicySet&) { made.keepWarm = fixedTimeout("", Minutes(5)).keepWarm; }));
+        [](Policies& made, const PolicySet&) { made.keepWarm = fixedTimeout("", Minutes(5)).keepWarm; }));
     all.push_back(
-        withReplacedPart("arrival order", [](Change& made, const PolicySet& other) { made.order = other.order; }));
+        withReplacedPart("arrival order", [](Policies& made, const PolicySet& other) { made.order = other.order; }));
     all.push_back(
-        withReplacedPart("no hopelessness", [](Change& made, const PolicySet&) { made.refusesHopeless = false; }));
-    all.push_back(withReplacedPart("with borrowing", [](Change& made, const PolicySet&) { made.mayBorrow = true; }));
+        withReplacedPart("no hopelessness", [](Policies& made, const PolicySet&) { made.refusesHopeless = false; }));
+    all.push_back(withReplacedPart("with borrowing", [](Policies& made, const PolicySet&) { made.mayBorrow = true; }));
     return all;
 }
 
