--- a/src/direct/tests/catalogwatcher_test.cpp
+++ b/src/direct/tests/catalogwatcher_test.cpp
@@ -85,7 +85,7 @@
 
 struct Fixture {
     Fixture()
-        : watch({ control, control, configurations, servers, decoder, Milliseconds(2000), Milliseconds(3000),
+        : watcher({ control, control, configurations, servers, decoder, Milliseconds(2000), Milliseconds(3000),
             [](const catalog::ConfigurationPointer&) {},
             [this](const std::vector<Upstream>& list) { published.push_back(list); }, [](framework::SteadyTime) {} })
     {
@@ -116,7 +116,7 @@
     void start()
     {
         isStarted = true;
-        watch.start();
+        watcher.start();
         settle();
     }
 
@@ -153,7 +153,7 @@
     std::vector<std::vector<Upstream>> published;
     std::uint64_t version = 0;
     bool isStarted = false;
-    CatalogWatcher watch;
+    CatalogWatcher watcher;
 };
 
 } // namespace
@@ -209,9 +209,9 @@
 {
     write("i-1", server("10.0.0.1:80", 200));
     start();
-    Upstream leaving = server("10.0.0.1:80", 100);
-    leaving.state = catalog::UpstreamState::Draining;
-    write("i-1", leaving);
+    Upstream draining = server("10.0.0.1:80", 100);
+    draining.state = catalog::UpstreamState::Draining;
+    write("i-1", draining);
     BOOST_REQUIRE(find("i-1"));
     BOOST_TEST((find("i-1")->state == catalog::UpstreamState::Draining));
     BOOST_TEST(find("i-1")->started->value() == 200U);
--- a/src/engines/tests/placementplanner_test.cpp
+++ b/src/engines/tests/placementplanner_test.cpp
@@ -54,7 +54,7 @@
         made.priority = 5;
     }
 
-    PlacementDecision decide() { return plan.decide({ profile, report, demand, now }); }
+    PlacementDecision decide() { return planner.decide({ profile, report, demand, now }); }
 
     /// Decides after the models' minimum residence has passed.
     PlacementDecision decideLater()
@@ -68,7 +68,7 @@
     EngineReport report;
     std::map<ModelTarget, TargetDemand> demand;
     SteadyTime now { std::chrono::hours(1) };
-    PlacementPlanner plan { policy::makeLoadOrder({}) };
+    PlacementPlanner planner { policy::makeLoadOrder({}) };
 };
 
 const Order loadA { OrderKind::Load, target("a") };
@@ -178,14 +178,14 @@
 BOOST_AUTO_TEST_CASE(noOrderIsGivenWhileAnotherIsInProgress)
 {
     addWaiting(target("a"));
-    plan.didOrder(loadA, { profile, report, demand, now });
+    planner.didOrder(loadA, { profile, report, demand, now });
     report.isBusy = true;
     addWaiting(target("b"));
     now += Milliseconds(1000);
     const PlacementDecision decision = decide();
     BOOST_TEST(!decision.order);
-    BOOST_TEST(plan.loading() == ModelName("a"));
-    BOOST_TEST(plan.loadsFromStore());
+    BOOST_TEST(planner.loading() == ModelName("a"));
+    BOOST_TEST(planner.loadsFromStore());
     BOOST_TEST(decision.expected.at(0).within.count() == 5000);
     BOOST_TEST(decision.expected.at(1).within.count() == 11000);
 }
@@ -193,7 +193,7 @@
 BOOST_AUTO_TEST_CASE(anOverdueLoadIsExpectedToTakeAsLongAgainAsItIsOverdue)
 {
     addWaiting(target("a"));
-    plan.didOrder(loadA, { profile, report, demand, now });
+    planner.didOrder(loadA, { profile, report, demand, now });
     report.isBusy = true;
     now += Milliseconds(8000);
     BOOST_TEST(decide().expected.front().within.count() == 2000);
@@ -236,7 +236,7 @@
 
 BOOST_AUTO_TEST_CASE(demandThatARouterWithdrawsIsRemoved)
 {
-    DemandTable book;
+    DemandTable table;
     TargetDemand one;
     one.target = target("a");
     one.waiting = 2;
@@ -244,19 +244,19 @@
     TargetDemand other = one;
     other.waiting = 1;
     other.earliest = Deadline::after(now, Milliseconds(3000));
-    book.set(framework::VmName("r1"), { one }, now);
-    book.set(framework::VmName("r2"), { other }, now);
-    book.set(framework::VmName("r1"), {}, now);
-    BOOST_TEST(book.merged().at(target("a")).waiting == 1u);
-    BOOST_TEST((book.merged().at(target("a")).earliest == other.earliest));
-    book.forget(framework::VmName("r2"));
-    BOOST_TEST(book.merged().empty());
-    BOOST_TEST(book.routers() == 1u);
+    table.set(framework::VmName("r1"), { one }, now);
+    table.set(framework::VmName("r2"), { other }, now);
+    table.set(framework::VmName("r1"), {}, now);
+    BOOST_TEST(table.merged().at(target("a")).waiting == 1u);
+    BOOST_TEST((table.merged().at(target("a")).earliest == other.earliest));
+    table.forget(framework::VmName("r2"));
+    BOOST_TEST(table.merged().empty());
+    BOOST_TEST(table.routers() == 1u);
 }
 
 BOOST_AUTO_TEST_CASE(demandOfSeveralRoutersIsAddedUp)
 {
-    DemandTable book;
+    DemandTable table;
     TargetDemand one;
     one.target = target("a");
     one.waiting = 2;
@@ -267,19 +267,19 @@
     TargetDemand other = one;
     other.earliest = Deadline::after(now, Milliseconds(1000));
     other.isPrefetch = true;
-    book.set(framework::VmName("r1"), { one }, now);
-    book.set(framework::VmName("r2"), { other }, now);
-    const TargetDemand merged = book.merged().at(target("a"));
+    table.set(framework::VmName("r1"), { one }, now);
+    table.set(framework::VmName("r2"), { other }, now);
+    const TargetDemand merged = table.merged().at(target("a"));
     BOOST_TEST(merged.waiting == 4U);
     BOOST_TEST(merged.inFlight == 2U);
     BOOST_TEST(merged.work == 0.2, boost::test_tools::tolerance(0.001));
     BOOST_TEST(merged.holders == 2U);
     BOOST_TEST((merged.earliest == other.earliest));
     BOOST_TEST(merged.isPrefetch);
-    book.forgetSilentRouters(now + Milliseconds(3400));
-    BOOST_TEST(book.routers() == 2U);
-    book.forgetSilentRouters(now + Milliseconds(3600));
-    BOOST_TEST(book.routers() == 0U);
+    table.forgetSilentRouters(now + Milliseconds(3400));
+    BOOST_TEST(table.routers() == 2U);
+    table.forgetSilentRouters(now + Milliseconds(3600));
+    BOOST_TEST(table.routers() == 0U);
 }
 
 // Prevents a forecast that ignores observed drain times: two streams of a model that was to be evicted ran for another
@@ -330,12 +330,12 @@
     const PlacementDecision decision = decideLater();
     BOOST_REQUIRE(decision.order.has_value());
     BOOST_REQUIRE((decision.order->kind == OrderKind::Unload));
-    const ModelName dropped = decision.order->target.model;
-    plan.didOrder(*decision.order, { profile, report, demand, now });
+    const ModelName unloading = decision.order->target.model;
+    planner.didOrder(*decision.order, { profile, report, demand, now });
     report.isBusy = true;
-    BOOST_TEST((decide().draining == std::vector<ModelName> { dropped }));
+    BOOST_TEST((decide().draining == std::vector<ModelName> { unloading }));
     report.isBusy = false;
-    std::erase_if(report.held, [&](const catalog::LoadedModel& held) { return held.model == dropped; });
+    std::erase_if(report.held, [&](const catalog::LoadedModel& held) { return held.model == unloading; });
     BOOST_TEST(decide().draining.empty());
 }
 
--- a/src/forwarding/internal/demandplanner.cpp
+++ b/src/forwarding/internal/demandplanner.cpp
@@ -511,8 +511,8 @@
         if (expected && *expected < catalog::loadImpossible && (!lowest || *expected < *lowest))
             lowest = expected;
     }
-    const auto held = deferredLoads_.find(waiting.target.model);
-    return lowest || held == deferredLoads_.end() ? lowest : std::optional(held->second.remaining(now));
+    const auto deferred = deferredLoads_.find(waiting.target.model);
+    return lowest || deferred == deferredLoads_.end() ? lowest : std::optional(deferred->second.remaining(now));
 }
 
 } // namespace lagoon::forwarding
--- a/src/forwarding/tests/choices_test.cpp
+++ b/src/forwarding/tests/choices_test.cpp
@@ -53,15 +53,15 @@
 // the engine that has them cached is preferred up to a queue of that length, but no longer one.
 BOOST_AUTO_TEST_CASE(cachedPromptsAreWeighedAgainstTheQueue)
 {
-    EngineView keeps;
-    keeps.newTokens = 2890;
-    EngineView fresh;
-    fresh.newTokens = 9190;
-    fresh.affinityRank = 1;
-    keeps.ownTokensAhead = 5000;
-    BOOST_TEST(chooseEngine({ fresh, keeps })->index == 1U);
-    keeps.ownTokensAhead = 12000;
-    BOOST_TEST(chooseEngine({ fresh, keeps })->index == 0U);
+    EngineView cached;
+    cached.newTokens = 2890;
+    EngineView uncached;
+    uncached.newTokens = 9190;
+    uncached.affinityRank = 1;
+    cached.ownTokensAhead = 5000;
+    BOOST_TEST(chooseEngine({ uncached, cached })->index == 1U);
+    cached.ownTokensAhead = 12000;
+    BOOST_TEST(chooseEngine({ uncached, cached })->index == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(anEngineWithoutFreeMemoryIsChosenLast)
--- a/src/forwarding/tests/demandplanner_test.cpp
+++ b/src/forwarding/tests/demandplanner_test.cpp
@@ -154,9 +154,9 @@
 // free memory.
 BOOST_AUTO_TEST_CASE(anEngineThatIsUnloadingTheModelIsNotAskedToLoadIt)
 {
-    EngineState& left = engine("1", { "e" });
-    left.draining.push_back(ModelName("e"));
-    left.cachedWeights.memory.push_back(ModelName("e"));
+    EngineState& unloading = engine("1", { "e" });
+    unloading.draining.push_back(ModelName("e"));
+    unloading.cachedWeights.memory.push_back(ModelName("e"));
     engine("2", {}).cachedWeights.disk.push_back(ModelName("e"));
     wait("e");
     BOOST_TEST(asked("e") == std::vector<std::string> { "2" });
--- a/src/forwarding/tests/expectedretries_test.cpp
+++ b/src/forwarding/tests/expectedretries_test.cpp
@@ -27,17 +27,17 @@
     {
         for (const int at : milliseconds) {
             const SteadyTime moment = start + Milliseconds(at);
-            callers.didRefuse(service, oneCaller(moment), Deadline::after(moment, Milliseconds(4000)));
+            retries.didRefuse(service, oneCaller(moment), Deadline::after(moment, Milliseconds(4000)));
         }
     }
 
     std::uint32_t count() const
     {
-        const auto expected = callers.expected(service);
+        const auto expected = retries.expected(service);
         return expected.empty() ? 0 : expected.front().waiting;
     }
 
-    ExpectedRetries callers;
+    ExpectedRetries retries;
 };
 
 } // namespace
@@ -51,33 +51,33 @@
 {
     refuse({ 0, 100, 200 });
     BOOST_TEST(count() == 3u);
-    BOOST_TEST((callers.expected(service).front().since == start));
-    BOOST_TEST(callers.expected(ServiceName("others")).empty());
+    BOOST_TEST((retries.expected(service).front().since == start));
+    BOOST_TEST(retries.expected(ServiceName("others")).empty());
 }
 
 BOOST_AUTO_TEST_CASE(aCallerThatRetriesIsNoLongerExpected)
 {
     refuse({ 0, 100 });
-    callers.didArrive(service, model);
+    retries.didArrive(service, model);
     BOOST_TEST(count() == 1u);
-    callers.didArrive(service, model);
-    callers.didArrive(service, model);
+    retries.didArrive(service, model);
+    retries.didArrive(service, model);
     BOOST_TEST(count() == 0u);
 }
 
 BOOST_AUTO_TEST_CASE(aCallerPastItsDeadlineIsNoLongerExpected)
 {
     refuse({ 0, 1000 });
-    callers.dropExpired(start + Milliseconds(4500));
+    retries.dropExpired(start + Milliseconds(4500));
     BOOST_TEST(count() == 1u);
-    callers.dropExpired(start + Milliseconds(5000));
+    retries.dropExpired(start + Milliseconds(5000));
     BOOST_TEST(count() == 0u);
 }
 
 BOOST_AUTO_TEST_CASE(noRetriesAreExpectedOnceTheModelIsLoaded)
 {
     refuse({ 0, 100 });
-    callers.forget(service, model);
+    retries.forget(service, model);
     BOOST_TEST(count() == 0u);
 }
 
--- a/src/forwarding/tests/forwarder_test.cpp
+++ b/src/forwarding/tests/forwarder_test.cpp
@@ -57,13 +57,13 @@
     void sendPiece(std::string_view) override { }
     void endAnswer() override { }
     void breakOff() override { }
-    bool hasCallerDisconnected() const override { return hasLeft_; }
+    bool hasCallerDisconnected() const override { return hasDisconnected_; }
     void setDisconnectHandler(std::function<void()>) override { }
     std::size_t unsentBytes() const override { return 0; }
     void setDrainedHandler(std::function<void()>) override { }
 
     /// The caller disconnects, but the event loop hasn't processed it yet.
-    void disconnect() { hasLeft_ = true; }
+    void disconnect() { hasDisconnected_ = true; }
     bool isAnswered() const { return head_.has_value(); }
     unsigned status() const { return head_ ? head_->status : 0; }
     Milliseconds retryAfter() const
@@ -75,7 +75,7 @@
     http::Request request_;
     framework::SteadyTime receivedAt_ = std::chrono::steady_clock::now();
     std::optional<http::ResponseHead> head_;
-    bool hasLeft_ = false;
+    bool hasDisconnected_ = false;
 };
 
 /// A forwarder with one engine that doesn't have the model loaded; its agent reports when it will.
--- a/src/forwarding/tests/liveness_test.cpp
+++ b/src/forwarding/tests/liveness_test.cpp
@@ -73,9 +73,9 @@
     Liveness liveness;
     liveness.didSend(start, Milliseconds(960));
     BOOST_TEST(!liveness.isSilent(after(1200)));
-    Liveness hopeless;
-    hopeless.didSend(start, Milliseconds(60000));
-    BOOST_TEST(hopeless.isSilent(after(2000)));
+    Liveness capped;
+    capped.didSend(start, Milliseconds(60000));
+    BOOST_TEST(capped.isSilent(after(2000)));
 }
 
 // Prevents requests from being sent to a stalled engine before it counts as silent: five routers sent 14 chats to an
