--- a/src/policy/benchmarks/loadsimulation.cpp
+++ b/src/policy/benchmarks/loadsimulation.cpp
@@ -18,18 +18,22 @@
 
 using Seconds = std::chrono::duration<double>;
 
+/// Interval at which a home router tries again to start loads that it couldn't start.
 constexpr Milliseconds startRetryInterval { 200 };
+/// Interval at which a home router checks for hopeless requests while all its loads are started.
 constexpr Milliseconds reviewInterval { 1000 };
+/// Time from the arrival of a request until the home router of its target starts loads.
 constexpr Milliseconds wakeDelay { 5 };
 constexpr Milliseconds minAnswerTime { 1000 };
 constexpr std::size_t maxRecentUses = 8;
 
-/// Time that a load takes besides the transfer from the store. The policies don't know these numbers.
+/// Time that a load takes besides the transfer from the store. The policies don't know these values.
 constexpr double remoteFixedSeconds = 4;
 constexpr double diskFixedSeconds = 3;
 constexpr double diskMebiBytesPerSecond = 2000;
 constexpr double memoryFixedSeconds = 2;
 constexpr double memoryMebiBytesPerSecond = 12000;
+/// Standard deviation of the logarithm of the random factor on the duration of each load.
 constexpr double noise = 0.15;
 
 Milliseconds milliseconds(double seconds) { return std::chrono::duration_cast<Milliseconds>(Seconds(seconds)); }
--- a/src/policy/benchmarks/loadsimulation.h
+++ b/src/policy/benchmarks/loadsimulation.h
@@ -42,7 +42,9 @@
     std::size_t requests = 0;
     std::size_t served = 0;
     std::size_t servedHighPriority = 0;
+    /// Requests that were refused because they couldn't be answered in time.
     std::size_t hopeless = 0;
+    /// Requests that were refused at their deadlines.
     std::size_t expired = 0;
     std::size_t loads = 0;
     std::size_t remoteLoads = 0;
--- a/src/policy/benchmarks/overloadsimulation.cpp
+++ b/src/policy/benchmarks/overloadsimulation.cpp
@@ -18,10 +18,13 @@
 constexpr std::uint32_t maxAttempts = 3;
 constexpr double highPriorityShare = 0.1;
 constexpr std::uint8_t highPriority = 9;
+/// Weight of a new value in an exponential moving average.
 constexpr double newWeight = 0.2;
+/// Maximum share of the deadline after which a refusal still counts as given at once.
 constexpr double atOnceShare = 0.1;
 /// Longest service time that an agent assumes, as a multiple of the mean.
 constexpr double maxOverMean = 1.5;
+/// Number of different prompt beginnings that requests share.
 constexpr std::size_t prefixes = 40;
 constexpr Milliseconds networkDelay { 1 };
 
--- a/src/policy/benchmarks/storemodel.cpp
+++ b/src/policy/benchmarks/storemodel.cpp
@@ -9,7 +9,9 @@
 
 using Seconds = std::chrono::duration<double>;
 
+/// Bandwidth of each transfer at full speed.
 constexpr double fullSpeedMebiBytesPerSecond = 1000;
+/// A transfer with no more than this left counts as ended, since the remaining amounts have rounding errors.
 constexpr double minRemainingMebiBytes = 0.01;
 
 } // namespace
--- a/src/policy/ikeepwarm.h
+++ b/src/policy/ikeepwarm.h
@@ -17,8 +17,8 @@
     framework::AdapterName adapter;
     framework::MebiBytes memory;
     framework::SteadyTime lastUsed {};
-    /// Expected duration of its next load. The mean of a load from the checkpoint's present location and a load from
-    /// disk gives the best results, since other checkpoints may have replaced this one in the memory cache by then.
+    /// Expected duration of its next load. Callers should pass the mean of a load from the checkpoint's present
+    /// location and a load from disk, since other checkpoints may have replaced this one in the memory cache by then.
     framework::Milliseconds loadTime { 0 };
     std::uint32_t running = 0;
     /// The last few uses since it was loaded, newest last.
@@ -33,8 +33,8 @@
 public:
     virtual ~IKeepWarm() = default;
     /// Returns when to unload the idle replica if it isn't used before; see `expiredReplicas` for adapters.
-    /// `accelerator` is the upstream's total memory: an idle replica wastes the share of an accelerator that its memory
-    /// takes of this total.
+    /// `accelerator` is the upstream's total accelerator memory. An idle replica wastes the fraction of
+    /// the accelerator that corresponds to its share of this memory.
     virtual framework::Deadline keepUntil(const LoadedReplica&, framework::MebiBytes accelerator) const = 0;
     /// Returns the indices of replicas that together free at least `needed`, in the order in which to unload them;
     /// empty if all idle replicas together free less. Running replicas are never chosen, and a model only together with
--- a/src/policy/internal/idlegaps.cpp
+++ b/src/policy/internal/idlegaps.cpp
@@ -24,6 +24,7 @@
 
 IdleGaps IdleGaps::withPrior(const IdleGaps& others) const
 {
+    // Maximum number of gaps that the prior counts as.
     constexpr float priorWeight = 5;
     float sum = 0;
     for (const float weight : others.weights_)
--- a/src/policy/loadforecast.h
+++ b/src/policy/loadforecast.h
@@ -7,13 +7,13 @@
 
 namespace lagoon::policy {
 
-/// The loads that a load at its home router has to wait for.
+/// The loads that a load has to wait for at its home router, which starts the loads of its target.
 struct LoadQueue {
     /// Number of loads that start before it.
     std::uint32_t ahead = 0;
     /// Number of loads that are running now.
     std::uint32_t running = 0;
-    /// The home's share of the weight store's slots.
+    /// The home router's share of the weight store's slots.
     std::uint32_t slots = 1;
     double loadsPerSecond = 1;
     /// Estimated duration of each load ahead.
--- a/src/policy/standingqueue.h
+++ b/src/policy/standingqueue.h
@@ -15,7 +15,8 @@
 /// it above the target for as long as the target; otherwise it would grow again each time it has just become short.
 class StandingQueue {
 public:
-    /// Records an arrival. `expected` is the wait of a request that arrives now.
+    /// Records an arrival. `expected` is the expected wait of a request that arrives now, `target` the wait that should
+    /// not be exceeded.
     void didArrive(framework::Milliseconds expected, framework::Milliseconds target, framework::SteadyTime now);
     /// Whether a request that finds the queue above the target has to be refused.
     bool isStanding(framework::Milliseconds target, framework::SteadyTime now) const;
--- a/src/policy/tests/standingqueue_test.cpp
+++ b/src/policy/tests/standingqueue_test.cpp
@@ -11,8 +11,8 @@
 using framework::SteadyTime;
 
 /// Simulates an engine that prefills one prompt after the other in 130 ms each, so 7.7 prompts per second. These are
-/// the figures for reviews, whose shared prefixes are cached. Callers disconnect after 4.8 s; an answer within 0.8 s is
-/// in time.
+/// the figures for review requests whose shared prefixes are cached. Callers disconnect after 4.8 s; an answer within
+/// 0.8 s is in time.
 class SimulatedEngine {
 public:
     explicit SimulatedEngine(bool refuses)
@@ -62,8 +62,8 @@
 BOOST_AUTO_TEST_SUITE(StandingQueues)
 
 // Prevents an overloaded engine from answering all requests late. Demand moved to a model that only one engine had
-// loaded. For the eight seconds until other engines had loaded it, 20 reviews per second arrived at an engine that can
-// prefill 7.7. All of them queued: after two seconds none started in time, and many ended at their deadlines.
+// loaded. For the eight seconds until other engines had loaded it, 20 review requests per second arrived at an engine
+// that can prefill 7.7. All of them queued: after two seconds none started in time, and many ended at their deadlines.
 BOOST_AUTO_TEST_CASE(refusingUnderOverloadKeepsThroughputAndServesMostInTime)
 {
     SimulatedEngine queueing(false);
@@ -75,8 +75,9 @@
     BOOST_TEST(refusing.inTime + refusing.late > 60);
 }
 
-// Prevents refusals after a short burst. Twenty reviews arrive within half a second and then no more than usual. All of
-// them are served, in time or late: their queue drains within two seconds, sooner than refused callers would retry.
+// Prevents refusals after a short burst. Twenty review requests arrive within half a second and then no more than
+// usual. All of them are served, in time or late: their queue drains within two seconds, sooner than refused callers
+// would retry.
 BOOST_AUTO_TEST_CASE(aBurstIsServedWithoutRefusals)
 {
     SimulatedEngine engine(true);
@@ -85,10 +86,10 @@
     BOOST_TEST(engine.inTime + engine.late == 20);
 }
 
-// Prevents refusals right after a load. After a power loss of all engines, thirty chats waited for their model, which
-// one engine had loaded again after half a second; twenty more per second kept arriving. At 18 ms per prompt the queue
-// drained in less than a second, but four in five of the requests that arrived in that second were refused, since an
-// answer is in time only within 0.3 s for chats.
+// Prevents refusals right after a load. After a power loss of all engines, thirty chat requests waited for their model,
+// which one engine had loaded again after half a second; twenty more per second kept arriving. At 18 ms per prompt the
+// queue drained in less than a second, but four in five of the requests that arrived in that second were refused, since
+// an answer is in time only within 0.3 s for chats.
 BOOST_AUTO_TEST_CASE(requestsThatArriveRightAfterALoadAreServed)
 {
     constexpr Milliseconds target(300);
