--- a/src/forwarding/internal/forwarder.cpp
+++ b/src/forwarding/internal/forwarder.cpp
@@ -39,6 +39,7 @@
 /// The fraction of the operators' retry reserve that all routers together plan with. A router that has just started has
 /// a full share again and may not know yet how many routers there are.
 constexpr double plannedReserveShare = 0.6;
+
 const catalog::RouteTarget& drawTarget(const catalog::Route& route)
 {
     double all = 0;
--- a/src/forwarding/irequestdialect.h
+++ b/src/forwarding/irequestdialect.h
@@ -29,7 +29,7 @@
     NotLoaded, ///< the server did not run the request because it lacks the model or adapter
     OtherInstance, ///< the request was not run because another server has the address now
     Mismatched, ///< the answer belongs to another request
-    Unverified, ///< a success without the server's mark, or without the request's id
+    Unverified, ///< without the request's id, or a success without the header that servers add to successes
 };
 
 /// How callers, servers and this system encode requests and answers in HTTP messages.
--- a/src/forwarding/tests/choices_test.cpp
+++ b/src/forwarding/tests/choices_test.cpp
@@ -49,8 +49,8 @@
     BOOST_TEST(!chooseServer({}, 0));
 }
 
-// Two reviews in three share 6,300 of their 9,190 tokens. Processing those again takes 164 ms of an engine's time, so
-// the engine that has them cached is preferred up to a queue of that length, but no longer one.
+// Two review requests in three share 6,300 of their 9,190 prompt tokens. Processing those again takes 164 ms of an
+// engine's time, so the engine that has them cached is preferred until its queue is longer than that.
 BOOST_AUTO_TEST_CASE(cachedPromptsAreWeighedAgainstTheQueue)
 {
     EngineView cached;
--- a/src/forwarding/tests/demandpublisher_test.cpp
+++ b/src/forwarding/tests/demandpublisher_test.cpp
@@ -42,7 +42,7 @@
         return state;
     }
 
-    /// Sends chats of some 700 prompt tokens, whose answers may have up to 950 tokens, at this rate.
+    /// Sends chat requests with 700 prompt tokens, whose answers may have up to 950 tokens, at this rate.
     void sendChats(int perSecond, Milliseconds lasts)
     {
         RequestFacts facts;
@@ -79,9 +79,10 @@
 
 BOOST_FIXTURE_TEST_SUITE(TheWorkOfAModel, Fixture)
 
-// Prevents the work of a model from being overestimated: 20 chats per second, each with 700 prompt tokens and a stream
-// of 1.5 s, take a third of an engine's prompt processing and 30 of its 96 slots. Estimated by the maximum tokens of
-// their answers they got six engines, and the rare models that were evicted for the copies were loaded over and over.
+// Prevents the work of a model from being overestimated: 20 chat requests per second, each with 700 prompt tokens and a
+// stream of 1.5 s, take a third of an engine's prompt processing and 30 of its 96 slots. Estimated by the maximum
+// tokens of their answers they got six engines, and the rare models that were evicted for the copies were loaded over
+// and over.
 BOOST_AUTO_TEST_CASE(isThePromptProcessingAndTheSlotsInUse)
 {
     sendChats(20, Milliseconds(10000));
@@ -93,7 +94,7 @@
     BOOST_TEST(publishedWork() < 0.95);
 }
 
-// Reviews of 9,300 tokens fill an engine's memory when 28 of its 64 slots are in use.
+// Review requests of 9,300 tokens fill an engine's memory when 28 of its 64 slots are in use.
 BOOST_AUTO_TEST_CASE(countsMemoryIfItIsScarcerThanSlots)
 {
     table.ready(service).at(0)->inFlightByTarget[{ chat, {} }] = 48;
--- a/src/forwarding/tests/liveness_test.cpp
+++ b/src/forwarding/tests/liveness_test.cpp
@@ -66,8 +66,8 @@
     BOOST_TEST(liveness.isSilent(after(4300)));
 }
 
-// Prevents a busy engine from being taken for silent: a review of 9,000 tokens queued behind four others is processed
-// after 1 s.
+// Prevents a busy engine from being taken for silent: a review request of 9,000 tokens queued behind four others is
+// processed after 1 s.
 BOOST_AUTO_TEST_CASE(aLongQueueExtendsTheTimeUntilSilence)
 {
     Liveness liveness;
@@ -78,9 +78,9 @@
     BOOST_TEST(capped.isSilent(after(2000)));
 }
 
-// Prevents requests from being sent to a stalled engine before it counts as silent: five routers sent 14 chats to an
-// engine in the first 0.3 s after its VM had stalled. Four engines had the model loaded, and each router had several
-// streams there that had sent an event every 30 ms until then.
+// Prevents requests from being sent to a stalled engine before it counts as silent: five routers sent 14 chat requests
+// to an engine in the first 0.3 s after its VM had stalled. Four engines had the model loaded, and each router had
+// several streams there that had sent an event every 30 ms until then.
 BOOST_AUTO_TEST_CASE(anUnusualPauseIsDetectedWithinATenthOfASecond)
 {
     Liveness liveness;
--- a/src/forwarding/tests/upstreamtable_test.cpp
+++ b/src/forwarding/tests/upstreamtable_test.cpp
@@ -213,8 +213,8 @@
 }
 
 // Prevents requests from being sent to a crashed engine for as long as its agent's last report is valid: for 2.5 s each
-// chat found no listener three times in quick succession and was refused, and no engine was asked to load the model
-// elsewhere.
+// chat request failed to connect three times in quick succession and was refused, and no other engine was asked to load
+// the model.
 BOOST_AUTO_TEST_CASE(anUnreachableEngineHasNoModelsUntilItsAgentReports)
 {
     table.setUpstreams({ upstream(0) });
