--- a/src/catalog/types/configuration.h
+++ b/src/catalog/types/configuration.h
@@ -83,9 +83,11 @@
 struct EngineProfile {
     /// Number of requests that run concurrently.
     std::uint32_t slots = 0;
+    /// Capacity of the KV cache.
     Tokens memory;
     /// Capacity for models and adapters together.
     MegaBytes weights;
+    /// Maximum number of adapters that are loaded at the same time.
     std::uint32_t adapters = 0;
     /// Loads per second that the weight store may start, over all engines.
     double storeLoadsPerSecond = 0;
--- a/src/catalog/types/units.h
+++ b/src/catalog/types/units.h
@@ -10,7 +10,7 @@
 /// Weights in units of 10^6 bytes. Sizes are rounded up and capacities down, so that models whose rounded sizes fit
 /// into the rounded capacity really fit.
 using MegaBytes = framework::StrongType<struct MegaBytesTag, std::uint64_t>;
-/// Number of prompt or output tokens, or an engine's memory capacity in tokens.
+/// Number of prompt or output tokens, or the capacity of an engine's KV cache in tokens.
 using Tokens = framework::StrongType<struct TokensTag, std::uint64_t>;
 /// Identifies one upstream. An upstream may restart under the same ID; `StartTime` distinguishes its runs.
 using InstanceId = framework::StrongType<struct InstanceIdTag, std::string>;
--- a/src/catalog/types/upstream.h
+++ b/src/catalog/types/upstream.h
@@ -88,6 +88,7 @@
     bool loadsFromStore = false;
     std::uint32_t running = 0;
     std::uint32_t queued = 0;
+    /// Use and capacity of the KV cache.
     Tokens usedMemory;
     Tokens memory;
     /// Number of routers that report their demand to this agent.
--- a/src/direct/directrouter.h
+++ b/src/direct/directrouter.h
@@ -42,7 +42,7 @@
     /// Listens and starts to read the configuration and the list of servers. Becomes ready for callers once both are
     /// known.
     framework::Result<DirectRouterEndpoints> start();
-    /// Applies the settings that may change at run time: the bounds of retries, and the grace period.
+    /// Applies the settings that may change at run time: the retry budget, the policies and the grace period.
     void reload(const DirectRouterSettings&);
     /// Shuts the router down and blocks until that is done. Reports not ready at once; accepts new requests until load
     /// balancers have noticed, then finishes the requests in progress, as far as the grace period allows. By its end
--- a/src/direct/directsettings.h
+++ b/src/direct/directsettings.h
@@ -14,6 +14,7 @@
 /// Settings of a direct router. See docs/OPERATING.md for the keys.
 struct DirectRouterSettings {
     framework::ProcessIdentity identity;
+    /// Endpoint for callers' requests.
     framework::Endpoint callers;
     /// Endpoint for load balancers: any `GET` is answered with 200 while the router accepts new callers, otherwise with
     /// 503.
@@ -23,7 +24,7 @@
     framework::Endpoint objectStore;
     /// Port on which each agent listens, on the VM of its engine.
     std::uint16_t agentPort = 0;
-    /// Bounds of the retries that a service may get from all routers together.
+    /// Retry budget of a service over all routers: a share of its requests, plus a fixed number of retries.
     double retryShare = 0.2;
     double retryReserve = 50;
     policy::PolicySwitches policy;
@@ -40,7 +41,9 @@
 /// Settings of the agent beside an engine.
 struct DirectAgentSettings {
     framework::ProcessIdentity identity;
+    /// Endpoint for the routers' links.
     framework::Endpoint link;
+    /// Endpoint for metrics, as in `DirectRouterSettings`.
     framework::Endpoint ops;
     framework::Endpoint objectStore;
     framework::Endpoint engine;
--- a/src/direct/internal/catalogwatcher.cpp
+++ b/src/direct/internal/catalogwatcher.cpp
@@ -17,8 +17,8 @@
 
 /// Name of the object with the configuration in force.
 const std::string configurationName = "main";
-/// After each read of the servers' entries the next one is delayed by the leaving notice divided by this. Engines
-/// update their entries at each load and unload, and one call reads several updates.
+/// After each read of the servers' entries the next one is delayed by the leaving notice divided by this, so that one
+/// call reads several updates: engines update their entries at each load and unload.
 constexpr int leavingNoticeDivisor = 5;
 /// A watch lasts for the outage notice divided by this, so that one with a dead connection ends well within the notice.
 constexpr int outageNoticeDivisor = 2;
--- a/src/direct/internal/catalogwatcher.h
+++ b/src/direct/internal/catalogwatcher.h
@@ -42,13 +42,13 @@
     bool isComplete() const { return configuration_ && servers_.hasListed(); }
 
 private:
-    /// The list's entry with one name.
+    /// An entry of the list of servers.
     struct Entry {
         /// std::nullopt if the newest content doesn't describe a server.
         std::optional<catalog::Upstream> upstream;
         /// The latest start time that was accepted for this entry.
         std::optional<catalog::StartTime> started;
-        /// The entry isn't used, as the configuration has no service of its name.
+        /// The entry isn't used, as the configuration doesn't have its service.
         bool isOfUnknownService = false;
     };
 
--- a/src/engines/placementplanner.h
+++ b/src/engines/placementplanner.h
@@ -76,6 +76,8 @@
     bool mayEvict(const PlacementInput&, const framework::ModelName&, const catalog::TargetDemand& requested) const;
     double retentionValue(const PlacementInput&, const framework::ModelName&) const;
     framework::Milliseconds untilFree(const PlacementInput&) const;
+    /// `plannedTime` is the expected time until the loads planned before this one have ended; the time of this load is
+    /// added to it.
     void planModel(
         const PlacementInput&, const catalog::TargetDemand&, PlacementDecision&, framework::Milliseconds& plannedTime);
 
--- a/src/engines/types/enginereport.h
+++ b/src/engines/types/enginereport.h
@@ -29,6 +29,7 @@
     OrderCount orders;
     std::uint32_t running = 0;
     std::uint32_t queued = 0;
+    /// Use and capacity of the KV cache.
     catalog::Tokens usedMemory;
     catalog::Tokens memory;
 };
@@ -44,6 +45,7 @@
 
 /// Conditions that an order carries. The engine refuses the order if it is addressed to another instance or outdated.
 struct OrderPreconditions {
+    /// VM of the agent that holds the fencing token.
     framework::VmName holder;
     framework::FencingToken fence;
     OrderCount expected;
