--- a/src/forwarding/tests/liveness_test.cpp
+++ b/src/forwarding/tests/liveness_test.cpp
@@ -81,7 +81,7 @@
 // Prevents requests from being sent to a stalled engine before it counts as silent: five routers sent 14 chat requests
 // to an engine in the first 0.3 s after its VM had stalled. Four engines had the model loaded, and each router had
 // several streams there that had sent an event every 30 ms until then.
-BOOST_AUTO_TEST_CASE(anUnusualPauseIsDetectedWithinATenthOfASecond)
+BOOST_AUTO_TEST_CASE(anUnusualPauseIsDetectedLongBeforeSilence)
 {
     Liveness liveness;
     liveness.didSend(start, Milliseconds(60));
