--- a/src/direct/internal/catalogwatcher.cpp
+++ b/src/direct/internal/catalogwatcher.cpp
@@ -17,9 +17,9 @@
 
 /// Name of the object with the configuration in force.
 const std::string configurationName = "main";
-/// After each read of the servers' entries the next one is delayed by the leaving notice divided by this. Engines
-/// update their entries at each load and unload, and one call reads several updates.
-constexpr int noticeDivisor = 5;
+/// After each read of the servers' entries the next one is delayed by the leaving notice divided by this, so that one
+/// call reads several updates: engines update their entries at each load and unload.
+constexpr int leavingNoticeDivisor = 5;
 /// A watch lasts for the outage notice divided by this, so that one with a dead connection ends well within the notice.
 constexpr int outageNoticeDivisor = 2;
 /// Duration of a watch of the configuration, for which no notice is set.
@@ -68,7 +68,7 @@
     MirrorSettings settings;
     settings.kind = "servers";
     settings.watchWait = outageNotice / outageNoticeDivisor;
-    settings.pauseAfterChange = leavingNotice / noticeDivisor;
+    settings.pauseAfterChange = leavingNotice / leavingNoticeDivisor;
     settings.outageNotice = outageNotice;
     return settings;
 }
--- a/src/forwarding/tests/choices_test.cpp
+++ b/src/forwarding/tests/choices_test.cpp
@@ -49,19 +49,19 @@
     BOOST_TEST(!chooseServer({}, 0));
 }
 
-// Two reviews in three share 6,300 of their 9,190 tokens. Processing those again takes 164 ms of an engine's time, so
-// the engine that has them cached is preferred up to a queue of that length, but no longer one.
+// Two review requests in three share 6,300 of their 9,190 prompt tokens. Processing those again takes 164 ms of an
+// engine's time, so the engine that has them cached is preferred until its queue is longer than that.
 BOOST_AUTO_TEST_CASE(cachedPromptsAreWeighedAgainstTheQueue)
 {
-    EngineView keeps;
-    keeps.newTokens = 2890;
-    EngineView fresh;
-    fresh.newTokens = 9190;
-    fresh.affinityRank = 1;
-    keeps.ownTokensAhead = 5000;
-    BOOST_TEST(chooseEngine({ fresh, keeps })->index == 1U);
-    keeps.ownTokensAhead = 12000;
-    BOOST_TEST(chooseEngine({ fresh, keeps })->index == 0U);
+    EngineView cached;
+    cached.newTokens = 2890;
+    EngineView uncached;
+    uncached.newTokens = 9190;
+    uncached.affinityRank = 1;
+    cached.ownTokensAhead = 5000;
+    BOOST_TEST(chooseEngine({ uncached, cached })->index == 1U);
+    cached.ownTokensAhead = 12000;
+    BOOST_TEST(chooseEngine({ uncached, cached })->index == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(anEngineWithoutFreeMemoryIsChosenLast)
--- a/src/policy/benchmarks/loadsimulation.cpp
+++ b/src/policy/benchmarks/loadsimulation.cpp
@@ -18,18 +18,22 @@
 
 using Seconds = std::chrono::duration<double>;
 
+/// Interval at which a home router tries again to start loads that it couldn't start.
 constexpr Milliseconds startRetryInterval { 200 };
+/// Interval at which a home router checks for hopeless requests while all its loads are started.
 constexpr Milliseconds reviewInterval { 1000 };
-constexpr Milliseconds wakeTime { 5 };
+/// Time from the arrival of a request until the home router of its target starts loads.
+constexpr Milliseconds wakeDelay { 5 };
 constexpr Milliseconds minAnswerTime { 1000 };
 constexpr std::size_t maxRecentUses = 8;
 
-/// Time that a load takes besides the transfer from the store. The policies don't know these numbers.
+/// Time that a load takes besides the transfer from the store. The policies don't know these values.
 constexpr double remoteFixedSeconds = 4;
 constexpr double diskFixedSeconds = 3;
 constexpr double diskMebiBytesPerSecond = 2000;
 constexpr double memoryFixedSeconds = 2;
 constexpr double memoryMebiBytesPerSecond = 12000;
+/// Standard deviation of the logarithm of the random factor on the duration of each load.
 constexpr double noise = 0.15;
 
 Milliseconds milliseconds(double seconds) { return std::chrono::duration_cast<Milliseconds>(Seconds(seconds)); }
@@ -43,12 +47,12 @@
     return values[static_cast<std::size_t>(std::max(1.0, rank)) - 1];
 }
 
-bundle::PolicyParameters storeNumbers(const Deployment& deployment)
+bundle::PolicyParameters storeParameters(const Deployment& deployment)
 {
-    bundle::PolicyParameters numbers;
-    numbers.weightLoadsPerSecond = deployment.storeLoadsPerSecond;
-    numbers.weightLoadsAtFullSpeed = deployment.storeFullSpeedLoads;
-    return numbers;
+    bundle::PolicyParameters parameters;
+    parameters.weightLoadsPerSecond = deployment.storeLoadsPerSecond;
+    parameters.weightLoadsAtFullSpeed = deployment.storeFullSpeedLoads;
+    return parameters;
 }
 
 } // namespace
@@ -88,7 +92,7 @@
 {
     const auto routers = static_cast<std::uint32_t>(homes_.size());
     for (std::uint32_t rank = 0; rank < routers; ++rank) {
-        homes_[rank].share = std::make_unique<WeightStoreShare>(storeNumbers(deployment), policySet.mayBorrow);
+        homes_[rank].share = std::make_unique<WeightStoreShare>(storeParameters(deployment), policySet.mayBorrow);
         homes_[rank].share->setLiveRouters(routers, rank);
     }
     for (std::size_t index = 0; index < servers_.size(); ++index) {
@@ -174,7 +178,7 @@
     demand.pending.waiters += 1;
     demand.pending.earliestDeadline = std::min(demand.pending.earliestDeadline, request.deadline);
     demand.pending.priority = std::max(demand.pending.priority, request.priority);
-    scheduleLoadStarts(homeOf(request.target), wakeTime);
+    scheduleLoadStarts(homeOf(request.target), wakeDelay);
     // The load starts for a hopeless request too: its caller finds the model warm when it retries.
     if (policySet_.refusesHopeless && isHopeless(home, demand, request.target, request)) {
         refuse(request, outcome_.hopeless);
@@ -447,10 +451,10 @@
         homes_[homeOf(target)].share->end();
         events_.at(now() + afterTransfer_.at(target), [this, target] { endLoad(target); });
     }
-    const std::uint64_t plan = ++storeUpdateNumber_;
+    const std::uint64_t update = ++storeUpdateNumber_;
     if (const auto next = store_.nextEnd()) {
-        events_.at(*next, [this, plan] {
-            if (plan == storeUpdateNumber_)
+        events_.at(*next, [this, update] {
+            if (update == storeUpdateNumber_)
                 updateStore();
         });
     }
--- a/src/policy/benchmarks/policybenchmark.cpp
+++ b/src/policy/benchmarks/policybenchmark.cpp
@@ -19,7 +19,7 @@
 using Hours = std::chrono::hours;
 using Minutes = std::chrono::minutes;
 
-lagoon::bundle::PolicyParameters numbers(const Deployment& deployment)
+lagoon::bundle::PolicyParameters parameters(const Deployment& deployment)
 {
     lagoon::bundle::PolicyParameters made;
     made.coldStartWeight = deployment.coldStartWeight;
@@ -28,9 +28,9 @@
 
 PolicySet lagoonPolicies()
 {
-    return { "lagoon", [](const Deployment& deployment) { return policy::makeLoadPlacement(numbers(deployment)); },
-        [](const Deployment& deployment) { return policy::makeKeepWarm(numbers(deployment)); },
-        [](const Deployment& deployment) { return policy::makeLoadOrder(numbers(deployment)); }, true, false };
+    return { "lagoon", [](const Deployment& deployment) { return policy::makeLoadPlacement(parameters(deployment)); },
+        [](const Deployment& deployment) { return policy::makeKeepWarm(parameters(deployment)); },
+        [](const Deployment& deployment) { return policy::makeLoadOrder(parameters(deployment)); }, true, false };
 }
 
 PolicySet fixedTimeout(const std::string& name, lagoon::framework::Milliseconds timeout)
@@ -56,18 +56,18 @@
         fixedTimeout("never-unload", Hours(1000)) };
     if (!hasParts)
         return all;
-    using Change = PolicySet;
+    using Policies = PolicySet;
     all.push_back(withReplacedPart(
-        "in-turn placement", [](Change& made, const PolicySet& other) { made.placement = other.placement; }));
+        "in-turn placement", [](Policies& made, const PolicySet& other) { made.placement = other.placement; }));
     all.push_back(withReplacedPart(
-        "fixed-30min keep", [](Change& made, const PolicySet& other) { made.keepWarm = other.keepWarm; }));
+        "fixed-30min keep", [](Policies& made, const PolicySet& other) { made.keepWarm = other.keepWarm; }));
     all.push_back(withReplacedPart("fixed-5min keep",
-        [](Change& made, const PolicySet&) { made.keepWarm = fixedTimeout("", Minutes(5)).keepWarm; }));
+        [](Policies& made, const PolicySet&) { made.keepWarm = fixedTimeout("", Minutes(5)).keepWarm; }));
     all.push_back(
-        withReplacedPart("arrival order", [](Change& made, const PolicySet& other) { made.order = other.order; }));
+        withReplacedPart("arrival order", [](Policies& made, const PolicySet& other) { made.order = other.order; }));
     all.push_back(
-        withReplacedPart("no hopelessness", [](Change& made, const PolicySet&) { made.refusesHopeless = false; }));
-    all.push_back(withReplacedPart("with borrowing", [](Change& made, const PolicySet&) { made.mayBorrow = true; }));
+        withReplacedPart("no hopelessness", [](Policies& made, const PolicySet&) { made.refusesHopeless = false; }));
+    all.push_back(withReplacedPart("with borrowing", [](Policies& made, const PolicySet&) { made.mayBorrow = true; }));
     return all;
 }
 
