--- a/tests/soak/agenda.cpp
+++ b/tests/soak/actionscheduler.cpp
@@ -1,15 +1,15 @@
-#include "soak/agenda.h"
+#include "soak/actionscheduler.h"
 
 #include <utility>
 
 namespace lagoon::soak {
 
-void Agenda::after(framework::Milliseconds pause, std::function<void()> action)
+void ActionScheduler::after(framework::Milliseconds pause, std::function<void()> action)
 {
     actions_.emplace(std::chrono::steady_clock::now() + pause, std::move(action));
 }
 
-void Agenda::look()
+void ActionScheduler::look()
 {
     while (!actions_.empty() && actions_.begin()->first <= std::chrono::steady_clock::now()) {
         const auto action = std::move(actions_.begin()->second);
--- a/tests/soak/agenda.h
+++ b/tests/soak/actionscheduler.h
@@ -8,7 +8,7 @@
 namespace lagoon::soak {
 
 /// What is to be done later, on the thread that looks: so that works and faults overlap.
-class Agenda {
+class ActionScheduler {
 public:
     void after(framework::Milliseconds pause, std::function<void()> action);
     /// Does what is due.
--- a/tests/soak/strikes.cpp
+++ b/tests/soak/faultinjector.cpp
@@ -1,4 +1,4 @@
-#include "soak/strikes.h"
+#include "soak/faultinjector.h"
 
 #include "soak/standins.h"
 
@@ -23,10 +23,10 @@
 
 } // namespace
 
-Strikes::Strikes(fleet::Fleet& fleet, Agenda& agenda, Journal& journal)
+FaultInjector::FaultInjector(fleet::Fleet& fleet, ActionScheduler& scheduler, RunLog& runLog)
     : fleet_(fleet)
-    , agenda_(agenda)
-    , journal_(journal)
+    , scheduler_(scheduler)
+    , runLog_(runLog)
     , proxies_ { proxyTo(fleet.store.endpoint()), proxyTo(fleet.plain1.endpoint()), proxyTo(fleet.engine2.endpoint()) }
 {
     fleet_.setStoreEndpoint(started(*proxies_[0], "127.0.0.1"));
@@ -34,11 +34,11 @@
     fleet_.listAt(fleet_.engine2, "engines", started(*proxies_[2], "127.0.0.2"));
 }
 
-void Strikes::strike(Processes& processes, PlannedWork& work)
+void FaultInjector::strike(ProcessSupervisor& supervisor, PlannedOperations& operations)
 {
-    switch (journal_.draw(6)) {
+    switch (runLog_.draw(6)) {
     case 0:
-        return strikeProcess(processes);
+        return strikeProcess(supervisor);
     case 1:
         return strikeNetwork();
     case 2:
@@ -46,96 +46,96 @@
     case 3:
         return strikeStore();
     case 4:
-        return restartEngine(work);
+        return restartEngine(operations);
     default:
-        return work.step();
+        return operations.step();
     }
 }
 
-void Strikes::strikeProcess(Processes& processes)
+void FaultInjector::strikeProcess(ProcessSupervisor& supervisor)
 {
-    const Role role = journal_.draw(2) == 0 ? Role::Router : Role::Agent;
-    const std::size_t index = journal_.draw(processes.count(role));
-    return journal_.draw(2) == 0 ? processes.pause(role, index) : processes.kill(role, index);
+    const Role role = runLog_.draw(2) == 0 ? Role::Router : Role::Agent;
+    const std::size_t index = runLog_.draw(supervisor.count(role));
+    return runLog_.draw(2) == 0 ? supervisor.pause(role, index) : supervisor.kill(role, index);
 }
 
-void Strikes::setFault(std::size_t proxy, const std::string& name, const value& what)
+void FaultInjector::setFault(std::size_t proxy, const std::string& name, const value& what)
 {
-    journal_.note("proxy " + std::to_string(proxy) + ": " + name + " " + what.serialize());
+    runLog_.note("proxy " + std::to_string(proxy) + ": " + name + " " + what.serialize());
     value json;
     json[name] = what;
     if (proxies_.at(proxy)->setFaults(json).has_error())
-        journal_.fail("a fault that the proxy doesn't know: " + name);
+        runLog_.fail("a fault that the proxy doesn't know: " + name);
 }
 
-void Strikes::strikeNetwork()
+void FaultInjector::strikeNetwork()
 {
-    const std::size_t proxy = journal_.draw(proxies_.size());
+    const std::size_t proxy = runLog_.draw(proxies_.size());
     const std::vector<std::string> directions { "to_server", "to_client", "both" };
-    journal_.didStrike(open_, std::nullopt);
-    switch (journal_.draw(4)) {
+    runLog_.didStrike(open_, std::nullopt);
+    switch (runLog_.draw(4)) {
     case 0:
         return setFault(proxy, "cut", value::boolean(true));
     case 1:
-        return setFault(proxy, "silent", value::string(directions[journal_.draw(3)]));
+        return setFault(proxy, "silent", value::string(directions[runLog_.draw(3)]));
     case 2: {
         value delay;
-        delay["to_server"] = value::number(journal_.draw(40));
-        delay["to_client"] = value::number(journal_.draw(40));
+        delay["to_server"] = value::number(runLog_.draw(40));
+        delay["to_client"] = value::number(runLog_.draw(40));
         return setFault(proxy, "delay_ms", delay);
     }
     default: {
         value loss;
-        loss["count"] = value::number(1 + journal_.draw(2));
-        loss["after_bytes"] = value::number(journal_.draw(200));
+        loss["count"] = value::number(1 + runLog_.draw(2));
+        loss["after_bytes"] = value::number(runLog_.draw(200));
         return setFault(proxy, "lose_answer", loss);
     }
     }
 }
 
-void Strikes::strikeServers()
+void FaultInjector::strikeServers()
 {
     fleet::ServerStandin* const servers[] { &fleet_.plain1, &fleet_.plain2, &fleet_.engine1, &fleet_.engine2 };
-    fleet::ServerStandin& server = *servers[journal_.draw(4)];
-    journal_.didStrike(open_, std::nullopt);
-    switch (journal_.draw(3)) {
+    fleet::ServerStandin& server = *servers[runLog_.draw(4)];
+    runLog_.didStrike(open_, std::nullopt);
+    switch (runLog_.draw(3)) {
     case 0:
-        journal_.note("refusals at " + server.instance());
-        return server.refuseNext(static_cast<int>(1 + journal_.draw(4)));
+        runLog_.note("refusals at " + server.instance());
+        return server.refuseNext(static_cast<int>(1 + runLog_.draw(4)));
     case 1:
-        journal_.note("lost answers at " + server.instance());
-        return server.dropNext(static_cast<int>(1 + journal_.draw(3)));
+        runLog_.note("lost answers at " + server.instance());
+        return server.dropNext(static_cast<int>(1 + runLog_.draw(3)));
     default:
-        journal_.note("a stream cut within an event");
-        return fleet_.engine1.breakAfter(static_cast<int>(1 + journal_.draw(streamEvents)));
+        runLog_.note("a stream cut within an event");
+        return fleet_.engine1.breakAfter(static_cast<int>(1 + runLog_.draw(streamEvents)));
     }
 }
 
 /// Under its id, empty. Not the engine behind the proxy: that one is listed at the proxy's address.
-void Strikes::restartEngine(const PlannedWork& work)
+void FaultInjector::restartEngine(const PlannedOperations& operations)
 {
-    if (!work.isListed(0))
+    if (!operations.isListed(0))
         return;
-    journal_.note("engine starts again: " + fleet_.engine1.instance());
-    journal_.didStrike(open_, std::nullopt);
+    runLog_.note("engine starts again: " + fleet_.engine1.instance());
+    runLog_.didStrike(open_, std::nullopt);
     fleet_.engine1.restart();
     fleet_.list(fleet_.engine1, "engines");
 }
 
-void Strikes::strikeStore()
+void FaultInjector::strikeStore()
 {
-    journal_.note("the store goes away for a while");
-    journal_.didStrike(open_, std::nullopt);
+    runLog_.note("the store goes away for a while");
+    runLog_.didStrike(open_, std::nullopt);
     fleet_.store.setAway(true);
-    const bool forgets = journal_.draw(2) == 0;
-    agenda_.after(journal_.drawTime(50, 600), [this, forgets] {
+    const bool forgets = runLog_.draw(2) == 0;
+    scheduler_.after(runLog_.drawTime(50, 600), [this, forgets] {
         fleet_.store.setAway(false);
         if (forgets)
             fleet_.store.forgetHistory();
     });
 }
 
-void Strikes::heal()
+void FaultInjector::heal()
 {
     fleet_.store.setAway(false);
     value none;
@@ -151,8 +151,8 @@
         server->dropNext(0);
     }
     fleet_.engine1.breakAfter(0);
-    journal_.note("all heals");
-    journal_.didHeal(open_);
+    runLog_.note("all heals");
+    runLog_.didHeal(open_);
 }
 
 } // namespace lagoon::soak
--- a/tests/soak/strikes.h
+++ b/tests/soak/faultinjector.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "soak/plannedwork.h"
+#include "soak/plannedoperations.h"
 #include "standins/proxy/faultproxy.h"
 
 #include <array>
@@ -9,26 +9,26 @@
 
 /// Faults from outside the processes: kills and stops, a store that goes away, lossy and silent connections, servers
 /// that refuse, lose or cut answers. Planned work comes between them.
-class Strikes {
+class FaultInjector {
 public:
     /// Puts a proxy before the store, a plain server and an engine.
-    Strikes(fleet::Fleet&, Agenda&, Journal&);
+    FaultInjector(fleet::Fleet&, ActionScheduler&, RunLog&);
 
-    void strike(Processes&, PlannedWork&);
+    void strike(ProcessSupervisor&, PlannedOperations&);
     void heal();
 
 private:
-    void strikeProcess(Processes&);
+    void strikeProcess(ProcessSupervisor&);
     void strikeNetwork();
     void strikeServers();
-    void restartEngine(const PlannedWork&);
+    void restartEngine(const PlannedOperations&);
     void strikeStore();
     void setFault(std::size_t proxy, const std::string& name, const web::json::value& what);
 
     fleet::Fleet& fleet_;
-    Agenda& agenda_;
-    Journal& journal_;
-    OpenStrikes open_;
+    ActionScheduler& scheduler_;
+    RunLog& runLog_;
+    ActiveFaults open_;
     std::array<standins::FaultProxy*, 3> proxies_;
 };
 
--- a/tests/soak/promises.cpp
+++ b/tests/soak/invariantchecker.cpp
@@ -1,4 +1,4 @@
-#include "soak/promises.h"
+#include "soak/invariantchecker.h"
 
 #include "soak/standins.h"
 
@@ -33,14 +33,14 @@
 
 } // namespace
 
-Promises::Promises(fleet::Fleet& fleet, Journal& journal, SoakReport& report)
+InvariantChecker::InvariantChecker(fleet::Fleet& fleet, RunLog& runLog, SoakReport& report)
     : fleet_(fleet)
-    , journal_(journal)
+    , runLog_(runLog)
     , report_(report)
 {
 }
 
-int Promises::runsOf(const std::string& attempt) const
+int InvariantChecker::runsOf(const std::string& attempt) const
 {
     int runs = fleet_.plain1.runs(attempt) + fleet_.plain2.runs(attempt);
     for (std::size_t index = 0; index < fleet_.engines(); ++index)
@@ -48,20 +48,20 @@
     return runs;
 }
 
-std::string Promises::textOf(const Sent& sent, int runs) const
+std::string InvariantChecker::textOf(const SentRequest& sent, int runs) const
 {
     return sent.kind + sent.attempt + " (" + std::to_string(sent.outcome.status) + ", " + endText(sent.outcome.end)
         + ", " + std::to_string(runs) + " runs) at router " + std::to_string(sent.router) + ", connected at "
-        + journal_.when(sent.connectedAt) + ", sent at " + journal_.when(sent.outcome.sentAt) + ", ended at "
-        + journal_.when(sent.outcome.endedAt);
+        + runLog_.when(sent.connectedAt) + ", sent at " + runLog_.when(sent.outcome.sentAt) + ", ended at "
+        + runLog_.when(sent.outcome.endedAt);
 }
 
-void Promises::fail(const std::string& promise, const Sent& sent, int runs)
+void InvariantChecker::fail(const std::string& promise, const SentRequest& sent, int runs)
 {
-    journal_.fail(promise + ": " + textOf(sent, runs) + "\n" + fleet_.linesWith(quoted(sent.attempt)));
+    runLog_.fail(promise + ": " + textOf(sent, runs) + "\n" + fleet_.linesWith(quoted(sent.attempt)));
 }
 
-void Promises::check(const Sent& sent)
+void InvariantChecker::check(const SentRequest& sent)
 {
     const int runs = runsOf(sent.attempt);
     ++report_.requests;
@@ -72,7 +72,7 @@
     checkAnswered(sent, runs);
 }
 
-void Promises::checkRuns(const Sent& sent, int runs)
+void InvariantChecker::checkRuns(const SentRequest& sent, int runs)
 {
     const int status = sent.outcome.status;
     if (!mayRepeat(sent.kind) && runs > 1)
@@ -83,7 +83,7 @@
         fail("denied", sent, runs);
 }
 
-void Promises::checkContent(const Sent& sent, int runs)
+void InvariantChecker::checkContent(const SentRequest& sent, int runs)
 {
     const Outcome& outcome = sent.outcome;
     if (outcome.status != 200)
@@ -96,7 +96,7 @@
         fail("another request's answer", sent, runs);
 }
 
-bool Promises::isClosedUnread(const Sent& sent, int runs) const
+bool InvariantChecker::isClosedUnread(const SentRequest& sent, int runs) const
 {
     const Outcome& outcome = sent.outcome;
     return outcome.end == End::Closed && outcome.status == 0 && runs == 0 && outcome.endedAt - outcome.sentAt < crossing
@@ -106,7 +106,7 @@
 /// A whole request that a router has read gets a whole answer, and a failure only where a server failed, unless
 /// something unplanned struck. What met the close of its connection may stay unread: then no server ran it, it was
 /// closed just then, and no router's log names it.
-void Promises::checkAnswered(const Sent& sent, int runs)
+void InvariantChecker::checkAnswered(const SentRequest& sent, int runs)
 {
     const Outcome& outcome = sent.outcome;
     const bool isAnswer = outcome.isComplete() && (outcome.status == 200 || saysNotRun(outcome.status));
@@ -116,18 +116,18 @@
         ++report_.crossed;
         return;
     }
-    if (journal_.wasStruck(sent.router, outcome.sentAt, outcome.endedAt)) {
+    if (runLog_.wasStruck(sent.router, outcome.sentAt, outcome.endedAt)) {
         ++report_.struck;
         return;
     }
     fail(outcome.isComplete() ? "failed though no server did" : "neither an answer nor a refusal", sent, runs);
 }
 
-void Promises::checkEngines()
+void InvariantChecker::checkEngines()
 {
     for (std::size_t index = 0; index < fleet_.engines(); ++index) {
         if (fleet_.engine(index).violations() > 0)
-            journal_.fail("an engine was ordered beyond what fits, or with an older fence");
+            runLog_.fail("an engine was ordered beyond what fits, or with an older fence");
     }
 }
 
--- /dev/null
+++ b/tests/soak/invariantchecker.h
@@ -0,0 +1,31 @@
+#pragma once
+
+#include "fleet/fleet.h"
+#include "soak/loadgenerator.h"
+#include "soak/runlog.h"
+
+namespace lagoon::soak {
+
+/// Judges a run's requests from what callers and servers saw.
+class InvariantChecker {
+public:
+    InvariantChecker(fleet::Fleet&, RunLog&, SoakReport&);
+
+    void check(const SentRequest&);
+    void checkEngines();
+
+private:
+    int runsOf(const std::string& attempt) const;
+    std::string textOf(const SentRequest&, int runs) const;
+    void checkRuns(const SentRequest&, int runs);
+    void checkContent(const SentRequest&, int runs);
+    bool isClosedUnread(const SentRequest&, int runs) const;
+    void checkAnswered(const SentRequest&, int runs);
+    void fail(const std::string& promise, const SentRequest&, int runs);
+
+    fleet::Fleet& fleet_;
+    RunLog& runLog_;
+    SoakReport& report_;
+};
+
+} // namespace lagoon::soak
--- a/tests/soak/rotation.cpp
+++ b/tests/soak/loadbalancer.cpp
@@ -1,4 +1,4 @@
-#include "soak/rotation.h"
+#include "soak/loadbalancer.h"
 
 #include "soak/caller.h"
 
@@ -22,14 +22,14 @@
 
 } // namespace
 
-Rotation::Rotation(std::size_t routers)
+LoadBalancer::LoadBalancer(std::size_t routers)
     : entries_(routers)
 {
     for (std::size_t index = 0; index < routers; ++index)
         threads_.emplace_back([this, index] { askLoop(index); });
 }
 
-Rotation::~Rotation()
+LoadBalancer::~LoadBalancer()
 {
     {
         const std::lock_guard lock(mutex_);
@@ -40,14 +40,14 @@
         thread.join();
 }
 
-void Rotation::setRouter(std::size_t index, const std::string& callers, const std::string& readiness)
+void LoadBalancer::setRouter(std::size_t index, const std::string& callers, const std::string& readiness)
 {
     const std::lock_guard lock(mutex_);
     entries_[index].callers = callers;
     entries_[index].readiness = readiness;
 }
 
-std::optional<Rotation::Choice> Rotation::choose(std::mt19937_64& random) const
+std::optional<LoadBalancer::Choice> LoadBalancer::choose(std::mt19937_64& random) const
 {
     const std::lock_guard lock(mutex_);
     std::vector<Choice> in;
@@ -65,7 +65,7 @@
     return used[random() % used.size()];
 }
 
-void Rotation::askLoop(std::size_t index)
+void LoadBalancer::askLoop(std::size_t index)
 {
     std::unique_lock lock(mutex_);
     // Questions to different routers are spread over the second.
--- a/tests/soak/rotation.h
+++ b/tests/soak/loadbalancer.h
@@ -13,12 +13,12 @@
 /// Which routers get new connections, as a balancer in front of them decides: it asks each router once a second whether
 /// it is ready, and takes it out after two failed questions in a row until one succeeds. While fewer than half are in,
 /// it uses all.
-class Rotation {
+class LoadBalancer {
 public:
-    explicit Rotation(std::size_t routers);
-    ~Rotation();
-    Rotation(const Rotation&) = delete;
-    Rotation& operator=(const Rotation&) = delete;
+    explicit LoadBalancer(std::size_t routers);
+    ~LoadBalancer();
+    LoadBalancer(const LoadBalancer&) = delete;
+    LoadBalancer& operator=(const LoadBalancer&) = delete;
 
     /// Where a router is reached from now on.
     void setRouter(std::size_t index, const std::string& callers, const std::string& readiness);
--- a/tests/soak/clients.cpp
+++ b/tests/soak/loadgenerator.cpp
@@ -1,4 +1,4 @@
-#include "soak/clients.h"
+#include "soak/loadgenerator.h"
 
 #include "fleet/fleet.h"
 
@@ -20,18 +20,19 @@
 
 bool isStream(const std::string& kind) { return kind == "/model/" || kind == "/resume/"; }
 
-Clients::Clients(const SoakSettings& settings, const RunTerms& terms, const Rotation& rotation)
+LoadGenerator::LoadGenerator(
+    const SoakSettings& settings, const RunParameters& parameters, const LoadBalancer& balancer)
     : settings_(settings)
-    , terms_(terms)
-    , rotation_(rotation)
+    , parameters_(parameters)
+    , balancer_(balancer)
 {
-    for (std::size_t number = 0; number < terms_.callers; ++number)
+    for (std::size_t number = 0; number < parameters_.callers; ++number)
         threads_.emplace_back([this, number] { loop(number); });
 }
 
-Clients::~Clients() { (void)stop(); }
+LoadGenerator::~LoadGenerator() { (void)stop(); }
 
-std::vector<Sent> Clients::stop()
+std::vector<SentRequest> LoadGenerator::stop()
 {
     isOver_ = true;
     for (std::thread& thread : threads_)
@@ -40,14 +41,14 @@
     return std::move(sent_);
 }
 
-void Clients::loop(std::size_t number)
+void LoadGenerator::loop(std::size_t number)
 {
     std::mt19937_64 random(settings_.seed * 1000 + number);
-    Caller caller(terms_.deadline + patienceBeyond);
-    Sent sent;
+    Caller caller(parameters_.deadline + patienceBeyond);
+    SentRequest sent;
     for (int request = 0; !isOver_; ++request) {
         if (!caller.isConnected()) {
-            const auto choice = rotation_.choose(random);
+            const auto choice = balancer_.choose(random);
             if (!choice || !caller.connect(choice->endpoint)) {
                 std::this_thread::sleep_for(noRouterPause);
                 continue;
@@ -69,7 +70,7 @@
     }
 }
 
-std::string Clients::text(Sent& sent, std::mt19937_64& random) const
+std::string LoadGenerator::text(SentRequest& sent, std::mt19937_64& random) const
 {
     const std::string adapter = "warm/a1";
     sent.kind = requestKinds[random() % requestKinds.size()];
@@ -77,12 +78,12 @@
     made.method = sent.kind == "/get/" ? "GET" : "POST";
     made.target = sent.kind + sent.attempt;
     made.attempt = sent.attempt;
-    made.deadlineMs = static_cast<int>(terms_.deadline.count());
+    made.deadlineMs = static_cast<int>(parameters_.deadline.count());
     made.keepsAlive = true;
     made.prompt = std::to_string(random() % 5) + ":50";
     if (isStream(sent.kind)) {
-        const std::size_t which = random() % (terms_.models.size() + 1);
-        made.model = which < terms_.models.size() ? terms_.models[which] : adapter;
+        const std::size_t which = random() % (parameters_.models.size() + 1);
+        made.model = which < parameters_.models.size() ? parameters_.models[which] : adapter;
     }
     return made.text();
 }
--- a/tests/soak/clients.h
+++ b/tests/soak/loadgenerator.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "soak/caller.h"
-#include "soak/rotation.h"
+#include "soak/loadbalancer.h"
 #include "soak/soaksettings.h"
 
 #include <atomic>
@@ -14,7 +14,7 @@
 namespace lagoon::soak {
 
 /// One request of a run.
-struct Sent {
+struct SentRequest {
     std::string attempt;
     std::string kind;
     std::size_t router = 0;
@@ -29,26 +29,26 @@
 bool isStream(const std::string& kind);
 
 /// The callers of a run, a thread each. They go on using their connections also after their router was told to end.
-class Clients {
+class LoadGenerator {
 public:
-    Clients(const SoakSettings&, const RunTerms&, const Rotation&);
-    ~Clients();
-    Clients(const Clients&) = delete;
-    Clients& operator=(const Clients&) = delete;
+    LoadGenerator(const SoakSettings&, const RunParameters&, const LoadBalancer&);
+    ~LoadGenerator();
+    LoadGenerator(const LoadGenerator&) = delete;
+    LoadGenerator& operator=(const LoadGenerator&) = delete;
 
     /// Ends the callers after their requests under way.
-    std::vector<Sent> stop();
+    std::vector<SentRequest> stop();
 
 private:
     void loop(std::size_t number);
-    std::string text(Sent&, std::mt19937_64&) const;
+    std::string text(SentRequest&, std::mt19937_64&) const;
 
     const SoakSettings& settings_;
-    const RunTerms& terms_;
-    const Rotation& rotation_;
+    const RunParameters& parameters_;
+    const LoadBalancer& balancer_;
     std::atomic<bool> isOver_ { false };
     std::mutex mutex_;
-    std::vector<Sent> sent_;
+    std::vector<SentRequest> sent_;
     std::vector<std::thread> threads_;
 };
 
--- a/tests/soak/plannedwork.cpp
+++ b/tests/soak/plannedoperations.cpp
@@ -1,4 +1,4 @@
-#include "soak/plannedwork.h"
+#include "soak/plannedoperations.h"
 
 #include "soak/standins.h"
 
@@ -22,22 +22,22 @@
 
 } // namespace
 
-PlannedWork::PlannedWork(
-    fleet::Fleet& fleet, Agenda& agenda, Journal& journal, Processes& processes, const RunTerms& terms)
+PlannedOperations::PlannedOperations(fleet::Fleet& fleet, ActionScheduler& scheduler, RunLog& runLog,
+    ProcessSupervisor& supervisor, const RunParameters& parameters)
     : fleet_(fleet)
-    , agenda_(agenda)
-    , journal_(journal)
-    , processes_(processes)
-    , terms_(terms)
+    , scheduler_(scheduler)
+    , runLog_(runLog)
+    , supervisor_(supervisor)
+    , parameters_(parameters)
     , mostEngines_(fleet.engines() + enginesMore)
 {
     for (std::size_t index = listed_.size(); index < fleet.engines(); ++index)
         listed_.push_back(index);
 }
 
-void PlannedWork::step()
+void PlannedOperations::step()
 {
-    switch (journal_.draw(6)) {
+    switch (runLog_.draw(6)) {
     case 0:
     case 1:
         return endRouters();
@@ -48,93 +48,93 @@
     case 4:
         return changeConfiguration();
     default:
-        return journal_.draw(2) == 0 ? addEngine() : removeEngine();
+        return runLog_.draw(2) == 0 ? addEngine() : removeEngine();
     }
 }
 
-bool PlannedWork::isListed(std::size_t engine) const
+bool PlannedOperations::isListed(std::size_t engine) const
 {
     return std::find(listed_.begin(), listed_.end(), engine) != listed_.end();
 }
 
 /// One router always serves.
-void PlannedWork::endRouters()
+void PlannedOperations::endRouters()
 {
-    const std::size_t routers = processes_.count(Role::Router);
-    const std::size_t first = journal_.draw(routers);
-    const std::uint64_t gap = journal_.draw(seriesSpreadMs);
-    const std::size_t ended = 1 + journal_.draw(routers);
+    const std::size_t routers = supervisor_.count(Role::Router);
+    const std::size_t first = runLog_.draw(routers);
+    const std::uint64_t gap = runLog_.draw(seriesSpreadMs);
+    const std::size_t ended = 1 + runLog_.draw(routers);
     for (std::size_t number = 0; number < ended; ++number) {
         const std::size_t index = (first + number) % routers;
-        agenda_.after(Milliseconds(gap * number), [this, index] {
-            if (processes_.serving(Role::Router) > 1)
-                processes_.endInOrder(Role::Router, index);
+        scheduler_.after(Milliseconds(gap * number), [this, index] {
+            if (supervisor_.serving(Role::Router) > 1)
+                supervisor_.endInOrder(Role::Router, index);
         });
     }
 }
 
-void PlannedWork::endAgents()
+void PlannedOperations::endAgents()
 {
-    const std::size_t ended = 1 + journal_.draw(2);
+    const std::size_t ended = 1 + runLog_.draw(2);
     for (std::size_t number = 0; number < ended; ++number)
-        processes_.endInOrder(Role::Agent, listed_[journal_.draw(listed_.size())]);
+        supervisor_.endInOrder(Role::Agent, listed_[runLog_.draw(listed_.size())]);
 }
 
-void PlannedWork::reloadSome()
+void PlannedOperations::reloadSome()
 {
-    processes_.reload(Role::Agent, listed_[journal_.draw(listed_.size())]);
-    processes_.reload(Role::Router, journal_.draw(processes_.count(Role::Router)));
+    supervisor_.reload(Role::Agent, listed_[runLog_.draw(listed_.size())]);
+    supervisor_.reload(Role::Router, runLog_.draw(supervisor_.count(Role::Router)));
 }
 
-void PlannedWork::changeConfiguration()
+void PlannedOperations::changeConfiguration()
 {
     hasNewRoute_ = !hasNewRoute_;
-    journal_.note(hasNewRoute_ ? "a route more" : "a route less");
-    fleet_.configure(routesOf(terms_, hasNewRoute_));
+    runLog_.note(hasNewRoute_ ? "a route more" : "a route less");
+    fleet_.configure(routesOf(parameters_, hasNewRoute_));
 }
 
-void PlannedWork::addEngine()
+void PlannedOperations::addEngine()
 {
     if (listed_.size() >= mostEngines_)
         return;
     const std::size_t index = fleet_.engines();
     fleet::EngineStandin& engine = fleet_.addEngine();
-    prepare(engine, terms_);
-    journal_.note("engine comes: " + engine.instance());
-    processes_.startAgent(index);
+    prepare(engine, parameters_);
+    runLog_.note("engine comes: " + engine.instance());
+    supervisor_.startAgent(index);
     fleet_.list(engine, "engines");
     listed_.push_back(index);
 }
 
 /// Some say that they leave, of the others only the entry goes; they all serve on for a while.
-void PlannedWork::removeEngine()
+void PlannedOperations::removeEngine()
 {
     if (listed_.size() <= leastEngines)
         return;
-    const std::size_t at = journal_.draw(listed_.size());
+    const std::size_t at = runLog_.draw(listed_.size());
     const std::size_t index = listed_[at];
     listed_.erase(listed_.begin() + static_cast<std::ptrdiff_t>(at));
-    journal_.note("engine leaves: " + fleet_.engine(index).instance());
+    runLog_.note("engine leaves: " + fleet_.engine(index).instance());
     const bool isSilent = index % 2 == 1;
     if (isSilent)
         fleet_.store.remove("servers", fleet_.engine(index).instance());
     else
         fleet_.list(fleet_.engine(index), "engines", "draining");
     left_.push_back({ index, std::chrono::steady_clock::now() });
-    agenda_.after(leaving, [this, index] {
+    scheduler_.after(leaving, [this, index] {
         fleet_.store.remove("servers", fleet_.engine(index).instance());
-        processes_.retire(Role::Agent, index);
+        supervisor_.retire(Role::Agent, index);
     });
 }
 
-void PlannedWork::checkLeft() const
+void PlannedOperations::checkLeft() const
 {
     for (const Left& left : left_) {
         const fleet::EngineStandin& engine = fleet_.engine(left.engine);
         if (engine.lastRunAt() <= left.at + leavingNotice)
             continue;
-        journal_.fail("a request reached " + engine.instance() + " at " + journal_.when(engine.lastRunAt())
-            + ", which left at " + journal_.when(left.at));
+        runLog_.fail("a request reached " + engine.instance() + " at " + runLog_.when(engine.lastRunAt())
+            + ", which left at " + runLog_.when(left.at));
     }
 }
 
--- a/tests/soak/plannedwork.h
+++ b/tests/soak/plannedoperations.h
@@ -1,14 +1,14 @@
 #pragma once
 
-#include "soak/processes.h"
+#include "soak/processsupervisor.h"
 
 namespace lagoon::soak {
 
 /// What operators and the platform do on purpose: routers and agents ended in order, alone and in series, reloads,
 /// changes of the configuration, engines that come empty and leave.
-class PlannedWork {
+class PlannedOperations {
 public:
-    PlannedWork(fleet::Fleet&, Agenda&, Journal&, Processes&, const RunTerms&);
+    PlannedOperations(fleet::Fleet&, ActionScheduler&, RunLog&, ProcessSupervisor&, const RunParameters&);
 
     /// One piece of work; parts of it may come later.
     void step();
@@ -32,10 +32,10 @@
     void removeEngine();
 
     fleet::Fleet& fleet_;
-    Agenda& agenda_;
-    Journal& journal_;
-    Processes& processes_;
-    const RunTerms& terms_;
+    ActionScheduler& scheduler_;
+    RunLog& runLog_;
+    ProcessSupervisor& supervisor_;
+    const RunParameters& parameters_;
     std::vector<std::size_t> listed_ { 0, 1 };
     std::vector<Left> left_;
     std::size_t mostEngines_ = 0;
--- a/tests/soak/processes.cpp
+++ b/tests/soak/processsupervisor.cpp
@@ -1,4 +1,4 @@
-#include "soak/processes.h"
+#include "soak/processsupervisor.h"
 
 #include <algorithm>
 #include <csignal>
@@ -21,13 +21,13 @@
 
 } // namespace
 
-Processes::Processes(const Parts& parts, const RunTerms& terms)
+ProcessSupervisor::ProcessSupervisor(const Parts& parts, const RunParameters& parameters)
     : parts_(parts)
-    , terms_(terms)
+    , parameters_(parameters)
 {
 }
 
-void Processes::adopt(std::size_t routers, std::size_t agents)
+void ProcessSupervisor::adopt(std::size_t routers, std::size_t agents)
 {
     for (std::size_t index = 0; index < agents; ++index) {
         if (index < 2)
@@ -40,137 +40,137 @@
         if (index > 0)
             start(slots_.back());
         else
-            parts_.rotation.setRouter(index, parts_.fleet.callers(index), parts_.fleet.readiness(index));
+            parts_.balancer.setRouter(index, parts_.fleet.callers(index), parts_.fleet.readiness(index));
     }
 }
 
-void Processes::startAgent(std::size_t index)
+void ProcessSupervisor::startAgent(std::size_t index)
 {
     slots_.push_back({ Role::Agent, index });
     start(slots_.back());
 }
 
-void Processes::start(Slot& slot)
+void ProcessSupervisor::start(Slot& slot)
 {
     if (slot.role == Role::Agent) {
         parts_.fleet.startAgent(slot.index);
     } else {
         parts_.fleet.startRouter(slot.index);
-        parts_.rotation.setRouter(slot.index, parts_.fleet.callers(slot.index), parts_.fleet.readiness(slot.index));
+        parts_.balancer.setRouter(slot.index, parts_.fleet.callers(slot.index), parts_.fleet.readiness(slot.index));
     }
     slot.state = State::Serving;
-    parts_.journal.didHeal(slot.strikes);
+    parts_.runLog.didHeal(slot.strikes);
 }
 
-const Processes::Slot* Processes::find(Role role, std::size_t index) const
+const ProcessSupervisor::Slot* ProcessSupervisor::find(Role role, std::size_t index) const
 {
     const auto found = std::find_if(
         slots_.begin(), slots_.end(), [&](const Slot& slot) { return slot.role == role && slot.index == index; });
     return found == slots_.end() ? nullptr : &*found;
 }
 
-Processes::Slot& Processes::slot(Role role, std::size_t index)
+ProcessSupervisor::Slot& ProcessSupervisor::slot(Role role, std::size_t index)
 {
     return slots_.at(static_cast<std::size_t>(find(role, index) - slots_.data()));
 }
 
-testsupport::ChildProcess& Processes::process(const Slot& slot)
+testsupport::ChildProcess& ProcessSupervisor::process(const Slot& slot)
 {
     return slot.role == Role::Router ? parts_.fleet.router(slot.index) : parts_.fleet.agent(slot.index);
 }
 
 /// What strikes an agent strikes all routers.
-std::optional<std::size_t> Processes::routerOf(const Slot& slot) const
+std::optional<std::size_t> ProcessSupervisor::routerOf(const Slot& slot) const
 {
     return slot.role == Role::Router ? std::optional(slot.index) : std::nullopt;
 }
 
-std::size_t Processes::count(Role role) const
+std::size_t ProcessSupervisor::count(Role role) const
 {
     return static_cast<std::size_t>(
         std::count_if(slots_.begin(), slots_.end(), [role](const Slot& slot) { return slot.role == role; }));
 }
 
-bool Processes::isServing(Role role, std::size_t index) const
+bool ProcessSupervisor::isServing(Role role, std::size_t index) const
 {
     const Slot* const found = find(role, index);
     return found && found->state == State::Serving;
 }
 
-std::size_t Processes::serving(Role role) const
+std::size_t ProcessSupervisor::serving(Role role) const
 {
     return static_cast<std::size_t>(std::count_if(slots_.begin(), slots_.end(),
         [role](const Slot& slot) { return slot.role == role && slot.state == State::Serving; }));
 }
 
-void Processes::endInOrder(Role role, std::size_t index)
+void ProcessSupervisor::endInOrder(Role role, std::size_t index)
 {
     if (!isServing(role, index))
         return;
     Slot& ended = slot(role, index);
-    parts_.journal.note("SIGTERM " + process(ended).name());
+    parts_.runLog.note("SIGTERM " + process(ended).name());
     process(ended).sendSignal(SIGTERM);
     ended.state = State::Ending;
-    ended.endsBy = after(terms_.grace + beyondGrace);
+    ended.endsBy = after(parameters_.grace + beyondGrace);
 }
 
-void Processes::retire(Role role, std::size_t index)
+void ProcessSupervisor::retire(Role role, std::size_t index)
 {
     endInOrder(role, index);
     slot(role, index).comesBack = false;
 }
 
-void Processes::reload(Role role, std::size_t index)
+void ProcessSupervisor::reload(Role role, std::size_t index)
 {
     const Slot& reloaded = slot(role, index);
     if (reloaded.state == State::Down || reloaded.state == State::Retired)
         return;
-    parts_.journal.note("SIGHUP " + process(reloaded).name());
+    parts_.runLog.note("SIGHUP " + process(reloaded).name());
     process(reloaded).sendSignal(SIGHUP);
 }
 
-void Processes::kill(Role role, std::size_t index)
+void ProcessSupervisor::kill(Role role, std::size_t index)
 {
     Slot& killed = slot(role, index);
     if (killed.state == State::Down || killed.state == State::Retired)
         return;
-    parts_.journal.note("SIGKILL " + process(killed).name());
-    parts_.journal.didStrike(killed.strikes, routerOf(killed));
+    parts_.runLog.note("SIGKILL " + process(killed).name());
+    parts_.runLog.didStrike(killed.strikes, routerOf(killed));
     process(killed).kill();
     startLater(killed);
     killed.state = killed.comesBack ? State::Down : State::Retired;
 }
 
-void Processes::pause(Role role, std::size_t index)
+void ProcessSupervisor::pause(Role role, std::size_t index)
 {
     Slot& paused = slot(role, index);
     if (paused.state == State::Down || paused.state == State::Retired || std::exchange(paused.isPaused, true))
         return;
     const std::string name = process(paused).name();
-    parts_.journal.note("SIGSTOP " + name);
-    parts_.journal.didStrike(paused.strikes, routerOf(paused));
+    parts_.runLog.note("SIGSTOP " + name);
+    parts_.runLog.didStrike(paused.strikes, routerOf(paused));
     process(paused).sendSignal(SIGSTOP);
-    parts_.agenda.after(parts_.journal.drawTime(leastPauseMs, pauseSpreadMs), [this, role, index, name] {
+    parts_.scheduler.after(parts_.runLog.drawTime(leastPauseMs, pauseSpreadMs), [this, role, index, name] {
         Slot& continued = slot(role, index);
         continued.isPaused = false;
         // It may have been killed, and another one started.
         if (process(continued).name() != name)
             return;
-        parts_.journal.note("SIGCONT " + name);
+        parts_.runLog.note("SIGCONT " + name);
         process(continued).sendSignal(SIGCONT);
-        parts_.journal.didHeal(continued.strikes);
+        parts_.runLog.didHeal(continued.strikes);
     });
 }
 
-void Processes::startLater(const Slot& ended)
+void ProcessSupervisor::startLater(const Slot& ended)
 {
     if (!ended.comesBack)
         return;
-    parts_.agenda.after(parts_.journal.drawTime(0, restartSpreadMs),
+    parts_.scheduler.after(parts_.runLog.drawTime(0, restartSpreadMs),
         [this, role = ended.role, index = ended.index] { start(slot(role, index)); });
 }
 
-void Processes::look()
+void ProcessSupervisor::look()
 {
     for (Slot& slot : slots_) {
         if (slot.state == State::Serving || slot.state == State::Ending)
@@ -178,30 +178,30 @@
     }
 }
 
-void Processes::lookAt(Slot& slot)
+void ProcessSupervisor::lookAt(Slot& slot)
 {
     if (!process(slot).isRunning())
         return didEnd(slot);
     if (slot.state != State::Ending || !slot.endsBy.hasPassed(std::chrono::steady_clock::now()))
         return;
-    parts_.journal.fail(process(slot).name() + " didn't end though it was told to:\n" + process(slot).log());
+    parts_.runLog.fail(process(slot).name() + " didn't end though it was told to:\n" + process(slot).log());
     kill(slot.role, slot.index);
 }
 
-void Processes::didEnd(Slot& slot)
+void ProcessSupervisor::didEnd(Slot& slot)
 {
     const int code = process(slot).waitForExit();
     const std::string name = process(slot).name();
     if (slot.state == State::Serving)
-        parts_.journal.fail(name + " ended by itself with " + std::to_string(code) + ":\n" + process(slot).log());
+        parts_.runLog.fail(name + " ended by itself with " + std::to_string(code) + ":\n" + process(slot).log());
     else if (code != 0)
-        parts_.journal.fail(name + " didn't end in order, but with " + std::to_string(code));
-    parts_.journal.note("gone: " + name);
+        parts_.runLog.fail(name + " didn't end in order, but with " + std::to_string(code));
+    parts_.runLog.note("gone: " + name);
     startLater(slot);
     slot.state = slot.comesBack ? State::Down : State::Retired;
 }
 
-bool Processes::areAllBack() const
+bool ProcessSupervisor::areAllBack() const
 {
     return std::all_of(slots_.begin(), slots_.end(),
         [](const Slot& slot) { return slot.state == State::Serving || slot.state == State::Retired; });
--- a/tests/soak/processes.h
+++ b/tests/soak/processsupervisor.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include "fleet/fleet.h"
-#include "soak/agenda.h"
-#include "soak/journal.h"
-#include "soak/rotation.h"
+#include "soak/actionscheduler.h"
+#include "soak/loadbalancer.h"
+#include "soak/runlog.h"
 #include "soak/soaksettings.h"
 
 #include <cstdint>
@@ -15,16 +15,16 @@
 
 /// The run's routers and agents: signals to them, their ends and new starts, which overlap. Main thread only: a process
 /// dies with the thread that started it.
-class Processes {
+class ProcessSupervisor {
 public:
     struct Parts {
         fleet::Fleet& fleet;
-        Agenda& agenda;
-        Journal& journal;
-        Rotation& rotation;
+        ActionScheduler& scheduler;
+        RunLog& runLog;
+        LoadBalancer& balancer;
     };
 
-    Processes(const Parts&, const RunTerms&);
+    ProcessSupervisor(const Parts&, const RunParameters&);
 
     /// Takes over the fleet's first router and agents, and starts the others.
     void adopt(std::size_t routers, std::size_t agents);
@@ -57,7 +57,7 @@
         bool comesBack = true;
         bool isPaused = false;
         framework::Deadline endsBy {};
-        OpenStrikes strikes = {};
+        ActiveFaults strikes = {};
     };
 
     Slot& slot(Role, std::size_t index);
@@ -70,7 +70,7 @@
     void didEnd(Slot&);
 
     Parts parts_;
-    const RunTerms& terms_;
+    const RunParameters& parameters_;
     std::vector<Slot> slots_;
 };
 
--- a/tests/soak/journal.h
+++ b/tests/soak/runlog.h
@@ -9,13 +9,13 @@
 
 namespace lagoon::soak {
 
-/// Strikes that last, as the journal numbers them.
-using OpenStrikes = std::vector<std::size_t>;
+/// Faults that last, as the journal numbers them.
+using ActiveFaults = std::vector<std::size_t>;
 
 /// What a run did and found, and its chance: all of it on the run's main thread.
-class Journal {
+class RunLog {
 public:
-    Journal(std::uint64_t seed, bool isLoud);
+    RunLog(std::uint64_t seed, bool isLoud);
 
     std::uint64_t draw(std::uint64_t below) { return random_() % below; }
     framework::Milliseconds drawTime(std::uint64_t least, std::uint64_t more);
@@ -24,8 +24,8 @@
     void note(const std::string& what);
     void fail(const std::string& what) { broken_.push_back(what); }
     /// Something unplanned at one router, or at what all share; it lasts until `didHeal`.
-    void didStrike(OpenStrikes& open, std::optional<std::size_t> router);
-    void didHeal(OpenStrikes& open);
+    void didStrike(ActiveFaults& open, std::optional<std::size_t> router);
+    void didHeal(ActiveFaults& open);
     /// Whether something unplanned struck the router or what all share, from some seconds before `from` to `to`.
     bool wasStruck(std::size_t router, framework::SteadyTime from, framework::SteadyTime to) const;
 
@@ -35,7 +35,7 @@
     std::string when(framework::SteadyTime) const;
 
 private:
-    struct Strike {
+    struct Fault {
         std::optional<std::size_t> router;
         framework::SteadyTime from {};
         std::optional<framework::SteadyTime> until;
@@ -46,7 +46,7 @@
     bool isLoud_;
     std::vector<std::string> notes_;
     std::vector<std::string> broken_;
-    std::vector<Strike> strikes_;
+    std::vector<Fault> faults_;
 };
 
 } // namespace lagoon::soak
--- a/tests/soak/soakrun.cpp
+++ b/tests/soak/soakrun.cpp
@@ -26,46 +26,46 @@
 
 SoakRun::SoakRun(const SoakSettings& settings)
     : settings_(settings)
-    , terms_(termsOf(settings))
+    , parameters_(parametersOf(settings))
     , fleet_(fleet::Fleet::make())
-    , journal_(settings.seed, settings.isLoud)
-    , rotation_(settings.routers)
-    , processes_({ fleet_, agenda_, journal_, rotation_ }, terms_)
+    , runLog_(settings.seed, settings.isLoud)
+    , balancer_(settings.routers)
+    , supervisor_({ fleet_, scheduler_, runLog_, balancer_ }, parameters_)
 {
 }
 
 void SoakRun::prepareFleet()
 {
-    fleet_.setGrace(terms_.grace);
-    fleet_.setModels(terms_.models);
-    if (terms_.loadTime.count() > 0)
-        fleet_.setLoadTime(terms_.loadTime);
-    fleet_.configure(routesOf(terms_, false));
+    fleet_.setGrace(parameters_.grace);
+    fleet_.setModels(parameters_.models);
+    if (parameters_.loadTime.count() > 0)
+        fleet_.setLoadTime(parameters_.loadTime);
+    fleet_.configure(routesOf(parameters_, false));
     while (fleet_.engines() < settings_.engines)
         fleet_.list(fleet_.addEngine(), "engines");
     for (std::size_t index = 0; index < fleet_.engines(); ++index)
-        prepare(fleet_.engine(index), terms_);
+        prepare(fleet_.engine(index), parameters_);
     if (settings_.kind == RunKind::Mixed)
-        strikes_.emplace(fleet_, agenda_, journal_);
+        faultInjector_.emplace(fleet_, scheduler_, runLog_);
     fleet_.start();
-    processes_.adopt(settings_.routers, fleet_.engines());
+    supervisor_.adopt(settings_.routers, fleet_.engines());
 }
 
 SoakReport SoakRun::run()
 {
     prepareFleet();
-    Clients clients(settings_, terms_, rotation_);
+    LoadGenerator generator(settings_, parameters_, balancer_);
     disturb();
     waitUntilBack();
-    if (strikes_)
-        strikes_->heal();
+    if (faultInjector_)
+        faultInjector_->heal();
     waitUntilServed();
-    Promises promises(fleet_, journal_, report_);
-    for (const Sent& sent : clients.stop())
-        promises.check(sent);
-    promises.checkEngines();
+    InvariantChecker checker(fleet_, runLog_, report_);
+    for (const SentRequest& sent : generator.stop())
+        checker.check(sent);
+    checker.checkEngines();
     fleet_.stop();
-    report_.broken = journal_.broken();
+    report_.broken = runLog_.broken();
     return report_;
 }
 
@@ -73,35 +73,35 @@
 {
     const Deadline end = Deadline::after(std::chrono::steady_clock::now(), time);
     while (!end.hasPassed(std::chrono::steady_clock::now())) {
-        processes_.look();
-        agenda_.look();
+        supervisor_.look();
+        scheduler_.look();
         std::this_thread::sleep_for(lookEach);
     }
 }
 
 void SoakRun::disturb()
 {
-    PlannedWork work(fleet_, agenda_, journal_, processes_, terms_);
+    PlannedOperations operations(fleet_, scheduler_, runLog_, supervisor_, parameters_);
     const Deadline end = Deadline::after(std::chrono::steady_clock::now(), settings_.duration);
     while (!end.hasPassed(std::chrono::steady_clock::now())) {
         ++report_.faults;
-        if (strikes_) {
-            strikes_->strike(processes_, work);
-            attend(journal_.drawTime(leastStrikePauseMs, strikePauseSpreadMs));
+        if (faultInjector_) {
+            faultInjector_->strike(supervisor_, operations);
+            attend(runLog_.drawTime(leastStrikePauseMs, strikePauseSpreadMs));
         } else {
-            work.step();
-            attend(journal_.drawTime(leastWorkPauseMs, workPauseSpreadMs));
+            operations.step();
+            attend(runLog_.drawTime(leastWorkPauseMs, workPauseSpreadMs));
         }
     }
     waitUntilBack();
-    if (!strikes_)
-        work.checkLeft();
+    if (!faultInjector_)
+        operations.checkLeft();
 }
 
-/// Ends only by an exception if a process doesn't come back: `Processes` kills those that don't end.
+/// Ends only by an exception if a process doesn't come back: `ProcessSupervisor` kills those that don't end.
 void SoakRun::waitUntilBack()
 {
-    while (!agenda_.isEmpty() || !processes_.areAllBack())
+    while (!scheduler_.isEmpty() || !supervisor_.areAllBack())
         attend(lookEach);
 }
 
@@ -112,7 +112,7 @@
     for (std::size_t router = 0; router < settings_.routers; ++router) {
         for (const std::string& kind : requestKinds) {
             if (!testsupport::isReached([&] { return isServed(kind, router, ++probe); }))
-                journal_.fail(kind + " isn't served again at router " + std::to_string(router));
+                runLog_.fail(kind + " isn't served again at router " + std::to_string(router));
         }
     }
 }
--- a/tests/soak/soakrun.h
+++ b/tests/soak/soakrun.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "soak/plannedwork.h"
-#include "soak/promises.h"
-#include "soak/strikes.h"
+#include "soak/faultinjector.h"
+#include "soak/invariantchecker.h"
+#include "soak/plannedoperations.h"
 
 #include <memory>
 
@@ -20,7 +20,7 @@
     explicit SoakRun(const SoakSettings&);
     SoakReport run();
     /// What was done, in order.
-    const std::vector<std::string>& notes() const { return journal_.notes(); }
+    const std::vector<std::string>& notes() const { return runLog_.notes(); }
 
 private:
     void prepareFleet();
@@ -32,13 +32,13 @@
     bool isServed(const std::string& kind, std::size_t router, int probe);
 
     const SoakSettings settings_;
-    const RunTerms terms_;
+    const RunParameters parameters_;
     fleet::Fleet& fleet_;
-    Journal journal_;
-    Agenda agenda_;
-    Rotation rotation_;
-    Processes processes_;
-    std::optional<Strikes> strikes_;
+    RunLog runLog_;
+    ActionScheduler scheduler_;
+    LoadBalancer balancer_;
+    ProcessSupervisor supervisor_;
+    std::optional<FaultInjector> faultInjector_;
     SoakReport report_;
 };
 
--- a/tests/soak/soaksettings.cpp
+++ b/tests/soak/soaksettings.cpp
@@ -25,21 +25,21 @@
 
 } // namespace
 
-RunTerms termsOf(const SoakSettings& settings)
+RunParameters parametersOf(const SoakSettings& settings)
 {
-    RunTerms terms;
+    RunParameters parameters;
     const bool isSlow = settings.kind == RunKind::Planned || settings.seed % mixedRunsPerSlow == 0;
-    terms.callers = (isSlow ? callersOfSlow : callersOfFast) * settings.routers;
+    parameters.callers = (isSlow ? callersOfSlow : callersOfFast) * settings.routers;
     if (!isSlow)
-        return terms;
+        return parameters;
     std::mt19937_64 random(settings.seed * 31);
-    terms.grace = Milliseconds(leastGraceMs + random() % 3000);
-    terms.loadTime = Milliseconds(leastLoadMs + random() % 3000);
-    terms.deadline = terms.grace + beyondGrace;
-    terms.firstEventAim = terms.deadline;
-    while (terms.models.size() < settings.engines * roomOfEngine + modelsTooMany)
-        terms.models.push_back("cold-" + std::to_string(terms.models.size()));
-    return terms;
+    parameters.grace = Milliseconds(leastGraceMs + random() % 3000);
+    parameters.loadTime = Milliseconds(leastLoadMs + random() % 3000);
+    parameters.deadline = parameters.grace + beyondGrace;
+    parameters.firstEventAim = parameters.deadline;
+    while (parameters.models.size() < settings.engines * roomOfEngine + modelsTooMany)
+        parameters.models.push_back("cold-" + std::to_string(parameters.models.size()));
+    return parameters;
 }
 
 } // namespace lagoon::soak
--- a/tests/soak/soaksettings.h
+++ b/tests/soak/soaksettings.h
@@ -44,7 +44,7 @@
 };
 
 /// What follows from a run's seed and kind besides the faults.
-struct RunTerms {
+struct RunParameters {
     /// Routers' time from their signal to their end.
     framework::Milliseconds grace { 8000 };
     framework::Milliseconds loadTime { 0 };
@@ -56,6 +56,6 @@
     std::vector<std::string> models { "warm", "cold", "colder" };
 };
 
-RunTerms termsOf(const SoakSettings&);
+RunParameters parametersOf(const SoakSettings&);
 
 } // namespace lagoon::soak
--- a/tests/soak/standins.cpp
+++ b/tests/soak/standins.cpp
@@ -18,18 +18,18 @@
     return text;
 }
 
-void prepare(fleet::EngineStandin& engine, const RunTerms& terms)
+void prepare(fleet::EngineStandin& engine, const RunParameters& parameters)
 {
     engine.setStream(streamEvents, eventPauseMs);
-    engine.setLoadTime(terms.loadTime);
+    engine.setLoadTime(parameters.loadTime);
 }
 
-std::vector<value> routesOf(const RunTerms& terms, bool hasNewRoute)
+std::vector<value> routesOf(const RunParameters& parameters, bool hasNewRoute)
 {
     std::vector<value> routes = fleet::Fleet::usualRoutes();
     for (value& route : routes) {
         if (route.at("kind").as_string() == "streaming")
-            route["target-latency-ms"] = value::number(static_cast<std::uint64_t>(terms.firstEventAim.count()));
+            route["target-latency-ms"] = value::number(static_cast<std::uint64_t>(parameters.firstEventAim.count()));
     }
     if (hasNewRoute)
         routes.push_back(fleet::Fleet::route("/new/", "idempotent", "plain"));
--- a/tests/soak/standins.h
+++ b/tests/soak/standins.h
@@ -12,8 +12,8 @@
 /// What a whole stream's answer holds.
 std::string wholeStream();
 /// As the run's terms ask.
-void prepare(fleet::EngineStandin&, const RunTerms&);
+void prepare(fleet::EngineStandin&, const RunParameters&);
 /// The fleet's usual routes, whose callers wait for a first event as long as the run's terms say, and one more or not.
-std::vector<web::json::value> routesOf(const RunTerms&, bool hasNewRoute);
+std::vector<web::json::value> routesOf(const RunParameters&, bool hasNewRoute);
 
 } // namespace lagoon::soak
