--- a/tests/soak/actionscheduler.cpp
+++ b/tests/soak/actionscheduler.cpp
@@ -4,12 +4,12 @@
 
 namespace lagoon::soak {
 
-void ActionScheduler::after(framework::Milliseconds pause, std::function<void()> action)
+void ActionScheduler::schedule(framework::Milliseconds delay, std::function<void()> action)
 {
-    actions_.emplace(std::chrono::steady_clock::now() + pause, std::move(action));
+    actions_.emplace(std::chrono::steady_clock::now() + delay, std::move(action));
 }
 
-void ActionScheduler::look()
+void ActionScheduler::runDue()
 {
     while (!actions_.empty() && actions_.begin()->first <= std::chrono::steady_clock::now()) {
         const auto action = std::move(actions_.begin()->second);
--- a/tests/soak/actionscheduler.h
+++ b/tests/soak/actionscheduler.h
@@ -10,9 +10,9 @@
 /// What is to be done later, on the thread that looks: so that works and faults overlap.
 class ActionScheduler {
 public:
-    void after(framework::Milliseconds pause, std::function<void()> action);
+    void schedule(framework::Milliseconds delay, std::function<void()> action);
     /// Does what is due.
-    void look();
+    void runDue();
     bool isEmpty() const { return actions_.empty(); }
 
 private:
--- a/tests/soak/caller.cpp
+++ b/tests/soak/caller.cpp
@@ -13,23 +13,23 @@
 namespace beast = boost::beast;
 
 /// For a new connection on the same machine.
-constexpr framework::Milliseconds connectTime { 1000 };
+constexpr framework::Milliseconds connectTimeout { 1000 };
 
-End endOf(const boost::system::error_code& error)
+EndReason endReasonOf(const boost::system::error_code& error)
 {
     if (!error)
-        return End::Answered;
-    return error == beast::error::timeout ? End::GivenUp : End::Closed;
+        return EndReason::Answered;
+    return error == beast::error::timeout ? EndReason::TimedOut : EndReason::Closed;
 }
 
 } // namespace
 
-Caller::Caller(framework::Milliseconds patience)
-    : patience_(patience)
+Caller::Caller(framework::Milliseconds timeout)
+    : timeout_(timeout)
 {
 }
 
-void Caller::finish()
+void Caller::runToCompletion()
 {
     context_.restart();
     context_.run();
@@ -44,15 +44,15 @@
     buffer_.clear();
     stream_.emplace(context_);
     boost::system::error_code failure;
-    stream_->expires_after(connectTime);
+    stream_->expires_after(connectTimeout);
     stream_->async_connect(address, [&failure](const boost::system::error_code& error) { failure = error; });
-    finish();
+    runToCompletion();
     if (failure)
         stream_.reset();
     return !failure;
 }
 
-Outcome Caller::ask(const std::string& text)
+Outcome Caller::call(const std::string& text)
 {
     namespace http = beast::http;
     Outcome outcome;
@@ -61,14 +61,14 @@
     boost::system::error_code failure;
     http::response_parser<http::string_body> parser;
     outcome.sentAt = std::chrono::steady_clock::now();
-    stream_->expires_after(patience_);
+    stream_->expires_after(timeout_);
     // An answer may come though the rest of the request can't be sent any more.
     boost::asio::async_write(*stream_, boost::asio::buffer(text), [](const boost::system::error_code&, std::size_t) {});
     http::async_read(*stream_, buffer_, parser,
         [&failure](const boost::system::error_code& error, std::size_t) { failure = error; });
-    finish();
+    runToCompletion();
     outcome.endedAt = std::chrono::steady_clock::now();
-    outcome.end = endOf(failure);
+    outcome.endReason = endReasonOf(failure);
     if (parser.is_header_done()) {
         outcome.status = static_cast<int>(parser.get().result_int());
         outcome.body = parser.get().body();
--- a/tests/soak/faultinjector.cpp
+++ b/tests/soak/faultinjector.cpp
@@ -9,14 +9,14 @@
 using framework::Endpoint;
 using web::json::value;
 
-standins::FaultProxy* proxyTo(const std::string& endpoint)
+standins::FaultProxy* makeProxy(const std::string& endpoint)
 {
     // Never destroyed: their threads still run when the program's static objects go.
     static auto& kept = *new std::vector<std::unique_ptr<standins::FaultProxy>>;
     return kept.emplace_back(std::make_unique<standins::FaultProxy>(Endpoint(endpoint), standins::Framing::None)).get();
 }
 
-std::string started(standins::FaultProxy& proxy, const std::string& address)
+std::string startProxy(standins::FaultProxy& proxy, const std::string& address)
 {
     return proxy.start(Endpoint(address + ":0")).value().value();
 }
@@ -27,32 +27,33 @@
     : fleet_(fleet)
     , scheduler_(scheduler)
     , runLog_(runLog)
-    , proxies_ { proxyTo(fleet.store.endpoint()), proxyTo(fleet.plain1.endpoint()), proxyTo(fleet.engine2.endpoint()) }
+    , proxies_ { makeProxy(fleet.store.endpoint()), makeProxy(fleet.plain1.endpoint()),
+        makeProxy(fleet.engine2.endpoint()) }
 {
-    fleet_.setStoreEndpoint(started(*proxies_[0], "127.0.0.1"));
-    fleet_.listAt(fleet_.plain1, "plain", started(*proxies_[1], "127.0.0.1"));
-    fleet_.listAt(fleet_.engine2, "engines", started(*proxies_[2], "127.0.0.2"));
+    fleet_.setStoreEndpoint(startProxy(*proxies_[0], "127.0.0.1"));
+    fleet_.listAt(fleet_.plain1, "plain", startProxy(*proxies_[1], "127.0.0.1"));
+    fleet_.listAt(fleet_.engine2, "engines", startProxy(*proxies_[2], "127.0.0.2"));
 }
 
-void FaultInjector::strike(ProcessSupervisor& supervisor, PlannedOperations& operations)
+void FaultInjector::inject(ProcessSupervisor& supervisor, PlannedOperations& operations)
 {
     switch (runLog_.draw(6)) {
     case 0:
-        return strikeProcess(supervisor);
+        return injectProcessFault(supervisor);
     case 1:
-        return strikeNetwork();
+        return injectNetworkFault();
     case 2:
-        return strikeServers();
+        return injectServerFault();
     case 3:
-        return strikeStore();
+        return injectStoreOutage();
     case 4:
         return restartEngine(operations);
     default:
-        return operations.step();
+        return operations.performOne();
     }
 }
 
-void FaultInjector::strikeProcess(ProcessSupervisor& supervisor)
+void FaultInjector::injectProcessFault(ProcessSupervisor& supervisor)
 {
     const Role role = runLog_.draw(2) == 0 ? Role::Router : Role::Agent;
     const std::size_t index = runLog_.draw(supervisor.count(role));
@@ -68,11 +69,11 @@
         runLog_.fail("a fault that the proxy doesn't know: " + name);
 }
 
-void FaultInjector::strikeNetwork()
+void FaultInjector::injectNetworkFault()
 {
     const std::size_t proxy = runLog_.draw(proxies_.size());
     const std::vector<std::string> directions { "to_server", "to_client", "both" };
-    runLog_.didStrike(open_, std::nullopt);
+    runLog_.beginFault(activeFaults_, std::nullopt);
     switch (runLog_.draw(4)) {
     case 0:
         return setFault(proxy, "cut", value::boolean(true));
@@ -93,11 +94,11 @@
     }
 }
 
-void FaultInjector::strikeServers()
+void FaultInjector::injectServerFault()
 {
     fleet::ServerStandin* const servers[] { &fleet_.plain1, &fleet_.plain2, &fleet_.engine1, &fleet_.engine2 };
     fleet::ServerStandin& server = *servers[runLog_.draw(4)];
-    runLog_.didStrike(open_, std::nullopt);
+    runLog_.beginFault(activeFaults_, std::nullopt);
     switch (runLog_.draw(3)) {
     case 0:
         runLog_.note("refusals at " + server.instance());
@@ -117,32 +118,32 @@
     if (!operations.isListed(0))
         return;
     runLog_.note("engine starts again: " + fleet_.engine1.instance());
-    runLog_.didStrike(open_, std::nullopt);
+    runLog_.beginFault(activeFaults_, std::nullopt);
     fleet_.engine1.restart();
     fleet_.list(fleet_.engine1, "engines");
 }
 
-void FaultInjector::strikeStore()
+void FaultInjector::injectStoreOutage()
 {
     runLog_.note("the store goes away for a while");
-    runLog_.didStrike(open_, std::nullopt);
+    runLog_.beginFault(activeFaults_, std::nullopt);
     fleet_.store.setAway(true);
     const bool forgets = runLog_.draw(2) == 0;
-    scheduler_.after(runLog_.drawTime(50, 600), [this, forgets] {
+    scheduler_.schedule(runLog_.drawDuration(50, 600), [this, forgets] {
         fleet_.store.setAway(false);
         if (forgets)
             fleet_.store.forgetHistory();
     });
 }
 
-void FaultInjector::heal()
+void FaultInjector::clearFaults()
 {
     fleet_.store.setAway(false);
-    value none;
-    none["to_server"] = value::number(0);
-    none["to_client"] = value::number(0);
+    value noDelay;
+    noDelay["to_server"] = value::number(0);
+    noDelay["to_client"] = value::number(0);
     for (std::size_t proxy = 0; proxy < proxies_.size(); ++proxy) {
-        setFault(proxy, "delay_ms", none);
+        setFault(proxy, "delay_ms", noDelay);
         setFault(proxy, "cut", value::boolean(true));
     }
     for (fleet::ServerStandin* const server : std::initializer_list<fleet::ServerStandin*> {
@@ -152,7 +153,7 @@
     }
     fleet_.engine1.breakAfter(0);
     runLog_.note("all heals");
-    runLog_.didHeal(open_);
+    runLog_.endFaults(activeFaults_);
 }
 
 } // namespace lagoon::soak
--- a/tests/soak/faultinjector.h
+++ b/tests/soak/faultinjector.h
@@ -14,21 +14,21 @@
     /// Puts a proxy before the store, a plain server and an engine.
     FaultInjector(fleet::Fleet&, ActionScheduler&, RunLog&);
 
-    void strike(ProcessSupervisor&, PlannedOperations&);
-    void heal();
+    void inject(ProcessSupervisor&, PlannedOperations&);
+    void clearFaults();
 
 private:
-    void strikeProcess(ProcessSupervisor&);
-    void strikeNetwork();
-    void strikeServers();
+    void injectProcessFault(ProcessSupervisor&);
+    void injectNetworkFault();
+    void injectServerFault();
     void restartEngine(const PlannedOperations&);
-    void strikeStore();
+    void injectStoreOutage();
     void setFault(std::size_t proxy, const std::string& name, const web::json::value& what);
 
     fleet::Fleet& fleet_;
     ActionScheduler& scheduler_;
     RunLog& runLog_;
-    ActiveFaults open_;
+    ActiveFaults activeFaults_;
     std::array<standins::FaultProxy*, 3> proxies_;
 };
 
--- a/tests/soak/invariantchecker.cpp
+++ b/tests/soak/invariantchecker.cpp
@@ -9,23 +9,23 @@
 using framework::Milliseconds;
 
 /// A request that meets its connection's close is on its way no longer than this, also on a busy machine.
-constexpr Milliseconds crossing { 300 };
+constexpr Milliseconds maxCloseRace { 300 };
 
-bool saysNotRun(int status) { return status == 503 || status == 429 || status == 408 || status == 421; }
+bool isNotRunStatus(int status) { return status == 503 || status == 429 || status == 408 || status == 421; }
 
 /// As the log has it, so that no other attempt's name begins alike.
 std::string quoted(const std::string& attempt) { return '"' + attempt + '"'; }
 
-std::string endText(End end)
+std::string endText(EndReason reason)
 {
-    switch (end) {
-    case End::NotConnected:
+    switch (reason) {
+    case EndReason::NotConnected:
         return "not connected";
-    case End::Answered:
+    case EndReason::Answered:
         return "answered";
-    case End::Closed:
+    case EndReason::Closed:
         return "closed";
-    case End::GivenUp:
+    case EndReason::TimedOut:
         return "given up";
     }
     return "";
@@ -48,17 +48,17 @@
     return runs;
 }
 
-std::string InvariantChecker::textOf(const SentRequest& sent, int runs) const
+std::string InvariantChecker::describe(const SentRequest& sent, int runs) const
 {
-    return sent.kind + sent.attempt + " (" + std::to_string(sent.outcome.status) + ", " + endText(sent.outcome.end)
-        + ", " + std::to_string(runs) + " runs) at router " + std::to_string(sent.router) + ", connected at "
-        + runLog_.when(sent.connectedAt) + ", sent at " + runLog_.when(sent.outcome.sentAt) + ", ended at "
-        + runLog_.when(sent.outcome.endedAt);
+    return sent.kind + sent.attempt + " (" + std::to_string(sent.outcome.status) + ", "
+        + endText(sent.outcome.endReason) + ", " + std::to_string(runs) + " runs) at router "
+        + std::to_string(sent.router) + ", connected at " + runLog_.elapsedText(sent.connectedAt) + ", sent at "
+        + runLog_.elapsedText(sent.outcome.sentAt) + ", ended at " + runLog_.elapsedText(sent.outcome.endedAt);
 }
 
-void InvariantChecker::fail(const std::string& promise, const SentRequest& sent, int runs)
+void InvariantChecker::fail(const std::string& invariant, const SentRequest& sent, int runs)
 {
-    runLog_.fail(promise + ": " + textOf(sent, runs) + "\n" + fleet_.linesWith(quoted(sent.attempt)));
+    runLog_.fail(invariant + ": " + describe(sent, runs) + "\n" + fleet_.linesWith(quoted(sent.attempt)));
 }
 
 void InvariantChecker::check(const SentRequest& sent)
@@ -66,7 +66,7 @@
     const int runs = runsOf(sent.attempt);
     ++report_.requests;
     report_.served += sent.outcome.status == 200 && sent.outcome.isComplete() ? 1 : 0;
-    report_.refused += saysNotRun(sent.outcome.status) ? 1 : 0;
+    report_.refused += isNotRunStatus(sent.outcome.status) ? 1 : 0;
     checkRuns(sent, runs);
     checkContent(sent, runs);
     checkAnswered(sent, runs);
@@ -75,9 +75,9 @@
 void InvariantChecker::checkRuns(const SentRequest& sent, int runs)
 {
     const int status = sent.outcome.status;
-    if (!mayRepeat(sent.kind) && runs > 1)
+    if (!isRetryable(sent.kind) && runs > 1)
         fail("ran twice", sent, runs);
-    if (!mayRepeat(sent.kind) && saysNotRun(status) && runs > 0)
+    if (!isRetryable(sent.kind) && isNotRunStatus(status) && runs > 0)
         fail("refused as not run, but ran", sent, runs);
     if (status == 404 || status == 400)
         fail("denied", sent, runs);
@@ -88,9 +88,9 @@
     const Outcome& outcome = sent.outcome;
     if (outcome.status != 200)
         return;
-    if (isStream(sent.kind) && outcome.isComplete() && outcome.body != wholeStream())
+    if (isStream(sent.kind) && outcome.isComplete() && outcome.body != expectedStream())
         fail("looks whole, but isn't", sent, runs);
-    if (isStream(sent.kind) && !outcome.isComplete() && !wholeStream().starts_with(outcome.body))
+    if (isStream(sent.kind) && !outcome.isComplete() && !expectedStream().starts_with(outcome.body))
         fail("events out of order", sent, runs);
     if (!isStream(sent.kind) && outcome.isComplete() && outcome.body.find(sent.attempt) == std::string::npos)
         fail("another request's answer", sent, runs);
@@ -99,8 +99,8 @@
 bool InvariantChecker::isClosedUnread(const SentRequest& sent, int runs) const
 {
     const Outcome& outcome = sent.outcome;
-    return outcome.end == End::Closed && outcome.status == 0 && runs == 0 && outcome.endedAt - outcome.sentAt < crossing
-        && fleet_.linesWith(quoted(sent.attempt)).empty();
+    return outcome.endReason == EndReason::Closed && outcome.status == 0 && runs == 0
+        && outcome.endedAt - outcome.sentAt < maxCloseRace && fleet_.linesWith(quoted(sent.attempt)).empty();
 }
 
 /// A whole request that a router has read gets a whole answer, and a failure only where a server failed, unless
@@ -109,15 +109,15 @@
 void InvariantChecker::checkAnswered(const SentRequest& sent, int runs)
 {
     const Outcome& outcome = sent.outcome;
-    const bool isAnswer = outcome.isComplete() && (outcome.status == 200 || saysNotRun(outcome.status));
-    if (isAnswer || outcome.end == End::NotConnected)
+    const bool isAnswer = outcome.isComplete() && (outcome.status == 200 || isNotRunStatus(outcome.status));
+    if (isAnswer || outcome.endReason == EndReason::NotConnected)
         return;
     if (isClosedUnread(sent, runs)) {
-        ++report_.crossed;
+        ++report_.closedUnread;
         return;
     }
-    if (runLog_.wasStruck(sent.router, outcome.sentAt, outcome.endedAt)) {
-        ++report_.struck;
+    if (runLog_.hadFault(sent.router, outcome.sentAt, outcome.endedAt)) {
+        ++report_.failedDuringFault;
         return;
     }
     fail(outcome.isComplete() ? "failed though no server did" : "neither an answer nor a refusal", sent, runs);
--- a/tests/soak/invariantchecker.h
+++ b/tests/soak/invariantchecker.h
@@ -16,12 +16,12 @@
 
 private:
     int runsOf(const std::string& attempt) const;
-    std::string textOf(const SentRequest&, int runs) const;
+    std::string describe(const SentRequest&, int runs) const;
     void checkRuns(const SentRequest&, int runs);
     void checkContent(const SentRequest&, int runs);
     bool isClosedUnread(const SentRequest&, int runs) const;
     void checkAnswered(const SentRequest&, int runs);
-    void fail(const std::string& promise, const SentRequest&, int runs);
+    void fail(const std::string& invariant, const SentRequest&, int runs);
 
     fleet::Fleet& fleet_;
     RunLog& runLog_;
--- a/tests/soak/loadbalancer.cpp
+++ b/tests/soak/loadbalancer.cpp
@@ -8,16 +8,16 @@
 
 using framework::Milliseconds;
 
-constexpr Milliseconds askEach { 1000 };
+constexpr Milliseconds checkInterval { 1000 };
 /// An answer that takes longer is a miss.
-constexpr Milliseconds answerTime { 900 };
-constexpr int missesUntilOut = 2;
-const std::string question = "GET /ready HTTP/1.1\r\nHost: balancer\r\nConnection: close\r\n\r\n";
+constexpr Milliseconds checkTimeout { 900 };
+constexpr int unhealthyThreshold = 2;
+const std::string readinessRequest = "GET /ready HTTP/1.1\r\nHost: balancer\r\nConnection: close\r\n\r\n";
 
-bool saysReady(const std::string& endpoint)
+bool answersReady(const std::string& endpoint)
 {
-    Caller caller(answerTime);
-    return caller.connect(endpoint) && caller.ask(question).status == 200;
+    Caller caller(checkTimeout);
+    return caller.connect(endpoint) && caller.call(readinessRequest).status == 200;
 }
 
 } // namespace
@@ -26,16 +26,16 @@
     : entries_(routers)
 {
     for (std::size_t index = 0; index < routers; ++index)
-        threads_.emplace_back([this, index] { askLoop(index); });
+        threads_.emplace_back([this, index] { healthCheckLoop(index); });
 }
 
 LoadBalancer::~LoadBalancer()
 {
     {
         const std::lock_guard lock(mutex_);
-        isOver_ = true;
+        isStopping_ = true;
     }
-    ended_.notify_all();
+    stopped_.notify_all();
     for (std::thread& thread : threads_)
         thread.join();
 }
@@ -50,36 +50,36 @@
 std::optional<LoadBalancer::Choice> LoadBalancer::choose(std::mt19937_64& random) const
 {
     const std::lock_guard lock(mutex_);
-    std::vector<Choice> in;
-    std::vector<Choice> all;
+    std::vector<Choice> healthy;
+    std::vector<Choice> known;
     for (std::size_t index = 0; index < entries_.size(); ++index) {
         if (entries_[index].callers.empty())
             continue;
-        all.push_back({ index, entries_[index].callers });
-        if (entries_[index].isIn)
-            in.push_back(all.back());
+        known.push_back({ index, entries_[index].callers });
+        if (entries_[index].isHealthy)
+            healthy.push_back(known.back());
     }
-    const std::vector<Choice>& used = 2 * in.size() < entries_.size() ? all : in;
-    if (used.empty())
+    const std::vector<Choice>& candidates = 2 * healthy.size() < entries_.size() ? known : healthy;
+    if (candidates.empty())
         return std::nullopt;
-    return used[random() % used.size()];
+    return candidates[random() % candidates.size()];
 }
 
-void LoadBalancer::askLoop(std::size_t index)
+void LoadBalancer::healthCheckLoop(std::size_t index)
 {
     std::unique_lock lock(mutex_);
     // Questions to different routers are spread over the second.
-    ended_.wait_for(lock, askEach * index / entries_.size(), [this] { return isOver_; });
-    while (!isOver_) {
+    stopped_.wait_for(lock, checkInterval * index / entries_.size(), [this] { return isStopping_; });
+    while (!isStopping_) {
         Entry& entry = entries_[index];
         const std::string endpoint = entry.readiness;
         lock.unlock();
-        const auto next = std::chrono::steady_clock::now() + askEach;
-        const bool isReady = !endpoint.empty() && saysReady(endpoint);
+        const auto next = std::chrono::steady_clock::now() + checkInterval;
+        const bool isReady = !endpoint.empty() && answersReady(endpoint);
         lock.lock();
-        entry.misses = isReady ? 0 : entry.misses + 1;
-        entry.isIn = isReady || (entry.isIn && entry.misses < missesUntilOut);
-        ended_.wait_until(lock, next, [this] { return isOver_; });
+        entry.failedChecks = isReady ? 0 : entry.failedChecks + 1;
+        entry.isHealthy = isReady || (entry.isHealthy && entry.failedChecks < unhealthyThreshold);
+        stopped_.wait_until(lock, next, [this] { return isStopping_; });
     }
 }
 
--- a/tests/soak/loadbalancer.h
+++ b/tests/soak/loadbalancer.h
@@ -34,15 +34,15 @@
     struct Entry {
         std::string callers;
         std::string readiness;
-        int misses = 0;
-        bool isIn = false;
+        int failedChecks = 0;
+        bool isHealthy = false;
     };
 
-    void askLoop(std::size_t index);
+    void healthCheckLoop(std::size_t index);
 
     mutable std::mutex mutex_;
-    std::condition_variable ended_;
-    bool isOver_ = false;
+    std::condition_variable stopped_;
+    bool isStopping_ = false;
     std::vector<Entry> entries_;
     std::vector<std::thread> threads_;
 };
--- a/tests/soak/loadgenerator.h
+++ b/tests/soak/loadgenerator.h
@@ -25,7 +25,7 @@
 /// The prefixes of the routes that are asked for.
 inline const std::vector<std::string> requestKinds { "/get/", "/post/", "/model/", "/resume/" };
 
-bool mayRepeat(const std::string& kind);
+bool isRetryable(const std::string& kind);
 bool isStream(const std::string& kind);
 
 /// The callers of a run, a thread each. They go on using their connections also after their router was told to end.
@@ -40,13 +40,13 @@
     std::vector<SentRequest> stop();
 
 private:
-    void loop(std::size_t number);
-    std::string text(SentRequest&, std::mt19937_64&) const;
+    void callLoop(std::size_t number);
+    std::string drawRequest(SentRequest&, std::mt19937_64&) const;
 
     const SoakSettings& settings_;
     const RunParameters& parameters_;
     const LoadBalancer& balancer_;
-    std::atomic<bool> isOver_ { false };
+    std::atomic<bool> isStopping_ { false };
     std::mutex mutex_;
     std::vector<SentRequest> sent_;
     std::vector<std::thread> threads_;
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -16,7 +16,7 @@
     std::string kind = "both";
     std::size_t routers = 0;
     std::size_t engines = 0;
-    bool isLoud = false;
+    bool isVerbose = false;
 };
 
 constexpr std::size_t plannedRouters = 4;
@@ -34,22 +34,23 @@
         settings.routers = arguments.routers;
     if (arguments.engines > 0)
         settings.engines = arguments.engines;
-    settings.isLoud = arguments.isLoud;
+    settings.isVerbose = arguments.isVerbose;
     return settings;
 }
 
 /// Whether all promises were kept.
-bool play(const SoakSettings& settings)
+bool runSeed(const SoakSettings& settings)
 {
     SoakRun run(settings);
     const SoakReport report = run.run();
     std::cout << "seed " << settings.seed << (settings.kind == RunKind::Planned ? " (planned): " : " (mixed): ")
               << report.requests << " requests, " << report.served << " served, " << report.refused
-              << " refused as not run, " << report.crossed << " crossed a close, " << report.struck << " struck, "
-              << report.faults << " faults, " << report.broken.size() << " promises broken" << std::endl;
-    for (const std::string& broken : report.broken)
-        std::cout << "  " << broken << std::endl;
-    if (report.broken.empty())
+              << " refused as not run, " << report.closedUnread << " crossed a close, " << report.failedDuringFault
+              << " struck, " << report.steps << " faults, " << report.violations.size() << " promises broken"
+              << std::endl;
+    for (const std::string& violation : report.violations)
+        std::cout << "  " << violation << std::endl;
+    if (report.violations.empty())
         return true;
     for (const std::string& note : run.notes())
         std::cout << "  " << note << std::endl;
@@ -62,24 +63,24 @@
 int main(int argc, char** argv)
 {
     Arguments arguments;
-    options::options_description described("directsoak");
-    described.add_options()("first", options::value(&arguments.first), "the first seed")(
+    options::options_description description("directsoak");
+    description.add_options()("first", options::value(&arguments.first), "the first seed")(
         "seeds", options::value(&arguments.seeds), "how many")("seconds", options::value(&arguments.seconds),
         "of work and faults a seed")("kind", options::value(&arguments.kind),
         "planned (operators' work alone), mixed (faults too) or both (even seeds planned)")("routers",
         options::value(&arguments.routers),
         "how many, at least 2")("engines", options::value(&arguments.engines), "how many at first, at least 2")(
-        "loud", options::bool_switch(&arguments.isLoud), "print what is done")("help", "this text");
+        "loud", options::bool_switch(&arguments.isVerbose), "print what is done")("help", "this text");
     options::variables_map values;
-    options::store(options::parse_command_line(argc, argv, described), values);
+    options::store(options::parse_command_line(argc, argv, description), values);
     options::notify(values);
     if (values.count("help") > 0) {
-        std::cout << described;
+        std::cout << description;
         return 0;
     }
     std::signal(SIGPIPE, SIG_IGN);
-    bool isKept = true;
+    bool hasPassed = true;
     for (std::uint64_t seed = arguments.first; seed < arguments.first + arguments.seeds; ++seed)
-        isKept = play(settingsOf(arguments, seed)) && isKept;
-    return isKept ? 0 : 1;
+        hasPassed = runSeed(settingsOf(arguments, seed)) && hasPassed;
+    return hasPassed ? 0 : 1;
 }
--- a/tests/soak/plannedoperations.cpp
+++ b/tests/soak/plannedoperations.cpp
@@ -11,14 +11,14 @@
 using framework::Milliseconds;
 
 /// Between the ends of a series: several drain at the same time, and the first are back while the last still drain.
-constexpr std::uint64_t seriesSpreadMs = 2000;
+constexpr std::uint64_t seriesGapRangeMs = 2000;
 /// Routers pass an engine that leaves by within this time.
 constexpr Milliseconds leavingNotice { 2000 };
 /// From its word to its end: it serves on beyond the notice, so that a router which still uses it is found out.
-constexpr Milliseconds leaving { 5000 };
+constexpr Milliseconds removalDelay { 5000 };
 /// Engines leave while there are more than these, so that each service has one.
-constexpr std::size_t leastEngines = 2;
-constexpr std::size_t enginesMore = 3;
+constexpr std::size_t minEngines = 2;
+constexpr std::size_t additionalEngines = 3;
 
 } // namespace
 
@@ -29,22 +29,22 @@
     , runLog_(runLog)
     , supervisor_(supervisor)
     , parameters_(parameters)
-    , mostEngines_(fleet.engines() + enginesMore)
+    , maxEngines_(fleet.engines() + additionalEngines)
 {
     for (std::size_t index = listed_.size(); index < fleet.engines(); ++index)
         listed_.push_back(index);
 }
 
-void PlannedOperations::step()
+void PlannedOperations::performOne()
 {
     switch (runLog_.draw(6)) {
     case 0:
     case 1:
-        return endRouters();
+        return terminateRouters();
     case 2:
-        return endAgents();
+        return terminateAgents();
     case 3:
-        return reloadSome();
+        return reloadProcesses();
     case 4:
         return changeConfiguration();
     default:
@@ -58,29 +58,29 @@
 }
 
 /// One router always serves.
-void PlannedOperations::endRouters()
+void PlannedOperations::terminateRouters()
 {
     const std::size_t routers = supervisor_.count(Role::Router);
     const std::size_t first = runLog_.draw(routers);
-    const std::uint64_t gap = runLog_.draw(seriesSpreadMs);
+    const std::uint64_t gap = runLog_.draw(seriesGapRangeMs);
     const std::size_t ended = 1 + runLog_.draw(routers);
     for (std::size_t number = 0; number < ended; ++number) {
         const std::size_t index = (first + number) % routers;
-        scheduler_.after(Milliseconds(gap * number), [this, index] {
-            if (supervisor_.serving(Role::Router) > 1)
-                supervisor_.endInOrder(Role::Router, index);
+        scheduler_.schedule(Milliseconds(gap * number), [this, index] {
+            if (supervisor_.servingCount(Role::Router) > 1)
+                supervisor_.terminate(Role::Router, index);
         });
     }
 }
 
-void PlannedOperations::endAgents()
+void PlannedOperations::terminateAgents()
 {
     const std::size_t ended = 1 + runLog_.draw(2);
     for (std::size_t number = 0; number < ended; ++number)
-        supervisor_.endInOrder(Role::Agent, listed_[runLog_.draw(listed_.size())]);
+        supervisor_.terminate(Role::Agent, listed_[runLog_.draw(listed_.size())]);
 }
 
-void PlannedOperations::reloadSome()
+void PlannedOperations::reloadProcesses()
 {
     supervisor_.reload(Role::Agent, listed_[runLog_.draw(listed_.size())]);
     supervisor_.reload(Role::Router, runLog_.draw(supervisor_.count(Role::Router)));
@@ -95,7 +95,7 @@
 
 void PlannedOperations::addEngine()
 {
-    if (listed_.size() >= mostEngines_)
+    if (listed_.size() >= maxEngines_)
         return;
     const std::size_t index = fleet_.engines();
     fleet::EngineStandin& engine = fleet_.addEngine();
@@ -109,7 +109,7 @@
 /// Some say that they leave, of the others only the entry goes; they all serve on for a while.
 void PlannedOperations::removeEngine()
 {
-    if (listed_.size() <= leastEngines)
+    if (listed_.size() <= minEngines)
         return;
     const std::size_t at = runLog_.draw(listed_.size());
     const std::size_t index = listed_[at];
@@ -120,21 +120,21 @@
         fleet_.store.remove("servers", fleet_.engine(index).instance());
     else
         fleet_.list(fleet_.engine(index), "engines", "draining");
-    left_.push_back({ index, std::chrono::steady_clock::now() });
-    scheduler_.after(leaving, [this, index] {
+    removals_.push_back({ index, std::chrono::steady_clock::now() });
+    scheduler_.schedule(removalDelay, [this, index] {
         fleet_.store.remove("servers", fleet_.engine(index).instance());
         supervisor_.retire(Role::Agent, index);
     });
 }
 
-void PlannedOperations::checkLeft() const
+void PlannedOperations::checkRemovedEngines() const
 {
-    for (const Left& left : left_) {
-        const fleet::EngineStandin& engine = fleet_.engine(left.engine);
-        if (engine.lastRunAt() <= left.at + leavingNotice)
+    for (const Removal& removal : removals_) {
+        const fleet::EngineStandin& engine = fleet_.engine(removal.engine);
+        if (engine.lastRunAt() <= removal.at + leavingNotice)
             continue;
-        runLog_.fail("a request reached " + engine.instance() + " at " + runLog_.when(engine.lastRunAt())
-            + ", which left at " + runLog_.when(left.at));
+        runLog_.fail("a request reached " + engine.instance() + " at " + runLog_.elapsedText(engine.lastRunAt())
+            + ", which left at " + runLog_.elapsedText(removal.at));
     }
 }
 
--- a/tests/soak/plannedoperations.h
+++ b/tests/soak/plannedoperations.h
@@ -11,22 +11,22 @@
     PlannedOperations(fleet::Fleet&, ActionScheduler&, RunLog&, ProcessSupervisor&, const RunParameters&);
 
     /// One piece of work; parts of it may come later.
-    void step();
+    void performOne();
     /// Whether the engine has come and hasn't said that it leaves.
     bool isListed(std::size_t engine) const;
     /// Finds requests that reached an engine too long after the store was told that it leaves. For runs whose store is
     /// never disturbed.
-    void checkLeft() const;
+    void checkRemovedEngines() const;
 
 private:
-    struct Left {
+    struct Removal {
         std::size_t engine = 0;
         framework::SteadyTime at {};
     };
 
-    void endRouters();
-    void endAgents();
-    void reloadSome();
+    void terminateRouters();
+    void terminateAgents();
+    void reloadProcesses();
     void changeConfiguration();
     void addEngine();
     void removeEngine();
@@ -37,8 +37,8 @@
     ProcessSupervisor& supervisor_;
     const RunParameters& parameters_;
     std::vector<std::size_t> listed_ { 0, 1 };
-    std::vector<Left> left_;
-    std::size_t mostEngines_ = 0;
+    std::vector<Removal> removals_;
+    std::size_t maxEngines_ = 0;
     bool hasNewRoute_ = false;
 };
 
--- a/tests/soak/processsupervisor.cpp
+++ b/tests/soak/processsupervisor.cpp
@@ -11,18 +11,18 @@
 using framework::Milliseconds;
 
 /// A process that was told to end is there no longer than its grace period; a busy machine may need more.
-constexpr Milliseconds beyondGrace { 10000 };
+constexpr Milliseconds terminationMargin { 10000 };
 /// Pauses of a stopped process: from a short one to one that others take for its end.
-constexpr std::uint64_t leastPauseMs = 50;
-constexpr std::uint64_t pauseSpreadMs = 900;
-constexpr std::uint64_t restartSpreadMs = 300;
+constexpr std::uint64_t minPauseMs = 50;
+constexpr std::uint64_t pauseRangeMs = 900;
+constexpr std::uint64_t restartDelayRangeMs = 300;
 
 Deadline after(Milliseconds time) { return Deadline::after(std::chrono::steady_clock::now(), time); }
 
 } // namespace
 
-ProcessSupervisor::ProcessSupervisor(const Parts& parts, const RunParameters& parameters)
-    : parts_(parts)
+ProcessSupervisor::ProcessSupervisor(const Dependencies& dependencies, const RunParameters& parameters)
+    : dependencies_(dependencies)
     , parameters_(parameters)
 {
 }
@@ -40,7 +40,8 @@
         if (index > 0)
             start(slots_.back());
         else
-            parts_.balancer.setRouter(index, parts_.fleet.callers(index), parts_.fleet.readiness(index));
+            dependencies_.balancer.setRouter(
+                index, dependencies_.fleet.callers(index), dependencies_.fleet.readiness(index));
     }
 }
 
@@ -53,13 +54,14 @@
 void ProcessSupervisor::start(Slot& slot)
 {
     if (slot.role == Role::Agent) {
-        parts_.fleet.startAgent(slot.index);
+        dependencies_.fleet.startAgent(slot.index);
     } else {
-        parts_.fleet.startRouter(slot.index);
-        parts_.balancer.setRouter(slot.index, parts_.fleet.callers(slot.index), parts_.fleet.readiness(slot.index));
+        dependencies_.fleet.startRouter(slot.index);
+        dependencies_.balancer.setRouter(
+            slot.index, dependencies_.fleet.callers(slot.index), dependencies_.fleet.readiness(slot.index));
     }
     slot.state = State::Serving;
-    parts_.runLog.didHeal(slot.strikes);
+    dependencies_.runLog.endFaults(slot.faults);
 }
 
 const ProcessSupervisor::Slot* ProcessSupervisor::find(Role role, std::size_t index) const
@@ -76,7 +78,7 @@
 
 testsupport::ChildProcess& ProcessSupervisor::process(const Slot& slot)
 {
-    return slot.role == Role::Router ? parts_.fleet.router(slot.index) : parts_.fleet.agent(slot.index);
+    return slot.role == Role::Router ? dependencies_.fleet.router(slot.index) : dependencies_.fleet.agent(slot.index);
 }
 
 /// What strikes an agent strikes all routers.
@@ -97,26 +99,26 @@
     return found && found->state == State::Serving;
 }
 
-std::size_t ProcessSupervisor::serving(Role role) const
+std::size_t ProcessSupervisor::servingCount(Role role) const
 {
     return static_cast<std::size_t>(std::count_if(slots_.begin(), slots_.end(),
         [role](const Slot& slot) { return slot.role == role && slot.state == State::Serving; }));
 }
 
-void ProcessSupervisor::endInOrder(Role role, std::size_t index)
+void ProcessSupervisor::terminate(Role role, std::size_t index)
 {
     if (!isServing(role, index))
         return;
     Slot& ended = slot(role, index);
-    parts_.runLog.note("SIGTERM " + process(ended).name());
+    dependencies_.runLog.note("SIGTERM " + process(ended).name());
     process(ended).sendSignal(SIGTERM);
     ended.state = State::Ending;
-    ended.endsBy = after(parameters_.grace + beyondGrace);
+    ended.endsBy = after(parameters_.grace + terminationMargin);
 }
 
 void ProcessSupervisor::retire(Role role, std::size_t index)
 {
-    endInOrder(role, index);
+    terminate(role, index);
     slot(role, index).comesBack = false;
 }
 
@@ -125,7 +127,7 @@
     const Slot& reloaded = slot(role, index);
     if (reloaded.state == State::Down || reloaded.state == State::Retired)
         return;
-    parts_.runLog.note("SIGHUP " + process(reloaded).name());
+    dependencies_.runLog.note("SIGHUP " + process(reloaded).name());
     process(reloaded).sendSignal(SIGHUP);
 }
 
@@ -134,10 +136,10 @@
     Slot& killed = slot(role, index);
     if (killed.state == State::Down || killed.state == State::Retired)
         return;
-    parts_.runLog.note("SIGKILL " + process(killed).name());
-    parts_.runLog.didStrike(killed.strikes, routerOf(killed));
+    dependencies_.runLog.note("SIGKILL " + process(killed).name());
+    dependencies_.runLog.beginFault(killed.faults, routerOf(killed));
     process(killed).kill();
-    startLater(killed);
+    scheduleStart(killed);
     killed.state = killed.comesBack ? State::Down : State::Retired;
 }
 
@@ -147,44 +149,45 @@
     if (paused.state == State::Down || paused.state == State::Retired || std::exchange(paused.isPaused, true))
         return;
     const std::string name = process(paused).name();
-    parts_.runLog.note("SIGSTOP " + name);
-    parts_.runLog.didStrike(paused.strikes, routerOf(paused));
+    dependencies_.runLog.note("SIGSTOP " + name);
+    dependencies_.runLog.beginFault(paused.faults, routerOf(paused));
     process(paused).sendSignal(SIGSTOP);
-    parts_.scheduler.after(parts_.runLog.drawTime(leastPauseMs, pauseSpreadMs), [this, role, index, name] {
-        Slot& continued = slot(role, index);
-        continued.isPaused = false;
-        // It may have been killed, and another one started.
-        if (process(continued).name() != name)
-            return;
-        parts_.runLog.note("SIGCONT " + name);
-        process(continued).sendSignal(SIGCONT);
-        parts_.runLog.didHeal(continued.strikes);
-    });
+    dependencies_.scheduler.schedule(
+        dependencies_.runLog.drawDuration(minPauseMs, pauseRangeMs), [this, role, index, name] {
+            Slot& continued = slot(role, index);
+            continued.isPaused = false;
+            // It may have been killed, and another one started.
+            if (process(continued).name() != name)
+                return;
+            dependencies_.runLog.note("SIGCONT " + name);
+            process(continued).sendSignal(SIGCONT);
+            dependencies_.runLog.endFaults(continued.faults);
+        });
 }
 
-void ProcessSupervisor::startLater(const Slot& ended)
+void ProcessSupervisor::scheduleStart(const Slot& ended)
 {
     if (!ended.comesBack)
         return;
-    parts_.scheduler.after(parts_.runLog.drawTime(0, restartSpreadMs),
+    dependencies_.scheduler.schedule(dependencies_.runLog.drawDuration(0, restartDelayRangeMs),
         [this, role = ended.role, index = ended.index] { start(slot(role, index)); });
 }
 
-void ProcessSupervisor::look()
+void ProcessSupervisor::poll()
 {
     for (Slot& slot : slots_) {
         if (slot.state == State::Serving || slot.state == State::Ending)
-            lookAt(slot);
+            pollSlot(slot);
     }
 }
 
-void ProcessSupervisor::lookAt(Slot& slot)
+void ProcessSupervisor::pollSlot(Slot& slot)
 {
     if (!process(slot).isRunning())
         return didEnd(slot);
     if (slot.state != State::Ending || !slot.endsBy.hasPassed(std::chrono::steady_clock::now()))
         return;
-    parts_.runLog.fail(process(slot).name() + " didn't end though it was told to:\n" + process(slot).log());
+    dependencies_.runLog.fail(process(slot).name() + " didn't end though it was told to:\n" + process(slot).log());
     kill(slot.role, slot.index);
 }
 
@@ -193,15 +196,15 @@
     const int code = process(slot).waitForExit();
     const std::string name = process(slot).name();
     if (slot.state == State::Serving)
-        parts_.runLog.fail(name + " ended by itself with " + std::to_string(code) + ":\n" + process(slot).log());
+        dependencies_.runLog.fail(name + " ended by itself with " + std::to_string(code) + ":\n" + process(slot).log());
     else if (code != 0)
-        parts_.runLog.fail(name + " didn't end in order, but with " + std::to_string(code));
-    parts_.runLog.note("gone: " + name);
-    startLater(slot);
+        dependencies_.runLog.fail(name + " didn't end in order, but with " + std::to_string(code));
+    dependencies_.runLog.note("gone: " + name);
+    scheduleStart(slot);
     slot.state = slot.comesBack ? State::Down : State::Retired;
 }
 
-bool ProcessSupervisor::areAllBack() const
+bool ProcessSupervisor::areAllServing() const
 {
     return std::all_of(slots_.begin(), slots_.end(),
         [](const Slot& slot) { return slot.state == State::Serving || slot.state == State::Retired; });
--- a/tests/soak/processsupervisor.h
+++ b/tests/soak/processsupervisor.h
@@ -17,14 +17,14 @@
 /// dies with the thread that started it.
 class ProcessSupervisor {
 public:
-    struct Parts {
+    struct Dependencies {
         fleet::Fleet& fleet;
         ActionScheduler& scheduler;
         RunLog& runLog;
         LoadBalancer& balancer;
     };
 
-    ProcessSupervisor(const Parts&, const RunParameters&);
+    ProcessSupervisor(const Dependencies&, const RunParameters&);
 
     /// Takes over the fleet's first router and agents, and starts the others.
     void adopt(std::size_t routers, std::size_t agents);
@@ -33,20 +33,20 @@
     std::size_t count(Role) const;
     /// Runs, and wasn't told to end.
     bool isServing(Role, std::size_t index) const;
-    std::size_t serving(Role) const;
+    std::size_t servingCount(Role) const;
 
     /// All but `reload` do nothing unless the process serves; `kill` and `pause` also strike one that is ending.
-    void endInOrder(Role, std::size_t index);
-    /// As `endInOrder`, for good.
+    void terminate(Role, std::size_t index);
+    /// As `terminate`, for good.
     void retire(Role, std::size_t index);
     void reload(Role, std::size_t index);
     void kill(Role, std::size_t index);
     void pause(Role, std::size_t index);
 
     /// Finds processes that have ended, and starts them again after a while.
-    void look();
+    void poll();
     /// Whether all that should serve do.
-    bool areAllBack() const;
+    bool areAllServing() const;
 
 private:
     enum class State : std::uint8_t { Serving, Ending, Down, Retired };
@@ -57,7 +57,7 @@
         bool comesBack = true;
         bool isPaused = false;
         framework::Deadline endsBy {};
-        ActiveFaults strikes = {};
+        ActiveFaults faults = {};
     };
 
     Slot& slot(Role, std::size_t index);
@@ -65,11 +65,11 @@
     testsupport::ChildProcess& process(const Slot&);
     std::optional<std::size_t> routerOf(const Slot&) const;
     void start(Slot&);
-    void startLater(const Slot&);
-    void lookAt(Slot&);
+    void scheduleStart(const Slot&);
+    void pollSlot(Slot&);
     void didEnd(Slot&);
 
-    Parts parts_;
+    Dependencies dependencies_;
     const RunParameters& parameters_;
     std::vector<Slot> slots_;
 };
--- a/tests/soak/runlog.cpp
+++ b/tests/soak/runlog.cpp
@@ -10,49 +10,49 @@
 using framework::SteadyTime;
 
 /// Routers and agents find each other and the store again within this time after a fault.
-constexpr Milliseconds aftermath { 5000 };
+constexpr Milliseconds recoveryTime { 5000 };
 
 } // namespace
 
-RunLog::RunLog(std::uint64_t seed, bool isLoud)
+RunLog::RunLog(std::uint64_t seed, bool isVerbose)
     : begunAt_(std::chrono::steady_clock::now())
     , random_(seed)
-    , isLoud_(isLoud)
+    , isVerbose_(isVerbose)
 {
 }
 
-Milliseconds RunLog::drawTime(std::uint64_t least, std::uint64_t more) { return Milliseconds(least + draw(more)); }
+Milliseconds RunLog::drawDuration(std::uint64_t min, std::uint64_t range) { return Milliseconds(min + draw(range)); }
 
-std::string RunLog::when(SteadyTime at) const
+std::string RunLog::elapsedText(SteadyTime at) const
 {
     return std::to_string(std::chrono::duration_cast<Milliseconds>(at - begunAt_).count()) + " ms";
 }
 
 void RunLog::note(const std::string& what)
 {
-    notes_.push_back(when(std::chrono::steady_clock::now()) + ": " + what);
-    if (isLoud_)
+    notes_.push_back(elapsedText(std::chrono::steady_clock::now()) + ": " + what);
+    if (isVerbose_)
         std::cout << notes_.back() << std::endl;
 }
 
-void RunLog::didStrike(ActiveFaults& open, std::optional<std::size_t> router)
+void RunLog::beginFault(ActiveFaults& active, std::optional<std::size_t> router)
 {
-    open.push_back(faults_.size());
+    active.push_back(faults_.size());
     faults_.push_back({ router, std::chrono::steady_clock::now(), std::nullopt });
 }
 
-void RunLog::didHeal(ActiveFaults& open)
+void RunLog::endFaults(ActiveFaults& active)
 {
-    for (const std::size_t number : open)
+    for (const std::size_t number : active)
         faults_[number].until = std::chrono::steady_clock::now();
-    open.clear();
+    active.clear();
 }
 
-bool RunLog::wasStruck(std::size_t router, SteadyTime from, SteadyTime to) const
+bool RunLog::hadFault(std::size_t router, SteadyTime from, SteadyTime to) const
 {
     for (const Fault& fault : faults_) {
         const bool isThere = !fault.router || *fault.router == router;
-        const bool isOverBefore = fault.until && *fault.until + aftermath < from;
+        const bool isOverBefore = fault.until && *fault.until + recoveryTime < from;
         if (isThere && fault.from <= to && !isOverBefore)
             return true;
     }
--- a/tests/soak/runlog.h
+++ b/tests/soak/runlog.h
@@ -15,24 +15,24 @@
 /// What a run did and found, and its chance: all of it on the run's main thread.
 class RunLog {
 public:
-    RunLog(std::uint64_t seed, bool isLoud);
+    RunLog(std::uint64_t seed, bool isVerbose);
 
-    std::uint64_t draw(std::uint64_t below) { return random_() % below; }
-    framework::Milliseconds drawTime(std::uint64_t least, std::uint64_t more);
+    std::uint64_t draw(std::uint64_t bound) { return random_() % bound; }
+    framework::Milliseconds drawDuration(std::uint64_t min, std::uint64_t range);
 
     /// A piece of work or a fault.
     void note(const std::string& what);
-    void fail(const std::string& what) { broken_.push_back(what); }
-    /// Something unplanned at one router, or at what all share; it lasts until `didHeal`.
-    void didStrike(ActiveFaults& open, std::optional<std::size_t> router);
-    void didHeal(ActiveFaults& open);
+    void fail(const std::string& what) { violations_.push_back(what); }
+    /// Something unplanned at one router, or at what all share; it lasts until `endFaults`.
+    void beginFault(ActiveFaults& active, std::optional<std::size_t> router);
+    void endFaults(ActiveFaults& active);
     /// Whether something unplanned struck the router or what all share, from some seconds before `from` to `to`.
-    bool wasStruck(std::size_t router, framework::SteadyTime from, framework::SteadyTime to) const;
+    bool hadFault(std::size_t router, framework::SteadyTime from, framework::SteadyTime to) const;
 
     const std::vector<std::string>& notes() const { return notes_; }
-    const std::vector<std::string>& broken() const { return broken_; }
+    const std::vector<std::string>& violations() const { return violations_; }
     /// Since the run's begin, for messages.
-    std::string when(framework::SteadyTime) const;
+    std::string elapsedText(framework::SteadyTime) const;
 
 private:
     struct Fault {
@@ -43,9 +43,9 @@
 
     framework::SteadyTime begunAt_;
     std::mt19937_64 random_;
-    bool isLoud_;
+    bool isVerbose_;
     std::vector<std::string> notes_;
-    std::vector<std::string> broken_;
+    std::vector<std::string> violations_;
     std::vector<Fault> faults_;
 };
 
--- a/tests/soak/soakrun.cpp
+++ b/tests/soak/soakrun.cpp
@@ -13,14 +13,14 @@
 using framework::Deadline;
 using framework::Milliseconds;
 
-constexpr Milliseconds lookEach { 10 };
+constexpr Milliseconds pollInterval { 10 };
 /// Between two pieces of planned work, and between two strikes.
-constexpr std::uint64_t leastWorkPauseMs = 200;
-constexpr std::uint64_t workPauseSpreadMs = 1300;
-constexpr std::uint64_t leastStrikePauseMs = 20;
-constexpr std::uint64_t strikePauseSpreadMs = 200;
+constexpr std::uint64_t minOperationPauseMs = 200;
+constexpr std::uint64_t operationPauseRangeMs = 1300;
+constexpr std::uint64_t minFaultPauseMs = 20;
+constexpr std::uint64_t faultPauseRangeMs = 200;
 /// Far longer than an answer takes after all has healed.
-constexpr Milliseconds probeTime { 22000 };
+constexpr Milliseconds probeTimeout { 22000 };
 
 } // namespace
 
@@ -28,7 +28,7 @@
     : settings_(settings)
     , parameters_(parametersOf(settings))
     , fleet_(fleet::Fleet::make())
-    , runLog_(settings.seed, settings.isLoud)
+    , runLog_(settings.seed, settings.isVerbose)
     , balancer_(settings.routers)
     , supervisor_({ fleet_, scheduler_, runLog_, balancer_ }, parameters_)
 {
@@ -55,54 +55,54 @@
 {
     prepareFleet();
     LoadGenerator generator(settings_, parameters_, balancer_);
-    disturb();
-    waitUntilBack();
+    runOperationsAndFaults();
+    waitForProcesses();
     if (faultInjector_)
-        faultInjector_->heal();
+        faultInjector_->clearFaults();
     waitUntilServed();
     InvariantChecker checker(fleet_, runLog_, report_);
     for (const SentRequest& sent : generator.stop())
         checker.check(sent);
     checker.checkEngines();
     fleet_.stop();
-    report_.broken = runLog_.broken();
+    report_.violations = runLog_.violations();
     return report_;
 }
 
-void SoakRun::attend(Milliseconds time)
+void SoakRun::pollFor(Milliseconds time)
 {
     const Deadline end = Deadline::after(std::chrono::steady_clock::now(), time);
     while (!end.hasPassed(std::chrono::steady_clock::now())) {
-        supervisor_.look();
-        scheduler_.look();
-        std::this_thread::sleep_for(lookEach);
+        supervisor_.poll();
+        scheduler_.runDue();
+        std::this_thread::sleep_for(pollInterval);
     }
 }
 
-void SoakRun::disturb()
+void SoakRun::runOperationsAndFaults()
 {
     PlannedOperations operations(fleet_, scheduler_, runLog_, supervisor_, parameters_);
     const Deadline end = Deadline::after(std::chrono::steady_clock::now(), settings_.duration);
     while (!end.hasPassed(std::chrono::steady_clock::now())) {
-        ++report_.faults;
+        ++report_.steps;
         if (faultInjector_) {
-            faultInjector_->strike(supervisor_, operations);
-            attend(runLog_.drawTime(leastStrikePauseMs, strikePauseSpreadMs));
+            faultInjector_->inject(supervisor_, operations);
+            pollFor(runLog_.drawDuration(minFaultPauseMs, faultPauseRangeMs));
         } else {
-            operations.step();
-            attend(runLog_.drawTime(leastWorkPauseMs, workPauseSpreadMs));
+            operations.performOne();
+            pollFor(runLog_.drawDuration(minOperationPauseMs, operationPauseRangeMs));
         }
     }
-    waitUntilBack();
+    waitForProcesses();
     if (!faultInjector_)
-        operations.checkLeft();
+        operations.checkRemovedEngines();
 }
 
 /// Ends only by an exception if a process doesn't come back: `ProcessSupervisor` kills those that don't end.
-void SoakRun::waitUntilBack()
+void SoakRun::waitForProcesses()
 {
-    while (!scheduler_.isEmpty() || !supervisor_.areAllBack())
-        attend(lookEach);
+    while (!scheduler_.isEmpty() || !supervisor_.areAllServing())
+        pollFor(pollInterval);
 }
 
 /// Each kind of request, at each router.
@@ -119,13 +119,13 @@
 
 bool SoakRun::isServed(const std::string& kind, std::size_t router, int probe)
 {
-    CallerRequest made;
-    made.method = kind == "/get/" ? "GET" : "POST";
-    made.target = kind + "probe";
-    made.attempt = "probe" + std::to_string(probe);
-    made.model = isStream(kind) ? "cold" : "";
-    Caller caller(probeTime);
-    return caller.connect(fleet_.callers(router)) && caller.ask(made.text()).status == 200;
+    CallerRequest request;
+    request.method = kind == "/get/" ? "GET" : "POST";
+    request.target = kind + "probe";
+    request.attempt = "probe" + std::to_string(probe);
+    request.model = isStream(kind) ? "cold" : "";
+    Caller caller(probeTimeout);
+    return caller.connect(fleet_.callers(router)) && caller.call(request.text()).status == 200;
 }
 
 } // namespace lagoon::soak
--- a/tests/soak/soakrun.h
+++ b/tests/soak/soakrun.h
@@ -25,9 +25,9 @@
 private:
     void prepareFleet();
     /// Goes on with what is under way.
-    void attend(framework::Milliseconds time);
-    void disturb();
-    void waitUntilBack();
+    void pollFor(framework::Milliseconds time);
+    void runOperationsAndFaults();
+    void waitForProcesses();
     void waitUntilServed();
     bool isServed(const std::string& kind, std::size_t router, int probe);
 
--- a/tests/soak/soaksettings.h
+++ b/tests/soak/soaksettings.h
@@ -26,21 +26,21 @@
     framework::Milliseconds duration { 5000 };
     std::size_t routers = 2;
     std::size_t engines = 2;
-    bool isLoud = false;
+    bool isVerbose = false;
 };
 
 /// What a run found.
 struct SoakReport {
     /// Promises that weren't kept; each names the request or process.
-    std::vector<std::string> broken;
+    std::vector<std::string> violations;
     int requests = 0;
     int served = 0;
     int refused = 0;
     /// Closed by the router before it can have read them.
-    int crossed = 0;
+    int closedUnread = 0;
     /// Closed without a whole answer by something unplanned that struck.
-    int struck = 0;
-    int faults = 0;
+    int failedDuringFault = 0;
+    int steps = 0;
 };
 
 /// What follows from a run's seed and kind besides the faults.
@@ -51,7 +51,7 @@
     /// What requests say that they wait at most.
     framework::Milliseconds deadline { 2500 };
     /// The route's aim for a stream's first event: routers let callers wait four times as long.
-    framework::Milliseconds firstEventAim { 500 };
+    framework::Milliseconds targetLatency { 500 };
     std::size_t callers = 4;
     std::vector<std::string> models { "warm", "cold", "colder" };
 };
--- a/tests/soak/standins.cpp
+++ b/tests/soak/standins.cpp
@@ -10,7 +10,7 @@
 
 } // namespace
 
-std::string wholeStream()
+std::string expectedStream()
 {
     std::string text;
     for (int event = 1; event <= streamEvents; ++event)
@@ -29,7 +29,7 @@
     std::vector<value> routes = fleet::Fleet::usualRoutes();
     for (value& route : routes) {
         if (route.at("kind").as_string() == "streaming")
-            route["target-latency-ms"] = value::number(static_cast<std::uint64_t>(parameters.firstEventAim.count()));
+            route["target-latency-ms"] = value::number(static_cast<std::uint64_t>(parameters.targetLatency.count()));
     }
     if (hasNewRoute)
         routes.push_back(fleet::Fleet::route("/new/", "idempotent", "plain"));
