--- a/tests/fleet/fleet.cpp
+++ b/tests/fleet/fleet.cpp
@@ -122,7 +122,7 @@
     : agentPort_(freePort())
 {
     engine1.hold("warm");
-    configure(usualRoutes());
+    configure(defaultRoutes());
     list(plain1, "plain");
     list(plain2, "plain");
     list(engine1, "engines");
@@ -158,7 +158,7 @@
     return json;
 }
 
-std::vector<value> Fleet::usualRoutes()
+std::vector<value> Fleet::defaultRoutes()
 {
     std::vector<value> routes { route("/model/", "streaming", "engines"), route("/resume/", "streaming", "engines"),
         route("/get/", "idempotent", "plain"), route("/post/", "non_idempotent", "plain") };
@@ -296,7 +296,7 @@
     return parseAnswer(caller.readToEnd()).status == 200;
 }
 
-std::string Fleet::linesWith(const std::string& text) const
+std::string Fleet::logLinesContaining(const std::string& text) const
 {
     std::string found;
     for (const auto& file : std::filesystem::directory_iterator(folder_.file(""))) {
--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -93,13 +93,13 @@
     bool isReady();
     CallerAnswer call(const CallerRequest&, std::size_t router = 0);
     /// The lines of all processes' output, also of ended ones, that hold the text.
-    std::string linesWith(const std::string& text) const;
+    std::string logLinesContaining(const std::string& text) const;
     /// Writes the next version of the configuration: the routes, and the services of the engines and plain servers.
     void configure(const std::vector<web::json::value>& routes);
     void list(const ServerStandin&, const std::string& service, const std::string& state = "ready");
     /// The routes that each fleet begins with: `/model/` (streams), `/resume/` (streams that may be resumed), `/get/`
     /// (idempotent) and `/post/`.
-    static std::vector<web::json::value> usualRoutes();
+    static std::vector<web::json::value> defaultRoutes();
     static web::json::value route(const std::string& prefix, const std::string& kind, const std::string& service);
 
 private:
--- a/tests/fleet/serverstandins.cpp
+++ b/tests/fleet/serverstandins.cpp
@@ -33,7 +33,7 @@
     return found == runs_.end() ? 0 : found->second;
 }
 
-int ServerStandin::allRuns() const
+int ServerStandin::totalRuns() const
 {
     const std::lock_guard lock(mutex_);
     int all = 0;
@@ -206,7 +206,7 @@
         held_[model].insert(adapter);
     else
         beginLoad(model);
-    violations_ += held_.size() + loading_.size() > engineRoom ? 1 : 0;
+    violations_ += held_.size() + loading_.size() > engineCapacity ? 1 : 0;
     endLoads();
     lock.unlock();
     exchange.reply(202, "");
--- a/tests/fleet/serverstandins.h
+++ b/tests/fleet/serverstandins.h
@@ -32,7 +32,7 @@
     void restart();
     /// How often a request of this id was begun.
     int runs(const std::string& attempt) const;
-    int allRuns() const;
+    int totalRuns() const;
     /// When a request was begun last; the clock's epoch if none was.
     framework::SteadyTime lastRunAt() const;
     /// Runs whose caller closed the connection before their end.
@@ -96,9 +96,9 @@
     /// A load takes so long; the engine is busy until its end.
     void setLoadTime(framework::Milliseconds loadTime) { loadMs_ = static_cast<int>(loadTime.count()); }
     /// Loads are accepted, and don't end while this is set.
-    void setLoadsHeld(bool areHeld) { areLoadsHeld_ = areHeld; }
+    void setLoadsStalled(bool areHeld) { areLoadsHeld_ = areHeld; }
     /// The next stream ends in the middle of its event of this number.
-    void breakAfter(int event) { breakAfter_ = event; }
+    void cutStreamAt(int event) { breakAfter_ = event; }
 
 protected:
     bool answerOwn(standins::Exchange&) override;
@@ -127,6 +127,6 @@
 };
 
 /// Models that an engine stand-in has room for.
-inline constexpr std::size_t engineRoom = 2;
+inline constexpr std::size_t engineCapacity = 2;
 
 } // namespace lagoon::fleet
--- a/tests/fleet/storestandin.cpp
+++ b/tests/fleet/storestandin.cpp
@@ -89,7 +89,7 @@
     changed_.notify_all();
 }
 
-void StoreStandin::setAway(bool isAway)
+void StoreStandin::setUnavailable(bool isAway)
 {
     const std::lock_guard lock(mutex_);
     isAway_ = isAway;
--- a/tests/fleet/storestandin.h
+++ b/tests/fleet/storestandin.h
@@ -25,7 +25,7 @@
     void putRaw(const std::string& kind, const std::string& name, const std::string& bytes);
     void remove(const std::string& kind, const std::string& name);
     /// While it is away it answers 503 to all.
-    void setAway(bool isAway);
+    void setUnavailable(bool isAway);
     /// From now on no watch from before is answered.
     void forgetHistory();
     std::size_t calls() const;
--- a/tests/integration/direct_test.cpp
+++ b/tests/integration/direct_test.cpp
@@ -153,7 +153,7 @@
     int tries = 0;
     waitFor("streams to begin at the first engine and end at the other", [&] {
         const std::string id = "r" + std::to_string(++tries);
-        engine1.breakAfter(8);
+        engine1.cutStreamAt(8);
         const CallerAnswer answer
             = call({ .target = "/resume/1", .attempt = id, .model = "warm", .prompt = id + ":100" });
         const bool isResumed = engine1.runs(id) == 1 && engine2.runs(id) == 1;
@@ -167,7 +167,7 @@
 BOOST_AUTO_TEST_CASE(aStreamThatMustNotRunTwiceIsBrokenOff)
 {
     engine1.setStream(12, 1);
-    engine1.breakAfter(8);
+    engine1.cutStreamAt(8);
     const CallerAnswer answer = call({ .target = "/model/1", .attempt = "a1", .model = "warm" });
     BOOST_TEST(answer.status == 200);
     BOOST_TEST(!answer.isComplete);
@@ -188,13 +188,13 @@
 
 BOOST_AUTO_TEST_CASE(aNewConfigurationTakesEffectAndNoOlderOneReturns)
 {
-    auto routes = Fleet::usualRoutes();
+    auto routes = Fleet::defaultRoutes();
     routes.push_back(Fleet::route("/new/", "idempotent", "plain"));
     fleet.configure(routes);
     waitFor("the new route",
         [this] { return call({ .method = "GET", .target = "/new/1", .attempt = "n1" }).status == 200; });
     store.forgetHistory();
-    fleet.configure(Fleet::usualRoutes());
+    fleet.configure(Fleet::defaultRoutes());
     waitFor("the route to be gone",
         [this] { return call({ .method = "GET", .target = "/new/1", .attempt = "n2" }).status == 404; });
 }
@@ -204,22 +204,22 @@
     fleet.list(plain1, "plain", "draining");
     waitFor("the router to know",
         [this] { return fleet.router().output().find("\"state\":\"leaving\"") != std::string::npos; });
-    const int before = plain1.allRuns();
+    const int before = plain1.totalRuns();
     for (int request = 0; request < 20; ++request)
         BOOST_TEST(
             call({ .method = "GET", .target = "/get/1", .attempt = "g" + std::to_string(request) }).status == 200);
-    BOOST_TEST(plain1.allRuns() == before);
+    BOOST_TEST(plain1.totalRuns() == before);
 }
 
 // Prevents 404 answers to valid requests during an outage of the store of some seconds.
 BOOST_AUTO_TEST_CASE(requestsAreServedDuringAStoreOutage)
 {
-    store.setAway(true);
+    store.setUnavailable(true);
     waitFor("the router to notice", [this] { return fleet.router().output().find("store_lost") != std::string::npos; });
     BOOST_TEST(call({ .method = "GET", .target = "/get/1", .attempt = "g1" }).status == 200);
     BOOST_TEST(call({ .target = "/model/1", .attempt = "a1", .model = "warm" }).status == 200);
     BOOST_TEST(fleet.isReady());
-    store.setAway(false);
+    store.setUnavailable(false);
     waitFor("the router to be back",
         [this] { return fleet.router().output().find("store_regained") != std::string::npos; });
 }
@@ -252,13 +252,13 @@
 BOOST_AUTO_TEST_CASE(aRouterWithoutConfigurationRefusesWithRetryAfter)
 {
     Fleet& fleet = Fleet::make();
-    fleet.store.setAway(true);
+    fleet.store.setUnavailable(true);
     fleet.startProcesses();
     BOOST_TEST(!fleet.isReady());
     const CallerAnswer refused = fleet.call({ .method = "GET", .target = "/get/1", .attempt = "g1" });
     BOOST_TEST(refused.status == 503);
     BOOST_TEST(!refused.headers.at("Retry-After").empty());
-    fleet.store.setAway(false);
+    fleet.store.setUnavailable(false);
     waitFor("the router to be ready", [&] { return fleet.isReady(); });
     waitFor(
         "a server", [&] { return fleet.call({ .method = "GET", .target = "/get/1", .attempt = "g2" }).status == 200; });
--- a/tests/integration/restartedserver_test.cpp
+++ b/tests/integration/restartedserver_test.cpp
@@ -98,10 +98,10 @@
     entry["state"] = value::string("Ready!");
     store.put("servers", plain1.instance(), entry);
     waitForLog("\"server_refused\"");
-    const int before = plain1.allRuns();
+    const int before = plain1.totalRuns();
     for (int request = 0; request < 20; ++request)
         BOOST_TEST(lookup("g" + std::to_string(request)).status == 200);
-    BOOST_TEST(plain1.allRuns() == before);
+    BOOST_TEST(plain1.totalRuns() == before);
     store.forgetHistory();
     waitForLog("\"store_history_gone\"");
     waitFor("the list to be read again", [this] { return logLines("\"kind\":\"servers\",\"objects\"") >= 2; });
@@ -109,7 +109,7 @@
     fleet.list(plain1, "plain");
     waitFor("the server to be used again", [&] {
         lookup("later");
-        return plain1.allRuns() > before;
+        return plain1.totalRuns() > before;
     });
 }
 
@@ -139,7 +139,7 @@
                 fleet.call({ .target = "/model/1", .attempt = "m" + attempt, .model = "warm" }, router).status == 200);
         }
     }
-    BOOST_TEST(plain1.allRuns() > 0);
+    BOOST_TEST(plain1.totalRuns() > 0);
     BOOST_TEST(logLines("\"server_refused\"") == specs.size());
     // The router still receives changes of the list.
     fleet.list(plain2, "plain", "draining");
--- a/tests/integration/routerend_test.cpp
+++ b/tests/integration/routerend_test.cpp
@@ -30,8 +30,8 @@
         fleet.setLoadTime(lagoon::framework::Milliseconds(6000));
         fleet.configure({ slowLoadRoute() });
         fleet.start();
-        fleet.engine1.setLoadsHeld(true);
-        fleet.engine2.setLoadsHeld(true);
+        fleet.engine1.setLoadsStalled(true);
+        fleet.engine2.setLoadsStalled(true);
     }
     ~RouterShutdownFixture() { fleet.stop(); }
 
--- a/tests/soak/faultinjector.cpp
+++ b/tests/soak/faultinjector.cpp
@@ -108,7 +108,7 @@
         return server.dropNext(static_cast<int>(1 + runLog_.draw(3)));
     default:
         runLog_.note("a stream cut within an event");
-        return fleet_.engine1.breakAfter(static_cast<int>(1 + runLog_.draw(streamEvents)));
+        return fleet_.engine1.cutStreamAt(static_cast<int>(1 + runLog_.draw(streamEvents)));
     }
 }
 
@@ -127,10 +127,10 @@
 {
     runLog_.note("the store goes away for a while");
     runLog_.beginFault(activeFaults_, std::nullopt);
-    fleet_.store.setAway(true);
+    fleet_.store.setUnavailable(true);
     const bool forgets = runLog_.draw(2) == 0;
     scheduler_.schedule(runLog_.drawDuration(50, 600), [this, forgets] {
-        fleet_.store.setAway(false);
+        fleet_.store.setUnavailable(false);
         if (forgets)
             fleet_.store.forgetHistory();
     });
@@ -138,7 +138,7 @@
 
 void FaultInjector::clearFaults()
 {
-    fleet_.store.setAway(false);
+    fleet_.store.setUnavailable(false);
     value noDelay;
     noDelay["to_server"] = value::number(0);
     noDelay["to_client"] = value::number(0);
@@ -151,7 +151,7 @@
         server->refuseNext(0);
         server->dropNext(0);
     }
-    fleet_.engine1.breakAfter(0);
+    fleet_.engine1.cutStreamAt(0);
     runLog_.note("all heals");
     runLog_.endFaults(activeFaults_);
 }
--- a/tests/soak/invariantchecker.cpp
+++ b/tests/soak/invariantchecker.cpp
@@ -58,7 +58,7 @@
 
 void InvariantChecker::fail(const std::string& invariant, const SentRequest& sent, int runs)
 {
-    runLog_.fail(invariant + ": " + describe(sent, runs) + "\n" + fleet_.linesWith(quoted(sent.attempt)));
+    runLog_.fail(invariant + ": " + describe(sent, runs) + "\n" + fleet_.logLinesContaining(quoted(sent.attempt)));
 }
 
 void InvariantChecker::check(const SentRequest& sent)
@@ -100,7 +100,7 @@
 {
     const Outcome& outcome = sent.outcome;
     return outcome.endReason == EndReason::Closed && outcome.status == 0 && runs == 0
-        && outcome.endedAt - outcome.sentAt < maxCloseRace && fleet_.linesWith(quoted(sent.attempt)).empty();
+        && outcome.endedAt - outcome.sentAt < maxCloseRace && fleet_.logLinesContaining(quoted(sent.attempt)).empty();
 }
 
 /// A whole request that a router has read gets a whole answer, and a failure only where a server failed, unless
--- a/tests/soak/standins.cpp
+++ b/tests/soak/standins.cpp
@@ -26,7 +26,7 @@
 
 std::vector<value> routesOf(const RunParameters& parameters, bool hasNewRoute)
 {
-    std::vector<value> routes = fleet::Fleet::usualRoutes();
+    std::vector<value> routes = fleet::Fleet::defaultRoutes();
     for (value& route : routes) {
         if (route.at("kind").as_string() == "streaming")
             route["target-latency-ms"] = value::number(static_cast<std::uint64_t>(parameters.targetLatency.count()));
