--- a/tests/fleet/fleet.cpp
+++ b/tests/fleet/fleet.cpp
@@ -50,7 +50,7 @@
     throw std::runtime_error("no free port for agents");
 }
 
-value model(const std::string& name, framework::Milliseconds loadTime)
+value modelProfile(const std::string& name, framework::Milliseconds loadTime)
 {
     value json;
     json["name"] = value::string(name);
@@ -61,7 +61,7 @@
     return json;
 }
 
-value services(const std::vector<std::string>& models, framework::Milliseconds loadTime)
+value serviceList(const std::vector<std::string>& models, framework::Milliseconds loadTime)
 {
     value engines;
     engines["name"] = value::string("engines");
@@ -71,15 +71,15 @@
     profile["max-adapters"] = value::number(3);
     profile["models"] = value::array();
     for (const std::string& name : models)
-        profile["models"][profile["models"].size()] = model(name, loadTime);
+        profile["models"][profile["models"].size()] = modelProfile(name, loadTime);
     engines["inference-engine"] = profile;
     value plain;
     plain["name"] = value::string("plain");
     plain["max-connections"] = value::number(100);
-    value both = value::array();
-    both[0] = engines;
-    both[1] = plain;
-    return both;
+    value services = value::array();
+    services[0] = engines;
+    services[1] = plain;
+    return services;
 }
 
 } // namespace
@@ -172,9 +172,9 @@
     version_ += 3;
     json["version"] = value::number(version_);
     json["routes"] = value::array();
-    for (const value& one : routes)
-        json["routes"][json["routes"].size()] = one;
-    json["services"] = services(models_, loadTime_);
+    for (const value& route : routes)
+        json["routes"][json["routes"].size()] = route;
+    json["services"] = serviceList(models_, loadTime_);
     json["a-field-of-tomorrow"] = value::boolean(true);
     store.put("config", "main", json);
 }
@@ -220,7 +220,7 @@
 EngineStandin& Fleet::addEngine()
 {
     const std::string number = std::to_string(engines() + 1);
-    return *added_.emplace_back(std::make_unique<EngineStandin>("e-" + number, "127.0.0." + number));
+    return *addedEngines_.emplace_back(std::make_unique<EngineStandin>("e-" + number, "127.0.0." + number));
 }
 
 EngineStandin& Fleet::engine(std::size_t index)
@@ -228,7 +228,7 @@
     constexpr std::size_t first = 2;
     if (index < first)
         return index == 0 ? engine1 : engine2;
-    return *added_.at(index - first);
+    return *addedEngines_.at(index - first);
 }
 
 void Fleet::startAgent(std::size_t index)
@@ -245,7 +245,7 @@
     agents_.resize(std::max(agents_.size(), index + 1));
     agents_[index].reset();
     agents_[index] = testsupport::startProgram(testsupport::Program::Lagoonrouter,
-        name + "-" + std::to_string(++starts_), { "direct-agent", "--settings", file }, folder_);
+        name + "-" + std::to_string(++startCount_), { "direct-agent", "--settings", file }, folder_);
 }
 
 std::string Fleet::writeRouterSettings(std::size_t index)
@@ -267,8 +267,8 @@
     routers_.resize(std::max(routers_.size(), index + 1));
     routers_[index].reset();
     routers_[index] = testsupport::startProgram(testsupport::Program::Lagoonrouter,
-        "router-" + std::to_string(index) + "-" + std::to_string(++starts_), { "direct-router", "--settings", file },
-        folder_);
+        "router-" + std::to_string(index) + "-" + std::to_string(++startCount_),
+        { "direct-router", "--settings", file }, folder_);
 }
 
 void Fleet::startProcesses()
--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -61,7 +61,7 @@
     /// One more engine, at an address of its own, empty and not listed yet; agents and engines have the same numbers.
     EngineStandin& addEngine();
     EngineStandin& engine(std::size_t index);
-    std::size_t engines() const { return 2 + added_.size(); }
+    std::size_t engines() const { return 2 + addedEngines_.size(); }
 
     void startProcesses();
     /// Starts one more process, or one that has ended again. Agents are 0 and 1 and those of added engines, routers
@@ -109,12 +109,12 @@
     testsupport::TemporaryFolder folder_;
     std::uint64_t version_ = 0;
     int agentPort_ = 0;
-    int starts_ = 0;
+    int startCount_ = 0;
     std::string storeEndpoint_;
     framework::Milliseconds grace_ { 8000 };
     framework::Milliseconds loadTime_ { 200 };
     std::vector<std::string> models_ { "warm", "cold", "colder" };
-    std::vector<std::unique_ptr<EngineStandin>> added_;
+    std::vector<std::unique_ptr<EngineStandin>> addedEngines_;
     std::vector<std::unique_ptr<testsupport::ChildProcess>> agents_;
     std::vector<std::unique_ptr<testsupport::ChildProcess>> routers_;
 };
--- a/tests/fleet/serverstandins.cpp
+++ b/tests/fleet/serverstandins.cpp
@@ -21,9 +21,9 @@
 
 void ServerStandin::restart()
 {
-    constexpr std::uint64_t secondStart = 5000;
-    forget();
-    started_ += secondStart;
+    constexpr std::uint64_t restartOffsetMs = 5000;
+    clearState();
+    started_ += restartOffsetMs;
 }
 
 int ServerStandin::runs(const std::string& attempt) const
@@ -60,14 +60,14 @@
     return last_.body;
 }
 
-HeaderMap ServerStandin::marks(const HttpRequest& request) const
+HeaderMap ServerStandin::responseHeaders(const HttpRequest& request) const
 {
     return { { "X-Request-Attempt", request.header("x-request-attempt") }, { "X-Response-Seal", "seal-" + instance_ } };
 }
 
 void ServerStandin::answer(Exchange& exchange)
 {
-    if (answerOwn(exchange))
+    if (answerControlRequest(exchange))
         return;
     const HttpRequest& request = exchange.request();
     const std::string attempt = request.header("x-request-attempt");
@@ -92,7 +92,7 @@
     }
     if (failures_ > 0) {
         --failures_;
-        return exchange.reply(500, "failed at " + instance_, marks(request));
+        return exchange.reply(500, "failed at " + instance_, responseHeaders(request));
     }
     run(exchange);
 }
@@ -100,7 +100,7 @@
 void PlainStandin::run(Exchange& exchange)
 {
     const HttpRequest& request = exchange.request();
-    exchange.reply(200, request.method + " " + request.path + " " + request.body, marks(request));
+    exchange.reply(200, request.method + " " + request.path + " " + request.body, responseHeaders(request));
 }
 
 void EngineStandin::hold(const std::string& model)
@@ -112,7 +112,7 @@
 bool EngineStandin::holds(const std::string& model, const std::string& adapter)
 {
     const std::lock_guard lock(mutex_);
-    endLoads();
+    finishDueLoads();
     const auto found = held_.find(model);
     return found != held_.end() && (adapter.empty() || found->second.contains(adapter));
 }
@@ -123,7 +123,7 @@
     pauseMs_ = pauseMs;
 }
 
-bool EngineStandin::answerOwn(Exchange& exchange)
+bool EngineStandin::answerControlRequest(Exchange& exchange)
 {
     if (exchange.request().path == "/-/report")
         answerReport(exchange);
@@ -140,13 +140,13 @@
     if (held_.contains(model))
         return;
     loading_.insert(model);
-    loadedAt_ = framework::Deadline::after(std::chrono::steady_clock::now(), Milliseconds(loadMs_.load()));
+    loadsEndAt_ = framework::Deadline::after(std::chrono::steady_clock::now(), Milliseconds(loadTimeMs_.load()));
 }
 
 /// With the lock held.
-void EngineStandin::endLoads()
+void EngineStandin::finishDueLoads()
 {
-    if (areLoadsHeld_ || !loadedAt_.hasPassed(std::chrono::steady_clock::now()))
+    if (areLoadsStalled_ || !loadsEndAt_.hasPassed(std::chrono::steady_clock::now()))
         return;
     for (const std::string& model : loading_)
         held_[model];
@@ -156,7 +156,7 @@
 void EngineStandin::answerReport(Exchange& exchange)
 {
     std::unique_lock lock(mutex_);
-    endLoads();
+    finishDueLoads();
     value report;
     report["phase"] = value::string("both");
     report["born"] = value::number(started());
@@ -185,7 +185,7 @@
     const std::string adapter = order.has_field("adapter") ? standins::textField(order, "adapter") : std::string();
     const bool isLoad = standins::textField(order, "operation") == "model_load";
     std::unique_lock lock(mutex_);
-    endLoads();
+    finishDueLoads();
     const std::uint64_t fence = standins::numberField(order, "fence");
     if (fence < fence_ || standins::numberField(order, "expected") != static_cast<std::uint64_t>(orders_.load())) {
         violations_ += fence < fence_ ? 1 : 0;
@@ -207,12 +207,12 @@
     else
         beginLoad(model);
     violations_ += held_.size() + loading_.size() > engineCapacity ? 1 : 0;
-    endLoads();
+    finishDueLoads();
     lock.unlock();
     exchange.reply(202, "");
 }
 
-void EngineStandin::forget()
+void EngineStandin::clearState()
 {
     const std::lock_guard lock(mutex_);
     held_.clear();
@@ -230,7 +230,7 @@
 
 void EngineStandin::run(Exchange& exchange)
 {
-    HeaderMap headers = marks(exchange.request());
+    HeaderMap headers = responseHeaders(exchange.request());
     headers["Content-Type"] = "text/event-stream";
     exchange.beginStream(200, headers);
     const std::uint64_t startedBefore = started();
@@ -241,8 +241,8 @@
         if (started() != startedBefore)
             return exchange.dropConnection();
         const std::string text = "id: " + std::to_string(event) + "\ndata: word" + std::to_string(event) + "\n\n";
-        if (event == breakAfter_) {
-            breakAfter_ = 0;
+        if (event == cutStreamAt_) {
+            cutStreamAt_ = 0;
             exchange.sendChunk(text.substr(0, text.size() / 2));
             return exchange.dropConnection();
         }
--- a/tests/fleet/serverstandins.h
+++ b/tests/fleet/serverstandins.h
@@ -47,12 +47,12 @@
     std::string lastBody() const;
 
 protected:
-    virtual bool answerOwn(standins::Exchange&) { return false; }
+    virtual bool answerControlRequest(standins::Exchange&) { return false; }
     /// Whether the server has what the request needs; else it is refused as not run.
     virtual bool canRun(const standins::HttpRequest&) { return true; }
     virtual void run(standins::Exchange&) = 0;
-    virtual void forget() { }
-    standins::HeaderMap marks(const standins::HttpRequest&) const;
+    virtual void clearState() { }
+    standins::HeaderMap responseHeaders(const standins::HttpRequest&) const;
     void noteCancelled() { ++cancelled_; }
 
 private:
@@ -94,23 +94,23 @@
     /// Events of a stream, and the pause before each.
     void setStream(int events, int pauseMs);
     /// A load takes so long; the engine is busy until its end.
-    void setLoadTime(framework::Milliseconds loadTime) { loadMs_ = static_cast<int>(loadTime.count()); }
+    void setLoadTime(framework::Milliseconds loadTime) { loadTimeMs_ = static_cast<int>(loadTime.count()); }
     /// Loads are accepted, and don't end while this is set.
-    void setLoadsStalled(bool areHeld) { areLoadsHeld_ = areHeld; }
+    void setLoadsStalled(bool areHeld) { areLoadsStalled_ = areHeld; }
     /// The next stream ends in the middle of its event of this number.
-    void cutStreamAt(int event) { breakAfter_ = event; }
+    void cutStreamAt(int event) { cutStreamAt_ = event; }
 
 protected:
-    bool answerOwn(standins::Exchange&) override;
+    bool answerControlRequest(standins::Exchange&) override;
     bool canRun(const standins::HttpRequest&) override;
     void run(standins::Exchange&) override;
-    void forget() override;
+    void clearState() override;
 
 private:
     void answerReport(standins::Exchange&);
     void answerOrder(standins::Exchange&);
     void beginLoad(const std::string& model);
-    void endLoads();
+    void finishDueLoads();
 
     mutable std::mutex mutex_;
     std::map<std::string, std::set<std::string>> held_;
@@ -119,11 +119,11 @@
     std::atomic<int> violations_ { 0 };
     std::atomic<int> events_ { 3 };
     std::atomic<int> pauseMs_ { 1 };
-    std::atomic<int> breakAfter_ { 0 };
-    std::atomic<bool> areLoadsHeld_ { false };
-    std::atomic<int> loadMs_ { 0 };
+    std::atomic<int> cutStreamAt_ { 0 };
+    std::atomic<bool> areLoadsStalled_ { false };
+    std::atomic<int> loadTimeMs_ { 0 };
     std::set<std::string> loading_;
-    framework::Deadline loadedAt_;
+    framework::Deadline loadsEndAt_;
 };
 
 /// Models that an engine stand-in has room for.
--- a/tests/fleet/storestandin.cpp
+++ b/tests/fleet/storestandin.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-const std::string root = "/-/objects/";
+const std::string objectsPath = "/-/objects/";
 
 value number(std::uint64_t count) { return value::number(count); }
 
@@ -58,18 +58,19 @@
 void StoreStandin::putRaw(const std::string& kind, const std::string& name, const std::string& bytes)
 {
     const std::lock_guard lock(mutex_);
-    const std::string place = "raw content " + std::to_string(raws_.size());
-    raws_["\"" + place + "\""] = bytes;
-    putLocked({ kind, name }, value::string(place));
+    const std::string placeholder = "raw content " + std::to_string(rawContents_.size());
+    rawContents_["\"" + placeholder + "\""] = bytes;
+    putLocked({ kind, name }, value::string(placeholder));
 }
 
 void StoreStandin::reply(Exchange& exchange, const value& answer) const
 {
     std::string text = answer.serialize();
     std::unique_lock lock(mutex_);
-    for (const auto& [place, bytes] : raws_) {
-        for (std::size_t at = text.find(place); at != std::string::npos; at = text.find(place, at + bytes.size()))
-            text.replace(at, place.size(), bytes);
+    for (const auto& [placeholder, bytes] : rawContents_) {
+        for (std::size_t at = text.find(placeholder); at != std::string::npos;
+             at = text.find(placeholder, at + bytes.size()))
+            text.replace(at, placeholder.size(), bytes);
     }
     lock.unlock();
     exchange.reply(200, text, { { "Content-Type", "application/json" } });
@@ -89,10 +90,10 @@
     changed_.notify_all();
 }
 
-void StoreStandin::setUnavailable(bool isAway)
+void StoreStandin::setUnavailable(bool isUnavailable)
 {
     const std::lock_guard lock(mutex_);
-    isAway_ = isAway;
+    isUnavailable_ = isUnavailable;
     changed_.notify_all();
 }
 
@@ -120,14 +121,14 @@
 {
     std::unique_lock lock(mutex_);
     ++calls_;
-    const bool isAway = isAway_;
+    const bool isUnavailable = isUnavailable_;
     lock.unlock();
-    if (isAway)
+    if (isUnavailable)
         return replyError(exchange, 503, "away");
     const std::string& path = exchange.request().path;
-    if (!path.starts_with(root))
+    if (!path.starts_with(objectsPath))
         return replyError(exchange, 404, "no such path");
-    const std::string rest = path.substr(root.size());
+    const std::string rest = path.substr(objectsPath.size());
     const std::size_t slash = rest.find('/');
     const std::string kind = rest.substr(0, slash);
     const std::string name = slash == std::string::npos ? std::string() : rest.substr(slash + 1);
@@ -182,11 +183,12 @@
     const std::uint64_t since = exchange.request().queryNumber("watch", 0);
     const std::chrono::milliseconds wait(exchange.request().queryNumber("wait-time-ms", 0));
     std::unique_lock lock(mutex_);
-    const auto isNews
-        = [&] { return isAway_ || since < historyFrom_ || (!history_.empty() && history_.back().revision > since); };
-    changed_.wait_for(lock, wait, isNews);
-    if (isAway_ || since < historyFrom_) {
-        const int status = isAway_ ? 503 : 410;
+    const auto hasChange = [&] {
+        return isUnavailable_ || since < historyFrom_ || (!history_.empty() && history_.back().revision > since);
+    };
+    changed_.wait_for(lock, wait, hasChange);
+    if (isUnavailable_ || since < historyFrom_) {
+        const int status = isUnavailable_ ? 503 : 410;
         lock.unlock();
         return replyError(exchange, status, "history gone, or away");
     }
--- a/tests/fleet/storestandin.h
+++ b/tests/fleet/storestandin.h
@@ -25,7 +25,7 @@
     void putRaw(const std::string& kind, const std::string& name, const std::string& bytes);
     void remove(const std::string& kind, const std::string& name);
     /// While it is away it answers 503 to all.
-    void setUnavailable(bool isAway);
+    void setUnavailable(bool isUnavailable);
     /// From now on no watch from before is answered.
     void forgetHistory();
     std::size_t calls() const;
@@ -59,10 +59,10 @@
     std::map<Key, Object> objects_;
     std::vector<Change> history_;
     /// By the content that stands for them.
-    std::map<std::string, std::string> raws_;
+    std::map<std::string, std::string> rawContents_;
     std::uint64_t revision_ = 1;
     std::uint64_t historyFrom_ = 0;
-    bool isAway_ = false;
+    bool isUnavailable_ = false;
     std::size_t calls_ = 0;
     standins::HttpServer server_;
     std::string endpoint_;
