--- a/tests/fleet/serverstandins.h
+++ b/tests/fleet/serverstandins.h
@@ -96,7 +96,7 @@
     /// A load takes so long; the engine is busy until its end.
     void setLoadTime(framework::Milliseconds loadTime) { loadTimeMs_ = static_cast<int>(loadTime.count()); }
     /// Loads are accepted, and don't end while this is set.
-    void setLoadsStalled(bool areHeld) { areLoadsStalled_ = areHeld; }
+    void setLoadsStalled(bool areStalled) { areLoadsStalled_ = areStalled; }
     /// The next stream ends in the middle of its event of this number.
     void cutStreamAt(int event) { cutStreamAt_ = event; }
 
