--- a/tests/soak/actionscheduler.h
+++ b/tests/soak/actionscheduler.h
@@ -7,11 +7,11 @@
 
 namespace lagoon::soak {
 
-/// What is to be done later, on the thread that looks: so that works and faults overlap.
+/// Runs actions after a delay, on the thread that calls `runDue`. Lets operations and faults overlap on one thread.
 class ActionScheduler {
 public:
     void schedule(framework::Milliseconds delay, std::function<void()> action);
-    /// Does what is due.
+    /// Runs the actions whose delay has passed.
     void runDue();
     bool isEmpty() const { return actions_.empty(); }
 
--- a/tests/soak/caller.cpp
+++ b/tests/soak/caller.cpp
@@ -12,7 +12,7 @@
 
 namespace beast = boost::beast;
 
-/// For a new connection on the same machine.
+/// For a connection to a process on the same machine.
 constexpr framework::Milliseconds connectTimeout { 1000 };
 
 EndReason endReasonOf(const boost::system::error_code& error)
@@ -62,7 +62,7 @@
     http::response_parser<http::string_body> parser;
     outcome.sentAt = std::chrono::steady_clock::now();
     stream_->expires_after(timeout_);
-    // An answer may come though the rest of the request can't be sent any more.
+    // A failed write is ignored: the router may answer before it has read the whole request.
     boost::asio::async_write(*stream_, boost::asio::buffer(text), [](const boost::system::error_code&, std::size_t) {});
     http::async_read(*stream_, buffer_, parser,
         [&failure](const boost::system::error_code& error, std::size_t) { failure = error; });
--- a/tests/soak/caller.h
+++ b/tests/soak/caller.h
@@ -14,15 +14,15 @@
 /// How one request ended for its caller.
 enum class EndReason : std::uint8_t {
     NotConnected, ///< nothing was sent
-    Answered, ///< a whole answer
-    Closed, ///< the connection ended before that
-    TimedOut ///< the caller's patience was over before that
+    Answered, ///< the whole answer was received
+    Closed, ///< the connection was closed before the whole answer was received
+    TimedOut ///< the caller's timeout passed before the whole answer was received
 };
 
-/// What became of one request, as its caller sees it.
+/// The outcome of one request, as its caller sees it.
 struct Outcome {
     EndReason endReason = EndReason::NotConnected;
-    /// 0 without an answer's head.
+    /// 0 if no header of an answer was received.
     int status = 0;
     std::string body;
     framework::SteadyTime sentAt {};
@@ -31,21 +31,21 @@
     bool isComplete() const { return endReason == EndReason::Answered; }
 };
 
-/// A caller that keeps its connection for the next request until the connection's end, or until an answer says that it
-/// ends.
+/// A caller that reuses its connection for further requests until the connection is closed or an answer says that it
+/// will be closed.
 class Caller {
 public:
-    /// The caller gives up an answer that isn't whole after so long.
+    /// `timeout`: how long `call` waits for the whole answer.
     explicit Caller(framework::Milliseconds timeout);
 
     bool isConnected() const { return stream_.has_value(); }
     bool connect(const std::string& endpoint);
     void close() { stream_.reset(); }
-    /// Sends the text on its connection and reads the answer.
+    /// Sends the text of a request on the connection and reads the answer.
     Outcome call(const std::string& text);
 
 private:
-    /// Runs what was begun on the connection to its end.
+    /// Blocks until the asynchronous operations on the connection have completed.
     void runToCompletion();
 
     framework::Milliseconds timeout_;
--- a/tests/soak/faultinjector.cpp
+++ b/tests/soak/faultinjector.cpp
@@ -11,7 +11,7 @@
 
 standins::FaultProxy* makeProxy(const std::string& endpoint)
 {
-    // Never destroyed: their threads still run when the program's static objects go.
+    // Never destroyed, because the proxies' threads still run while static objects are destroyed at exit.
     static auto& kept = *new std::vector<std::unique_ptr<standins::FaultProxy>>;
     return kept.emplace_back(std::make_unique<standins::FaultProxy>(Endpoint(endpoint), standins::Framing::None)).get();
 }
@@ -66,7 +66,7 @@
     value json;
     json[name] = what;
     if (proxies_.at(proxy)->setFaults(json).has_error())
-        runLog_.fail("a fault that the proxy doesn't know: " + name);
+        runLog_.fail("the proxy rejected the fault: " + name);
 }
 
 void FaultInjector::injectNetworkFault()
@@ -101,23 +101,24 @@
     runLog_.beginFault(activeFaults_, std::nullopt);
     switch (runLog_.draw(3)) {
     case 0:
-        runLog_.note("refusals at " + server.instance());
+        runLog_.note("refused requests at " + server.instance());
         return server.refuseNext(static_cast<int>(1 + runLog_.draw(4)));
     case 1:
         runLog_.note("lost answers at " + server.instance());
         return server.dropNext(static_cast<int>(1 + runLog_.draw(3)));
     default:
-        runLog_.note("a stream cut within an event");
+        runLog_.note("stream cut within an event");
         return fleet_.engine1.cutStreamAt(static_cast<int>(1 + runLog_.draw(streamEvents)));
     }
 }
 
-/// Under its id, empty. Not the engine behind the proxy: that one is listed at the proxy's address.
+/// Restarts `engine1` under the same id and without models. `engine2` can't be restarted in this way, because it is
+/// listed at its proxy's address.
 void FaultInjector::restartEngine(const PlannedOperations& operations)
 {
     if (!operations.isListed(0))
         return;
-    runLog_.note("engine starts again: " + fleet_.engine1.instance());
+    runLog_.note("engine restarted: " + fleet_.engine1.instance());
     runLog_.beginFault(activeFaults_, std::nullopt);
     fleet_.engine1.restart();
     fleet_.list(fleet_.engine1, "engines");
@@ -125,7 +126,7 @@
 
 void FaultInjector::injectStoreOutage()
 {
-    runLog_.note("the store goes away for a while");
+    runLog_.note("store unavailable for a while");
     runLog_.beginFault(activeFaults_, std::nullopt);
     fleet_.store.setUnavailable(true);
     const bool forgets = runLog_.draw(2) == 0;
@@ -152,7 +153,7 @@
         server->dropNext(0);
     }
     fleet_.engine1.cutStreamAt(0);
-    runLog_.note("all heals");
+    runLog_.note("all faults cleared");
     runLog_.endFaults(activeFaults_);
 }
 
--- a/tests/soak/faultinjector.h
+++ b/tests/soak/faultinjector.h
@@ -7,13 +7,14 @@
 
 namespace lagoon::soak {
 
-/// Faults from outside the processes: kills and stops, a store that goes away, lossy and silent connections, servers
-/// that refuse, lose or cut answers. Planned work comes between them.
+/// Injects faults from outside the processes: killed and stopped processes, store outages, cut, slow and silent
+/// connections, and servers that refuse requests or lose or cut answers. Planned operations are mixed in.
 class FaultInjector {
 public:
-    /// Puts a proxy before the store, a plain server and an engine.
+    /// Puts a proxy in front of the store, a plain server and an engine.
     FaultInjector(fleet::Fleet&, ActionScheduler&, RunLog&);
 
+    /// Injects one random fault or performs one planned operation.
     void inject(ProcessSupervisor&, PlannedOperations&);
     void clearFaults();
 
--- a/tests/soak/invariantchecker.cpp
+++ b/tests/soak/invariantchecker.cpp
@@ -8,12 +8,12 @@
 
 using framework::Milliseconds;
 
-/// A request that meets its connection's close is on its way no longer than this, also on a busy machine.
+/// A request that is sent while the router closes the connection ends within this time, also on a busy machine.
 constexpr Milliseconds maxCloseRace { 300 };
 
 bool isNotRunStatus(int status) { return status == 503 || status == 429 || status == 408 || status == 421; }
 
-/// As the log has it, so that no other attempt's name begins alike.
+/// Quoted as in the logs, so that an attempt whose name starts with this one's does not match.
 std::string quoted(const std::string& attempt) { return '"' + attempt + '"'; }
 
 std::string endText(EndReason reason)
@@ -26,7 +26,7 @@
     case EndReason::Closed:
         return "closed";
     case EndReason::TimedOut:
-        return "given up";
+        return "timed out";
     }
     return "";
 }
@@ -76,7 +76,7 @@
 {
     const int status = sent.outcome.status;
     if (!isRetryable(sent.kind) && runs > 1)
-        fail("ran twice", sent, runs);
+        fail("not retryable, but ran more than once", sent, runs);
     if (!isRetryable(sent.kind) && isNotRunStatus(status) && runs > 0)
         fail("refused as not run, but ran", sent, runs);
     if (status == 404 || status == 400)
@@ -89,11 +89,11 @@
     if (outcome.status != 200)
         return;
     if (isStream(sent.kind) && outcome.isComplete() && outcome.body != expectedStream())
-        fail("looks whole, but isn't", sent, runs);
+        fail("complete stream with missing or wrong events", sent, runs);
     if (isStream(sent.kind) && !outcome.isComplete() && !expectedStream().starts_with(outcome.body))
-        fail("events out of order", sent, runs);
+        fail("partial stream with missing or wrong events", sent, runs);
     if (!isStream(sent.kind) && outcome.isComplete() && outcome.body.find(sent.attempt) == std::string::npos)
-        fail("another request's answer", sent, runs);
+        fail("answer to another request", sent, runs);
 }
 
 bool InvariantChecker::isClosedUnread(const SentRequest& sent, int runs) const
@@ -103,9 +103,9 @@
         && outcome.endedAt - outcome.sentAt < maxCloseRace && fleet_.logLinesContaining(quoted(sent.attempt)).empty();
 }
 
-/// A whole request that a router has read gets a whole answer, and a failure only where a server failed, unless
-/// something unplanned struck. What met the close of its connection may stay unread: then no server ran it, it was
-/// closed just then, and no router's log names it.
+/// A request that a router has read must get a whole answer, and a failure only if a server failed, unless a fault was
+/// active. A request that was sent while the router closed the connection may stay unread: the connection is then
+/// closed within `maxCloseRace`, no server has run the request, and no router's log names it.
 void InvariantChecker::checkAnswered(const SentRequest& sent, int runs)
 {
     const Outcome& outcome = sent.outcome;
@@ -120,14 +120,14 @@
         ++report_.failedDuringFault;
         return;
     }
-    fail(outcome.isComplete() ? "failed though no server did" : "neither an answer nor a refusal", sent, runs);
+    fail(outcome.isComplete() ? "failed although no server failed" : "neither an answer nor a refusal", sent, runs);
 }
 
 void InvariantChecker::checkEngines()
 {
     for (std::size_t index = 0; index < fleet_.engines(); ++index) {
         if (fleet_.engine(index).violations() > 0)
-            runLog_.fail("an engine was ordered beyond what fits, or with an older fence");
+            runLog_.fail("an engine received an order beyond its capacity or with an older fencing token");
     }
 }
 
--- a/tests/soak/invariantchecker.h
+++ b/tests/soak/invariantchecker.h
@@ -6,7 +6,7 @@
 
 namespace lagoon::soak {
 
-/// Judges a run's requests from what callers and servers saw.
+/// Checks a run's requests against the invariants listed at `SoakRun`, using what callers and servers observed.
 class InvariantChecker {
 public:
     InvariantChecker(fleet::Fleet&, RunLog&, SoakReport&);
--- a/tests/soak/loadbalancer.cpp
+++ b/tests/soak/loadbalancer.cpp
@@ -9,7 +9,7 @@
 using framework::Milliseconds;
 
 constexpr Milliseconds checkInterval { 1000 };
-/// An answer that takes longer is a miss.
+/// A check that takes longer has failed.
 constexpr Milliseconds checkTimeout { 900 };
 constexpr int unhealthyThreshold = 2;
 const std::string readinessRequest = "GET /ready HTTP/1.1\r\nHost: balancer\r\nConnection: close\r\n\r\n";
@@ -68,7 +68,7 @@
 void LoadBalancer::healthCheckLoop(std::size_t index)
 {
     std::unique_lock lock(mutex_);
-    // Questions to different routers are spread over the second.
+    // The checks of the routers are spread evenly over the interval.
     stopped_.wait_for(lock, checkInterval * index / entries_.size(), [this] { return isStopping_; });
     while (!isStopping_) {
         Entry& entry = entries_[index];
--- a/tests/soak/loadbalancer.h
+++ b/tests/soak/loadbalancer.h
@@ -10,9 +10,9 @@
 
 namespace lagoon::soak {
 
-/// Which routers get new connections, as a balancer in front of them decides: it asks each router once a second whether
-/// it is ready, and takes it out after two failed questions in a row until one succeeds. While fewer than half are in,
-/// it uses all.
+/// Chooses the router for a new connection, as a load balancer in front of the routers does: it checks each router's
+/// readiness once a second, and ejects a router after two failed checks in a row until a check succeeds. While fewer
+/// than half of the routers are healthy, it uses all of them.
 class LoadBalancer {
 public:
     explicit LoadBalancer(std::size_t routers);
@@ -20,14 +20,14 @@
     LoadBalancer(const LoadBalancer&) = delete;
     LoadBalancer& operator=(const LoadBalancer&) = delete;
 
-    /// Where a router is reached from now on.
+    /// Sets the endpoints of a router that has been started.
     void setRouter(std::size_t index, const std::string& callers, const std::string& readiness);
 
     struct Choice {
         std::size_t router = 0;
         std::string endpoint;
     };
-    /// Nothing while no router has been set.
+    /// Returns std::nullopt while no router has been set.
     std::optional<Choice> choose(std::mt19937_64&) const;
 
 private:
--- a/tests/soak/loadgenerator.cpp
+++ b/tests/soak/loadgenerator.cpp
@@ -8,9 +8,9 @@
 
 using framework::Milliseconds;
 
-/// Beyond the deadline: a router has to answer by then.
+/// A router has to answer within this time after the request's deadline.
 constexpr Milliseconds timeoutBeyondDeadline { 2000 };
-/// One in so many requests, the caller ends its connection by itself, so that routers that come back get callers.
+/// On average, a caller closes its connection after this many requests, so that restarted routers get callers again.
 constexpr std::uint64_t requestsPerConnection = 20;
 constexpr Milliseconds reconnectPause { 20 };
 
--- a/tests/soak/loadgenerator.h
+++ b/tests/soak/loadgenerator.h
@@ -13,22 +13,25 @@
 
 namespace lagoon::soak {
 
-/// One request of a run.
+/// One request of a run and its outcome.
 struct SentRequest {
     std::string attempt;
+    /// One of `requestKinds`.
     std::string kind;
     std::size_t router = 0;
     framework::SteadyTime connectedAt {};
     Outcome outcome;
 };
 
-/// The prefixes of the routes that are asked for.
+/// The path prefixes of the routes that are requested.
 inline const std::vector<std::string> requestKinds { "/get/", "/post/", "/model/", "/resume/" };
 
+/// Whether a request of the kind may run more than once.
 bool isRetryable(const std::string& kind);
 bool isStream(const std::string& kind);
 
-/// The callers of a run, a thread each. They go on using their connections also after their router was told to end.
+/// Runs the callers, each on its own thread. A caller continues to use its connection after its router received
+/// SIGTERM.
 class LoadGenerator {
 public:
     LoadGenerator(const SoakSettings&, const RunParameters&, const LoadBalancer&);
@@ -36,11 +39,12 @@
     LoadGenerator(const LoadGenerator&) = delete;
     LoadGenerator& operator=(const LoadGenerator&) = delete;
 
-    /// Ends the callers after their requests under way.
+    /// Stops the callers after their requests in flight and returns all requests sent.
     std::vector<SentRequest> stop();
 
 private:
     void callLoop(std::size_t number);
+    /// Draws the kind of the request, sets it in `SentRequest`, and returns the text of the request.
     std::string drawRequest(SentRequest&, std::mt19937_64&) const;
 
     const SoakSettings& settings_;
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -38,7 +38,7 @@
     return settings;
 }
 
-/// Whether all promises were kept.
+/// Returns whether no invariant was violated.
 bool runSeed(const SoakSettings& settings)
 {
     SoakRun run(settings);
@@ -59,18 +59,19 @@
 
 } // namespace
 
-/// A run a seed; exit code 1 if a promise wasn't kept.
+/// Runs the soak once per seed. The exit code is 1 if an invariant was violated.
 int main(int argc, char** argv)
 {
     Arguments arguments;
     options::options_description description("directsoak");
     description.add_options()("first", options::value(&arguments.first), "the first seed")(
-        "seeds", options::value(&arguments.seeds), "how many")("seconds", options::value(&arguments.seconds),
-        "of work and faults a seed")("kind", options::value(&arguments.kind),
-        "planned (operators' work alone), mixed (faults too) or both (even seeds planned)")("routers",
-        options::value(&arguments.routers),
-        "how many, at least 2")("engines", options::value(&arguments.engines), "how many at first, at least 2")(
-        "loud", options::bool_switch(&arguments.isVerbose), "print what is done")("help", "this text");
+        "seeds", options::value(&arguments.seeds), "number of seeds")("seconds", options::value(&arguments.seconds),
+        "duration of operations and faults per seed, in seconds")("kind", options::value(&arguments.kind),
+        "planned (planned operations only), mixed (faults too) or both (even seeds are planned)")(
+        "routers", options::value(&arguments.routers), "number of routers, at least 2")(
+        "engines", options::value(&arguments.engines), "initial number of engines, at least 2")("loud",
+        options::bool_switch(&arguments.isVerbose),
+        "print each operation and fault when it happens")("help", "print this help");
     options::variables_map values;
     options::store(options::parse_command_line(argc, argv, description), values);
     options::notify(values);
--- a/tests/soak/plannedoperations.cpp
+++ b/tests/soak/plannedoperations.cpp
@@ -10,13 +10,15 @@
 
 using framework::Milliseconds;
 
-/// Between the ends of a series: several drain at the same time, and the first are back while the last still drain.
+/// The maximum time between two shutdowns of a series: short enough that several routers drain at the same time, and
+/// that the first have restarted while the last still drain.
 constexpr std::uint64_t seriesGapRangeMs = 2000;
-/// Routers pass an engine that leaves by within this time.
+/// Routers stop using an engine that leaves within this time.
 constexpr Milliseconds leavingNotice { 2000 };
-/// From its word to its end: it serves on beyond the notice, so that a router which still uses it is found out.
+/// The time from the start of an engine's removal until its agent is terminated. The engine serves for longer than
+/// `leavingNotice`, so that a router that still uses it is detected.
 constexpr Milliseconds removalDelay { 5000 };
-/// Engines leave while there are more than these, so that each service has one.
+/// Engines are only removed while there are more than this, so that each service keeps at least one.
 constexpr std::size_t minEngines = 2;
 constexpr std::size_t additionalEngines = 3;
 
@@ -57,7 +59,7 @@
     return std::find(listed_.begin(), listed_.end(), engine) != listed_.end();
 }
 
-/// One router always serves.
+/// Always leaves one router serving.
 void PlannedOperations::terminateRouters()
 {
     const std::size_t routers = supervisor_.count(Role::Router);
@@ -89,7 +91,7 @@
 void PlannedOperations::changeConfiguration()
 {
     hasNewRoute_ = !hasNewRoute_;
-    runLog_.note(hasNewRoute_ ? "a route more" : "a route less");
+    runLog_.note(hasNewRoute_ ? "route added" : "route removed");
     fleet_.configure(routesOf(parameters_, hasNewRoute_));
 }
 
@@ -100,13 +102,14 @@
     const std::size_t index = fleet_.engines();
     fleet::EngineStandin& engine = fleet_.addEngine();
     prepare(engine, parameters_);
-    runLog_.note("engine comes: " + engine.instance());
+    runLog_.note("engine added: " + engine.instance());
     supervisor_.startAgent(index);
     fleet_.list(engine, "engines");
     listed_.push_back(index);
 }
 
-/// Some say that they leave, of the others only the entry goes; they all serve on for a while.
+/// Engines with even numbers announce that they drain; of the others, only the entry in the store is removed. All
+/// continue to serve for `removalDelay`.
 void PlannedOperations::removeEngine()
 {
     if (listed_.size() <= minEngines)
@@ -114,7 +117,7 @@
     const std::size_t at = runLog_.draw(listed_.size());
     const std::size_t index = listed_[at];
     listed_.erase(listed_.begin() + static_cast<std::ptrdiff_t>(at));
-    runLog_.note("engine leaves: " + fleet_.engine(index).instance());
+    runLog_.note("engine removed: " + fleet_.engine(index).instance());
     const bool isSilent = index % 2 == 1;
     if (isSilent)
         fleet_.store.remove("servers", fleet_.engine(index).instance());
@@ -134,7 +137,7 @@
         if (engine.lastRunAt() <= removal.at + leavingNotice)
             continue;
         runLog_.fail("a request reached " + engine.instance() + " at " + runLog_.elapsedText(engine.lastRunAt())
-            + ", which left at " + runLog_.elapsedText(removal.at));
+            + ", which was removed at " + runLog_.elapsedText(removal.at));
     }
 }
 
--- a/tests/soak/plannedoperations.h
+++ b/tests/soak/plannedoperations.h
@@ -4,18 +4,18 @@
 
 namespace lagoon::soak {
 
-/// What operators and the platform do on purpose: routers and agents ended in order, alone and in series, reloads,
-/// changes of the configuration, engines that come empty and leave.
+/// Performs what operators and the platform do on purpose: graceful shutdowns of routers and agents, alone and in
+/// series, reloads, configuration changes, and engines that are added without models and removed.
 class PlannedOperations {
 public:
     PlannedOperations(fleet::Fleet&, ActionScheduler&, RunLog&, ProcessSupervisor&, const RunParameters&);
 
-    /// One piece of work; parts of it may come later.
+    /// Performs one random operation. Parts of it may be scheduled for later.
     void performOne();
-    /// Whether the engine has come and hasn't said that it leaves.
+    /// Whether the engine has been added and its removal has not begun.
     bool isListed(std::size_t engine) const;
-    /// Finds requests that reached an engine too long after the store was told that it leaves. For runs whose store is
-    /// never disturbed.
+    /// Reports engines that still received requests longer than `leavingNotice` after the store showed that they leave.
+    /// Only valid for runs without faults of the store.
     void checkRemovedEngines() const;
 
 private:
--- a/tests/soak/processsupervisor.cpp
+++ b/tests/soak/processsupervisor.cpp
@@ -10,9 +10,9 @@
 using framework::Deadline;
 using framework::Milliseconds;
 
-/// A process that was told to end is there no longer than its grace period; a busy machine may need more.
+/// Added to the grace period within which a process must end after SIGTERM, because a busy machine may need longer.
 constexpr Milliseconds terminationMargin { 10000 };
-/// Pauses of a stopped process: from a short one to one that others take for its end.
+/// How long a process stays stopped: from a short pause to one after which other processes consider it dead.
 constexpr std::uint64_t minPauseMs = 50;
 constexpr std::uint64_t pauseRangeMs = 900;
 constexpr std::uint64_t restartDelayRangeMs = 300;
@@ -81,7 +81,7 @@
     return slot.role == Role::Router ? dependencies_.fleet.router(slot.index) : dependencies_.fleet.agent(slot.index);
 }
 
-/// What strikes an agent strikes all routers.
+/// The router that a fault of the process affects; std::nullopt for an agent, whose faults affect all routers.
 std::optional<std::size_t> ProcessSupervisor::routerOf(const Slot& slot) const
 {
     return slot.role == Role::Router ? std::optional(slot.index) : std::nullopt;
@@ -156,7 +156,7 @@
         dependencies_.runLog.drawDuration(minPauseMs, pauseRangeMs), [this, role, index, name] {
             Slot& continued = slot(role, index);
             continued.isPaused = false;
-            // It may have been killed, and another one started.
+            // The process may have been killed and a new one started in its place.
             if (process(continued).name() != name)
                 return;
             dependencies_.runLog.note("SIGCONT " + name);
@@ -187,7 +187,7 @@
         return didEnd(slot);
     if (slot.state != State::Ending || !slot.endsBy.hasPassed(std::chrono::steady_clock::now()))
         return;
-    dependencies_.runLog.fail(process(slot).name() + " didn't end though it was told to:\n" + process(slot).log());
+    dependencies_.runLog.fail(process(slot).name() + " did not end after SIGTERM:\n" + process(slot).log());
     kill(slot.role, slot.index);
 }
 
@@ -196,10 +196,12 @@
     const int code = process(slot).waitForExit();
     const std::string name = process(slot).name();
     if (slot.state == State::Serving)
-        dependencies_.runLog.fail(name + " ended by itself with " + std::to_string(code) + ":\n" + process(slot).log());
+        dependencies_.runLog.fail(
+            name + " exited unexpectedly with status " + std::to_string(code) + ":\n" + process(slot).log());
     else if (code != 0)
-        dependencies_.runLog.fail(name + " didn't end in order, but with " + std::to_string(code));
-    dependencies_.runLog.note("gone: " + name);
+        dependencies_.runLog.fail(
+            name + " did not shut down gracefully, but exited with status " + std::to_string(code));
+    dependencies_.runLog.note("ended: " + name);
     scheduleStart(slot);
     slot.state = slot.comesBack ? State::Down : State::Retired;
 }
--- a/tests/soak/processsupervisor.h
+++ b/tests/soak/processsupervisor.h
@@ -13,8 +13,8 @@
 
 enum class Role : std::uint8_t { Router, Agent };
 
-/// The run's routers and agents: signals to them, their ends and new starts, which overlap. Main thread only: a process
-/// dies with the thread that started it.
+/// Starts, signals and restarts the run's routers and agents; several may be ending or starting at the same time. To be
+/// used on the main thread only, because a process is killed when the thread that started it ends.
 class ProcessSupervisor {
 public:
     struct Dependencies {
@@ -26,26 +26,31 @@
 
     ProcessSupervisor(const Dependencies&, const RunParameters&);
 
-    /// Takes over the fleet's first router and agents, and starts the others.
+    /// Takes over the router and the two agents that the fleet has started, and starts the others.
     void adopt(std::size_t routers, std::size_t agents);
     void startAgent(std::size_t index);
 
     std::size_t count(Role) const;
-    /// Runs, and wasn't told to end.
+    /// Whether the process is running and has not been told to terminate.
     bool isServing(Role, std::size_t index) const;
     std::size_t servingCount(Role) const;
 
-    /// All but `reload` do nothing unless the process serves; `kill` and `pause` also strike one that is ending.
+    // `terminate` signals only a process that is serving; `reload`, `kill` and `pause` also one that is terminating.
+
+    /// Sends SIGTERM.
     void terminate(Role, std::size_t index);
-    /// As `terminate`, for good.
+    /// Like `terminate`, but the process is not restarted.
     void retire(Role, std::size_t index);
+    /// Sends SIGHUP.
     void reload(Role, std::size_t index);
+    /// Sends SIGKILL and schedules a restart.
     void kill(Role, std::size_t index);
+    /// Sends SIGSTOP, and SIGCONT after a random time.
     void pause(Role, std::size_t index);
 
-    /// Finds processes that have ended, and starts them again after a while.
+    /// Detects processes that have ended and schedules their restarts.
     void poll();
-    /// Whether all that should serve do.
+    /// Whether all processes are serving, except for retired ones.
     bool areAllServing() const;
 
 private:
--- a/tests/soak/runlog.cpp
+++ b/tests/soak/runlog.cpp
@@ -9,7 +9,7 @@
 using framework::Milliseconds;
 using framework::SteadyTime;
 
-/// Routers and agents find each other and the store again within this time after a fault.
+/// Routers and agents have reconnected to each other and to the store within this time after a fault.
 constexpr Milliseconds recoveryTime { 5000 };
 
 } // namespace
--- a/tests/soak/runlog.h
+++ b/tests/soak/runlog.h
@@ -9,10 +9,11 @@
 
 namespace lagoon::soak {
 
-/// Faults that last, as the journal numbers them.
+/// Indices into the run log's faults, of faults that have not ended.
 using ActiveFaults = std::vector<std::size_t>;
 
-/// What a run did and found, and its chance: all of it on the run's main thread.
+/// Records what a run did and which invariants were violated, and draws its random numbers. To be used on the run's
+/// main thread only.
 class RunLog {
 public:
     RunLog(std::uint64_t seed, bool isVerbose);
@@ -20,18 +21,18 @@
     std::uint64_t draw(std::uint64_t bound) { return random_() % bound; }
     framework::Milliseconds drawDuration(std::uint64_t min, std::uint64_t range);
 
-    /// A piece of work or a fault.
+    /// Records an operation or a fault.
     void note(const std::string& what);
     void fail(const std::string& what) { violations_.push_back(what); }
-    /// Something unplanned at one router, or at what all share; it lasts until `endFaults`.
+    /// Records a fault that affects one router or, with std::nullopt, all of them. It lasts until `endFaults`.
     void beginFault(ActiveFaults& active, std::optional<std::size_t> router);
     void endFaults(ActiveFaults& active);
-    /// Whether something unplanned struck the router or what all share, from some seconds before `from` to `to`.
+    /// Whether a fault affected the router between `from` and `to`, or ended less than the recovery time before `from`.
     bool hadFault(std::size_t router, framework::SteadyTime from, framework::SteadyTime to) const;
 
     const std::vector<std::string>& notes() const { return notes_; }
     const std::vector<std::string>& violations() const { return violations_; }
-    /// Since the run's begin, for messages.
+    /// The time since the start of the run, for messages.
     std::string elapsedText(framework::SteadyTime) const;
 
 private:
--- a/tests/soak/soakrun.cpp
+++ b/tests/soak/soakrun.cpp
@@ -14,12 +14,12 @@
 using framework::Milliseconds;
 
 constexpr Milliseconds pollInterval { 10 };
-/// Between two pieces of planned work, and between two strikes.
+/// The pauses between two planned operations and between two faults.
 constexpr std::uint64_t minOperationPauseMs = 200;
 constexpr std::uint64_t operationPauseRangeMs = 1300;
 constexpr std::uint64_t minFaultPauseMs = 20;
 constexpr std::uint64_t faultPauseRangeMs = 200;
-/// Far longer than an answer takes after all has healed.
+/// Much longer than an answer takes once all faults have ended.
 constexpr Milliseconds probeTimeout { 22000 };
 
 } // namespace
@@ -98,21 +98,22 @@
         operations.checkRemovedEngines();
 }
 
-/// Ends only by an exception if a process doesn't come back: `ProcessSupervisor` kills those that don't end.
+/// Has no timeout of its own: `ProcessSupervisor` kills processes that do not end, and a process that does not start
+/// throws an exception.
 void SoakRun::waitForProcesses()
 {
     while (!scheduler_.isEmpty() || !supervisor_.areAllServing())
         pollFor(pollInterval);
 }
 
-/// Each kind of request, at each router.
+/// Waits until each kind of request is served at each router.
 void SoakRun::waitUntilServed()
 {
     int probe = 0;
     for (std::size_t router = 0; router < settings_.routers; ++router) {
         for (const std::string& kind : requestKinds) {
             if (!testsupport::isReached([&] { return isServed(kind, router, ++probe); }))
-                runLog_.fail(kind + " isn't served again at router " + std::to_string(router));
+                runLog_.fail(kind + " is not served again at router " + std::to_string(router));
         }
     }
 }
--- a/tests/soak/soakrun.h
+++ b/tests/soak/soakrun.h
@@ -8,23 +8,27 @@
 
 namespace lagoon::soak {
 
-/// Routers and agents as real processes between stand-ins, callers that keep their connections, and work and faults
-/// from outside the processes that follow from the seed and overlap.
+/// Runs routers and agents as real processes between stand-ins, with callers that keep their connections. Operations
+/// and faults follow from the seed, come from outside the processes, and may overlap.
 ///
-/// Checked from what callers and servers see: what must not run twice runs once at most; what is refused as not run
-/// hasn't run; what looks whole is whole and the right answer; what a router has read is answered or refused unless
-/// something unplanned struck; engines are never ordered beyond what fits; no process ends by itself, and each ends in
-/// order when it is told to; and all is served again soon after the last fault.
+/// Checks these invariants from what callers and servers observe:
+/// - a request that must not be repeated runs at most once
+/// - a request that is refused as not run has not run
+/// - an answer that looks complete is complete and belongs to its request
+/// - a request that a router has read is answered or refused, unless a fault was active
+/// - engines never receive orders beyond their capacity
+/// - no process ends without a signal, and each shuts down gracefully after SIGTERM
+/// - all kinds of requests are served again soon after the last fault
 class SoakRun {
 public:
     explicit SoakRun(const SoakSettings&);
     SoakReport run();
-    /// What was done, in order.
+    /// The operations and faults, in order.
     const std::vector<std::string>& notes() const { return runLog_.notes(); }
 
 private:
     void prepareFleet();
-    /// Goes on with what is under way.
+    /// Polls the processes and runs scheduled actions for the given time.
     void pollFor(framework::Milliseconds time);
     void runOperationsAndFaults();
     void waitForProcesses();
--- a/tests/soak/soaksettings.cpp
+++ b/tests/soak/soaksettings.cpp
@@ -8,18 +8,19 @@
 
 using framework::Milliseconds;
 
-/// Balancers need two seconds to notice, so a router can't end sooner.
+/// Load balancers need two seconds to notice that a router is not ready, so it must not end sooner.
 constexpr std::uint64_t minGraceMs = 3000;
-/// A load that begins just before a router's signal lasts beyond the router's end.
+/// A load that starts just before a router receives SIGTERM outlasts the router.
 constexpr std::uint64_t minLoadMs = 1500;
-/// Enough for one load before the own one, so that most requests wait for a load and not for their deadline.
+/// Requests have this much time beyond the grace period: enough for one other load before their own, so that most of
+/// them wait until their model is loaded and not until their deadline.
 constexpr Milliseconds deadlineBeyondGrace { 6000 };
-/// Callers a router: where loads are slow, most of them wait.
+/// The number of callers per router. With slow loads there are more, because most of them wait.
 constexpr std::size_t callersPerRouterSlowLoads = 6;
 constexpr std::size_t callersPerRouterFastLoads = 2;
-/// One in so many runs with faults has slow loads too.
+/// One in this many mixed runs has slow loads.
 constexpr std::uint64_t mixedRunsPerSlowLoads = 3;
-/// Models beyond what all engines have room for: some are always being loaded.
+/// The number of models beyond the capacity of all engines, so that some are always being loaded.
 constexpr std::size_t excessModels = 2;
 constexpr std::size_t modelsPerEngine = 2;
 
--- a/tests/soak/soaksettings.h
+++ b/tests/soak/soaksettings.h
@@ -9,48 +9,49 @@
 
 namespace lagoon::soak {
 
-/// What a run does to its processes.
+/// What happens to the processes during a run.
 enum class RunKind : std::uint8_t {
-    /// Operators' work alone, in series and overlapping: routers and agents are ended in order and started again,
-    /// configurations, engines that come and leave. Models take seconds to load. Every request has to end with an
-    /// answer.
+    /// Only planned operations, in series and overlapping: graceful restarts of routers and agents, configuration
+    /// changes, engines that are added and removed. Models take seconds to load. Every request must be answered.
     Planned,
-    /// Faults of processes, network, servers and store too.
+    /// Also faults of processes, network, servers and store.
     Mixed
 };
 
 struct SoakSettings {
     std::uint64_t seed = 1;
     RunKind kind = RunKind::Mixed;
-    /// How long work and faults come; what was broken heals after that.
+    /// How long operations and faults are started. After that, all faults are ended.
     framework::Milliseconds duration { 5000 };
     std::size_t routers = 2;
     std::size_t engines = 2;
+    /// Prints each operation and fault when it happens.
     bool isVerbose = false;
 };
 
-/// What a run found.
+/// The results of a run.
 struct SoakReport {
-    /// Promises that weren't kept; each names the request or process.
+    /// The invariants that were violated; each names the request or process. Printed as "promises broken".
     std::vector<std::string> violations;
     int requests = 0;
     int served = 0;
     int refused = 0;
-    /// Closed by the router before it can have read them.
+    /// Requests whose connection the router closed before it can have read them. Printed as "crossed a close".
     int closedUnread = 0;
-    /// Closed without a whole answer by something unplanned that struck.
+    /// Requests that failed or got no whole answer while a fault was active. Printed as "struck".
     int failedDuringFault = 0;
+    /// Planned operations and faults. Printed as "faults".
     int steps = 0;
 };
 
-/// What follows from a run's seed and kind besides the faults.
+/// The parameters that follow from a run's seed and kind, apart from operations and faults.
 struct RunParameters {
-    /// Routers' time from their signal to their end.
+    /// The routers' grace period: the maximum time from SIGTERM to their end.
     framework::Milliseconds grace { 8000 };
     framework::Milliseconds loadTime { 0 };
-    /// What requests say that they wait at most.
+    /// The deadline that requests carry.
     framework::Milliseconds deadline { 2500 };
-    /// The route's aim for a stream's first event: routers let callers wait four times as long.
+    /// The route's target latency of a stream's first event. Routers let requests wait up to four times as long.
     framework::Milliseconds targetLatency { 500 };
     std::size_t callers = 4;
     std::vector<std::string> models { "warm", "cold", "colder" };
--- a/tests/soak/standins.h
+++ b/tests/soak/standins.h
@@ -9,11 +9,11 @@
 
 inline constexpr int streamEvents = 6;
 
-/// What a whole stream's answer holds.
+/// The body of the answer to a stream that is sent whole.
 std::string expectedStream();
-/// As the run's terms ask.
+/// Sets the engine's stream length and load time for the run.
 void prepare(fleet::EngineStandin&, const RunParameters&);
-/// The fleet's usual routes, whose callers wait for a first event as long as the run's terms say, and one more or not.
+/// The fleet's default routes with the run's target latency, and optionally one more route.
 std::vector<web::json::value> routesOf(const RunParameters&, bool hasNewRoute);
 
 } // namespace lagoon::soak
