--- a/tests/fleet/fleet.cpp
+++ b/tests/fleet/fleet.cpp
@@ -35,8 +35,8 @@
     return !error;
 }
 
-/// Free at both engines' addresses, and below the ports that the system hands out by itself: one of those could be
-/// taken by any connection of this machine before an agent listens on it.
+/// Returns a port that is free at both engines' addresses and below the range of ephemeral ports: an ephemeral port
+/// could be taken by any connection of this machine before an agent listens on it.
 int freePort()
 {
     constexpr int lowest = 20000;
@@ -133,7 +133,7 @@
 
 Fleet& Fleet::make()
 {
-    // Never destroyed: the stand-ins' threads still run when the program's static objects go.
+    // Never destroyed, because the stand-ins' threads still run while static objects are destroyed at exit.
     static auto& kept = *new std::vector<std::unique_ptr<Fleet>>;
     return *kept.emplace_back(std::make_unique<Fleet>());
 }
@@ -282,7 +282,7 @@
 {
     startProcesses();
     testsupport::waitFor("the router to be ready", [this] { return isReady(); });
-    testsupport::waitFor("both agents to be heard", [this] {
+    testsupport::waitFor("the router to hear from both agents", [this] {
         const std::string log = router().output();
         const std::size_t first = log.find("\"agent_heard\"");
         return first != std::string::npos && log.find("\"agent_heard\"", first + 1) != std::string::npos;
--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -14,19 +14,19 @@
 
 namespace lagoon::fleet {
 
-/// What a caller sees of its answer.
+/// An answer as its caller receives it.
 struct CallerAnswer {
     int status = 0;
     std::map<std::string, std::string> headers;
     std::string body;
-    /// By its length or its last chunk.
+    /// Whether the answer was received whole, by its Content-Length or its last chunk.
     bool isComplete = false;
 };
 
-/// Of all that came on the connection.
+/// Parses everything that was received on a connection as one answer.
 CallerAnswer parseAnswer(const std::string& received);
 
-/// How a caller asks.
+/// A caller's request.
 struct CallerRequest {
     std::string method = "POST";
     std::string target = {};
@@ -41,15 +41,16 @@
     std::string text() const;
 };
 
-/// A store, two engines, two plain servers, and the product's real processes between: a direct router, and a direct
-/// agent beside each engine. All on loopback; each engine has an address of its own, as its agent is found there.
+/// Stand-ins of a store, two engines and two plain servers, and real processes of the product: a direct router, and a
+/// direct agent for each engine. All listen on loopback. Each engine has an address of its own, because routers connect
+/// to an engine's agent at the engine's address.
 class Fleet {
 public:
     Fleet();
     ~Fleet();
-    /// The stand-ins' threads end only with the test's process, so what they use is kept until then.
+    /// Creates a fleet that is never destroyed, because the stand-ins' threads run until the test's process ends.
     static Fleet& make();
-    /// Ends the processes.
+    /// Kills the processes.
     void stop();
 
     StoreStandin store;
@@ -58,47 +59,51 @@
     EngineStandin engine1 { "e-1", "127.0.0.1" };
     EngineStandin engine2 { "e-2", "127.0.0.2" };
 
-    /// One more engine, at an address of its own, empty and not listed yet; agents and engines have the same numbers.
+    /// Adds an engine at an address of its own, without models and not yet listed in the store. An engine's agent has
+    /// the same index as the engine.
     EngineStandin& addEngine();
     EngineStandin& engine(std::size_t index);
     std::size_t engines() const { return 2 + addedEngines_.size(); }
 
     void startProcesses();
-    /// Starts one more process, or one that has ended again. Agents are 0 and 1 and those of added engines, routers
-    /// from 0.
+    /// Starts a further router, or restarts one. Indices start at 0.
     void startRouter(std::size_t index);
+    /// Starts the agent of an engine, or restarts it. Indices 0 and 1 are those of `engine1` and `engine2`; added
+    /// engines follow.
     void startAgent(std::size_t index);
-    /// Anew, as they are to be by now; returns the file.
+    /// Rewrites the router's settings file from the current values and returns its path.
     std::string writeRouterSettings(std::size_t index);
-    /// Starts the processes and waits until the router is ready and has heard both agents.
+    /// Starts the processes and waits until the router is ready and has received a message from both agents.
     void start();
     testsupport::ChildProcess& router(std::size_t index = 0) { return *routers_.at(index); }
     testsupport::ChildProcess& agent(std::size_t index) { return *agents_.at(index); }
     std::string callers(std::size_t index = 0) { return router(index).readyText("callers"); }
     std::string readiness(std::size_t index) { return router(index).readyText("readiness"); }
-    /// Processes reach the store under this endpoint in place of its own, and callers' requests reach a server so.
+    /// Sets the endpoint at which processes that are started from now on reach the store, such as that of a proxy.
     void setStoreEndpoint(const std::string& endpoint) { storeEndpoint_ = endpoint; }
-    /// For routers that start from now on: from the signal to end until they would be ended by force.
+    /// Sets the grace period of routers that are started from now on: the maximum time from SIGTERM to their end.
     void setGrace(framework::Milliseconds grace) { grace_ = grace; }
-    /// What the next configurations say that a model's load takes.
+    /// Sets the load time of models in configurations that are written from now on.
     void setLoadTime(framework::Milliseconds time) { loadTime_ = time; }
-    /// The models that the next configurations name for the engines.
+    /// Sets the engines' models in configurations that are written from now on.
     void setModels(std::vector<std::string> models) { models_ = std::move(models); }
+    /// Writes a server's entry with the given endpoint, such as that of a proxy, into the store's list of servers.
     void listAt(const ServerStandin&, const std::string& service, const std::string& endpoint,
         const std::string& state = "ready");
-    /// What a server writes into the list.
+    /// The entry that a server writes into the list.
     static web::json::value entry(const ServerStandin&, const std::string& service, const std::string& endpoint,
         const std::string& state = "ready");
-    /// Whether a `GET` at the router's readiness endpoint is answered 200.
+    /// Whether the router's readiness endpoint answers a `GET` with 200.
     bool isReady();
     CallerAnswer call(const CallerRequest&, std::size_t router = 0);
-    /// The lines of all processes' output, also of ended ones, that hold the text.
+    /// Returns the lines that contain the text from the output of all processes, including those that have ended.
     std::string logLinesContaining(const std::string& text) const;
     /// Writes the next version of the configuration: the routes, and the services of the engines and plain servers.
     void configure(const std::vector<web::json::value>& routes);
+    /// Writes a server's entry into the store's list of servers.
     void list(const ServerStandin&, const std::string& service, const std::string& state = "ready");
-    /// The routes that each fleet begins with: `/model/` (streams), `/resume/` (streams that may be resumed), `/get/`
-    /// (idempotent) and `/post/`.
+    /// The routes of each fleet's first configuration: `/model/` (streams), `/resume/` (streams that may be resumed),
+    /// `/get/` (idempotent) and `/post/`.
     static std::vector<web::json::value> defaultRoutes();
     static web::json::value route(const std::string& prefix, const std::string& kind, const std::string& service);
 
--- a/tests/fleet/runningfleet.h
+++ b/tests/fleet/runningfleet.h
@@ -4,7 +4,7 @@
 
 namespace lagoon::fleet {
 
-/// A fleet that runs as long as a test's case, with its stand-ins by name.
+/// A test fixture: a fleet that runs for the duration of a test case, and references to its stand-ins.
 struct RunningFleet {
     RunningFleet() { fleet.start(); }
     ~RunningFleet() { fleet.stop(); }
--- a/tests/fleet/serverstandins.cpp
+++ b/tests/fleet/serverstandins.cpp
@@ -134,7 +134,7 @@
     return true;
 }
 
-/// With the lock held.
+/// `mutex_` must be held.
 void EngineStandin::beginLoad(const std::string& model)
 {
     if (held_.contains(model))
@@ -143,7 +143,7 @@
     loadsEndAt_ = framework::Deadline::after(std::chrono::steady_clock::now(), Milliseconds(loadTimeMs_.load()));
 }
 
-/// With the lock held.
+/// `mutex_` must be held.
 void EngineStandin::finishDueLoads()
 {
     if (areLoadsStalled_ || !loadsEndAt_.hasPassed(std::chrono::steady_clock::now()))
--- a/tests/fleet/serverstandins.h
+++ b/tests/fleet/serverstandins.h
@@ -14,8 +14,8 @@
 
 namespace lagoon::fleet {
 
-/// What servers of both kinds have in common: they check whom a request is meant for, mark their answers, and keep
-/// count.
+/// The common part of plain servers and engines: checks that a request is meant for this instance, sets the headers of
+/// answers, and counts runs.
 class ServerStandin {
 public:
     ServerStandin(std::string instance, const std::string& address);
@@ -25,32 +25,36 @@
 
     const std::string& instance() const { return instance_; }
     std::string endpoint() const { return endpoint_; }
-    /// Unix milliseconds of its start. Another start under the same id has a later one.
+    /// The server's start time in Unix milliseconds. A restart under the same id has a later one.
     std::uint64_t started() const { return started_; }
-    /// As a crash and a new start: streams are cut in the middle, and nothing is known of before, but for the counts of
-    /// runs that tests ask for.
+    /// Simulates a crash and a restart: streams are cut off and the server's state is lost. The counts of runs are kept
+    /// for the tests.
     void restart();
-    /// How often a request of this id was begun.
+    /// How many times a request with this id was started.
     int runs(const std::string& attempt) const;
+    /// How many times any request was started.
     int totalRuns() const;
-    /// When a request was begun last; the clock's epoch if none was.
+    /// When the last request was started; the clock's epoch if there was none.
     framework::SteadyTime lastRunAt() const;
-    /// Runs whose caller closed the connection before their end.
+    /// The number of runs whose connection was closed before their end.
     int cancelled() const { return cancelled_; }
-    /// The next requests are refused as not run.
+    /// Refuses the next requests as not run.
     void refuseNext(int count) { refusals_ = count; }
-    /// The next ones are begun, and their connection is closed without an answer.
+    /// Starts the next requests, but closes their connections without an answer.
     void dropNext(int count) { drops_ = count; }
-    /// The next ones are begun, and answered with 500 as the server's own.
+    /// Starts the next requests, but answers them with the server's own 500.
     void failNext(int count) { failures_ = count; }
+    /// A header of the last request that was started.
     std::string lastHeader(const std::string& name) const;
     std::string lastBody() const;
 
 protected:
+    /// Answers requests to the server's own paths. Returns false for all other requests.
     virtual bool answerControlRequest(standins::Exchange&) { return false; }
-    /// Whether the server has what the request needs; else it is refused as not run.
+    /// Whether the server has what the request needs, such as its model. If not, the request is refused as not run.
     virtual bool canRun(const standins::HttpRequest&) { return true; }
     virtual void run(standins::Exchange&) = 0;
+    /// Discards the state that a crash loses.
     virtual void clearState() { }
     standins::HeaderMap responseHeaders(const standins::HttpRequest&) const;
     void noteCancelled() { ++cancelled_; }
@@ -72,7 +76,7 @@
     std::string endpoint_;
 };
 
-/// A plain service's server: answers with what it got.
+/// A server of a plain service: answers with the method, path and body of the request.
 class PlainStandin final : public ServerStandin {
 public:
     using ServerStandin::ServerStandin;
@@ -81,23 +85,24 @@
     void run(standins::Exchange&) override;
 };
 
-/// A model engine: holds models and adapters as it is ordered, and streams numbered events.
+/// An inference engine: loads and unloads models and adapters as ordered, and answers with a stream of numbered events.
 class EngineStandin final : public ServerStandin {
 public:
     using ServerStandin::ServerStandin;
 
+    /// Makes the model loaded without an order.
     void hold(const std::string& model);
     bool holds(const std::string& model, const std::string& adapter = {});
     int orders() const { return orders_; }
-    /// Orders beyond what fits, or with a lower fence than one before.
+    /// The number of orders beyond the engine's capacity or with a lower fencing token than an earlier order.
     int violations() const { return violations_; }
-    /// Events of a stream, and the pause before each.
+    /// Sets the number of events of a stream and the pause before each event.
     void setStream(int events, int pauseMs);
-    /// A load takes so long; the engine is busy until its end.
+    /// Sets how long a load takes. The engine is busy until the load ends.
     void setLoadTime(framework::Milliseconds loadTime) { loadTimeMs_ = static_cast<int>(loadTime.count()); }
-    /// Loads are accepted, and don't end while this is set.
+    /// While set, loads are accepted but do not end.
     void setLoadsStalled(bool areStalled) { areLoadsStalled_ = areStalled; }
-    /// The next stream ends in the middle of its event of this number.
+    /// Cuts the next stream in the middle of the event with this number.
     void cutStreamAt(int event) { cutStreamAt_ = event; }
 
 protected:
@@ -126,7 +131,7 @@
     framework::Deadline loadsEndAt_;
 };
 
-/// Models that an engine stand-in has room for.
+/// The number of models that an engine stand-in has capacity for.
 inline constexpr std::size_t engineCapacity = 2;
 
 } // namespace lagoon::fleet
--- a/tests/fleet/storestandin.cpp
+++ b/tests/fleet/storestandin.cpp
@@ -154,7 +154,7 @@
     reply(exchange, found);
 }
 
-/// Two objects a page, so that every list has several.
+/// A page has two objects, so that a list has several pages.
 void StoreStandin::answerList(Exchange& exchange, const std::string& kind)
 {
     constexpr std::size_t page = 2;
--- a/tests/fleet/storestandin.h
+++ b/tests/fleet/storestandin.h
@@ -10,24 +10,26 @@
 #include <string>
 #include <vector>
 
-/// Stand-ins for what the users' platform has around the direct processes, in the test's own process.
+/// Stand-ins, in the test's own process, for the parts of the users' platform that the direct processes communicate
+/// with.
 namespace lagoon::fleet {
 
-/// The platform's metadata store: objects by kind, with lists, watches and writes.
+/// The platform's metadata store: holds objects by kind and supports reads, lists, watches and writes.
 class StoreStandin {
 public:
     StoreStandin();
 
     std::string endpoint() const { return endpoint_; }
-    /// Writes as the operator or a server would; returns the new revision.
+    /// Writes an object as an operator or a server would. Returns the new revision.
     std::uint64_t put(const std::string& kind, const std::string& name, const web::json::value& content);
-    /// Writes bytes that needn't be JSON, and that answers contain as they are.
+    /// Writes an object whose content is bytes that need not be JSON. Answers contain the bytes unchanged.
     void putRaw(const std::string& kind, const std::string& name, const std::string& bytes);
     void remove(const std::string& kind, const std::string& name);
-    /// While it is away it answers 503 to all.
+    /// While unavailable, the store answers all requests with 503.
     void setUnavailable(bool isUnavailable);
-    /// From now on no watch from before is answered.
+    /// Discards the history of changes: watches from an earlier revision are answered with 410.
     void forgetHistory();
+    /// The number of requests received.
     std::size_t calls() const;
     bool has(const std::string& kind, const std::string& name) const;
 
@@ -50,7 +52,7 @@
     void answerWatch(standins::Exchange&, const std::string& kind);
     void answerWrite(standins::Exchange&, const std::string& kind, std::string name);
     std::uint64_t putLocked(const Key&, const web::json::value& content);
-    /// Answers with the raw contents in their places.
+    /// Replies with the JSON, with raw contents put in for their placeholders.
     void reply(standins::Exchange&, const web::json::value&) const;
     static web::json::value json(const std::string& name, const Object&);
 
@@ -58,7 +60,7 @@
     std::condition_variable changed_;
     std::map<Key, Object> objects_;
     std::vector<Change> history_;
-    /// By the content that stands for them.
+    /// The raw contents by their placeholders in the stored objects.
     std::map<std::string, std::string> rawContents_;
     std::uint64_t revision_ = 1;
     std::uint64_t historyFrom_ = 0;
