--- a/tests/fleet/fleet.cpp
+++ b/tests/fleet/fleet.cpp
@@ -35,8 +35,8 @@
     return !error;
 }
 
-/// Free at both engines' addresses, and below the ports that the system hands out by itself: one of those could be
-/// taken by any connection of this machine before an agent listens on it.
+/// Returns a port that is free at both engines' addresses and below the range of ephemeral ports: an ephemeral port
+/// could be taken by any connection of this machine before an agent listens on it.
 int freePort()
 {
     constexpr int lowest = 20000;
@@ -50,7 +50,7 @@
     throw std::runtime_error("no free port for agents");
 }
 
-value model(const std::string& name, framework::Milliseconds loadTime)
+value modelProfile(const std::string& name, framework::Milliseconds loadTime)
 {
     value json;
     json["name"] = value::string(name);
@@ -61,7 +61,7 @@
     return json;
 }
 
-value services(const std::vector<std::string>& models, framework::Milliseconds loadTime)
+value serviceList(const std::vector<std::string>& models, framework::Milliseconds loadTime)
 {
     value engines;
     engines["name"] = value::string("engines");
@@ -71,15 +71,15 @@
     profile["max-adapters"] = value::number(3);
     profile["models"] = value::array();
     for (const std::string& name : models)
-        profile["models"][profile["models"].size()] = model(name, loadTime);
+        profile["models"][profile["models"].size()] = modelProfile(name, loadTime);
     engines["inference-engine"] = profile;
     value plain;
     plain["name"] = value::string("plain");
     plain["max-connections"] = value::number(100);
-    value both = value::array();
-    both[0] = engines;
-    both[1] = plain;
-    return both;
+    value services = value::array();
+    services[0] = engines;
+    services[1] = plain;
+    return services;
 }
 
 } // namespace
@@ -122,7 +122,7 @@
     : agentPort_(freePort())
 {
     engine1.hold("warm");
-    configure(usualRoutes());
+    configure(defaultRoutes());
     list(plain1, "plain");
     list(plain2, "plain");
     list(engine1, "engines");
@@ -133,7 +133,7 @@
 
 Fleet& Fleet::make()
 {
-    // Never destroyed: the stand-ins' threads still run when the program's static objects go.
+    // Never destroyed, because the stand-ins' threads still run while static objects are destroyed at exit.
     static auto& kept = *new std::vector<std::unique_ptr<Fleet>>;
     return *kept.emplace_back(std::make_unique<Fleet>());
 }
@@ -158,7 +158,7 @@
     return json;
 }
 
-std::vector<value> Fleet::usualRoutes()
+std::vector<value> Fleet::defaultRoutes()
 {
     std::vector<value> routes { route("/model/", "streaming", "engines"), route("/resume/", "streaming", "engines"),
         route("/get/", "idempotent", "plain"), route("/post/", "non_idempotent", "plain") };
@@ -172,9 +172,9 @@
     version_ += 3;
     json["version"] = value::number(version_);
     json["routes"] = value::array();
-    for (const value& one : routes)
-        json["routes"][json["routes"].size()] = one;
-    json["services"] = services(models_, loadTime_);
+    for (const value& route : routes)
+        json["routes"][json["routes"].size()] = route;
+    json["services"] = serviceList(models_, loadTime_);
     json["a-field-of-tomorrow"] = value::boolean(true);
     store.put("config", "main", json);
 }
@@ -220,7 +220,7 @@
 EngineStandin& Fleet::addEngine()
 {
     const std::string number = std::to_string(engines() + 1);
-    return *added_.emplace_back(std::make_unique<EngineStandin>("e-" + number, "127.0.0." + number));
+    return *addedEngines_.emplace_back(std::make_unique<EngineStandin>("e-" + number, "127.0.0." + number));
 }
 
 EngineStandin& Fleet::engine(std::size_t index)
@@ -228,7 +228,7 @@
     constexpr std::size_t first = 2;
     if (index < first)
         return index == 0 ? engine1 : engine2;
-    return *added_.at(index - first);
+    return *addedEngines_.at(index - first);
 }
 
 void Fleet::startAgent(std::size_t index)
@@ -245,7 +245,7 @@
     agents_.resize(std::max(agents_.size(), index + 1));
     agents_[index].reset();
     agents_[index] = testsupport::startProgram(testsupport::Program::Lagoonrouter,
-        name + "-" + std::to_string(++starts_), { "direct-agent", "--settings", file }, folder_);
+        name + "-" + std::to_string(++startCount_), { "direct-agent", "--settings", file }, folder_);
 }
 
 std::string Fleet::writeRouterSettings(std::size_t index)
@@ -267,8 +267,8 @@
     routers_.resize(std::max(routers_.size(), index + 1));
     routers_[index].reset();
     routers_[index] = testsupport::startProgram(testsupport::Program::Lagoonrouter,
-        "router-" + std::to_string(index) + "-" + std::to_string(++starts_), { "direct-router", "--settings", file },
-        folder_);
+        "router-" + std::to_string(index) + "-" + std::to_string(++startCount_),
+        { "direct-router", "--settings", file }, folder_);
 }
 
 void Fleet::startProcesses()
@@ -282,7 +282,7 @@
 {
     startProcesses();
     testsupport::waitFor("the router to be ready", [this] { return isReady(); });
-    testsupport::waitFor("both agents to be heard", [this] {
+    testsupport::waitFor("the router to hear from both agents", [this] {
         const std::string log = router().output();
         const std::size_t first = log.find("\"agent_heard\"");
         return first != std::string::npos && log.find("\"agent_heard\"", first + 1) != std::string::npos;
@@ -296,7 +296,7 @@
     return parseAnswer(caller.readToEnd()).status == 200;
 }
 
-std::string Fleet::linesWith(const std::string& text) const
+std::string Fleet::logLinesContaining(const std::string& text) const
 {
     std::string found;
     for (const auto& file : std::filesystem::directory_iterator(folder_.file(""))) {
--- a/tests/soak/agenda.h
+++ b/tests/soak/actionscheduler.h
@@ -7,12 +7,12 @@
 
 namespace lagoon::soak {
 
-/// What is to be done later, on the thread that looks: so that works and faults overlap.
-class Agenda {
+/// Runs actions after a delay, on the thread that calls `runDue`. Lets operations and faults overlap on one thread.
+class ActionScheduler {
 public:
-    void after(framework::Milliseconds pause, std::function<void()> action);
-    /// Does what is due.
-    void look();
+    void schedule(framework::Milliseconds delay, std::function<void()> action);
+    /// Runs the actions whose delay has passed.
+    void runDue();
     bool isEmpty() const { return actions_.empty(); }
 
 private:
--- a/tests/soak/soakrun.cpp
+++ b/tests/soak/soakrun.cpp
@@ -13,119 +13,120 @@
 using framework::Deadline;
 using framework::Milliseconds;
 
-constexpr Milliseconds lookEach { 10 };
-/// Between two pieces of planned work, and between two strikes.
-constexpr std::uint64_t leastWorkPauseMs = 200;
-constexpr std::uint64_t workPauseSpreadMs = 1300;
-constexpr std::uint64_t leastStrikePauseMs = 20;
-constexpr std::uint64_t strikePauseSpreadMs = 200;
-/// Far longer than an answer takes after all has healed.
-constexpr Milliseconds probeTime { 22000 };
+constexpr Milliseconds pollInterval { 10 };
+/// The pauses between two planned operations and between two faults.
+constexpr std::uint64_t minOperationPauseMs = 200;
+constexpr std::uint64_t operationPauseRangeMs = 1300;
+constexpr std::uint64_t minFaultPauseMs = 20;
+constexpr std::uint64_t faultPauseRangeMs = 200;
+/// Much longer than an answer takes once all faults have ended.
+constexpr Milliseconds probeTimeout { 22000 };
 
 } // namespace
 
 SoakRun::SoakRun(const SoakSettings& settings)
     : settings_(settings)
-    , terms_(termsOf(settings))
+    , parameters_(parametersOf(settings))
     , fleet_(fleet::Fleet::make())
-    , journal_(settings.seed, settings.isLoud)
-    , rotation_(settings.routers)
-    , processes_({ fleet_, agenda_, journal_, rotation_ }, terms_)
+    , runLog_(settings.seed, settings.isVerbose)
+    , balancer_(settings.routers)
+    , supervisor_({ fleet_, scheduler_, runLog_, balancer_ }, parameters_)
 {
 }
 
 void SoakRun::prepareFleet()
 {
-    fleet_.setGrace(terms_.grace);
-    fleet_.setModels(terms_.models);
-    if (terms_.loadTime.count() > 0)
-        fleet_.setLoadTime(terms_.loadTime);
-    fleet_.configure(routesOf(terms_, false));
+    fleet_.setGrace(parameters_.grace);
+    fleet_.setModels(parameters_.models);
+    if (parameters_.loadTime.count() > 0)
+        fleet_.setLoadTime(parameters_.loadTime);
+    fleet_.configure(routesOf(parameters_, false));
     while (fleet_.engines() < settings_.engines)
         fleet_.list(fleet_.addEngine(), "engines");
     for (std::size_t index = 0; index < fleet_.engines(); ++index)
-        prepare(fleet_.engine(index), terms_);
+        prepare(fleet_.engine(index), parameters_);
     if (settings_.kind == RunKind::Mixed)
-        strikes_.emplace(fleet_, agenda_, journal_);
+        faultInjector_.emplace(fleet_, scheduler_, runLog_);
     fleet_.start();
-    processes_.adopt(settings_.routers, fleet_.engines());
+    supervisor_.adopt(settings_.routers, fleet_.engines());
 }
 
 SoakReport SoakRun::run()
 {
     prepareFleet();
-    Clients clients(settings_, terms_, rotation_);
-    disturb();
-    waitUntilBack();
-    if (strikes_)
-        strikes_->heal();
+    LoadGenerator generator(settings_, parameters_, balancer_);
+    runOperationsAndFaults();
+    waitForProcesses();
+    if (faultInjector_)
+        faultInjector_->clearFaults();
     waitUntilServed();
-    Promises promises(fleet_, journal_, report_);
-    for (const Sent& sent : clients.stop())
-        promises.check(sent);
-    promises.checkEngines();
+    InvariantChecker checker(fleet_, runLog_, report_);
+    for (const SentRequest& sent : generator.stop())
+        checker.check(sent);
+    checker.checkEngines();
     fleet_.stop();
-    report_.broken = journal_.broken();
+    report_.violations = runLog_.violations();
     return report_;
 }
 
-void SoakRun::attend(Milliseconds time)
+void SoakRun::pollFor(Milliseconds time)
 {
     const Deadline end = Deadline::after(std::chrono::steady_clock::now(), time);
     while (!end.hasPassed(std::chrono::steady_clock::now())) {
-        processes_.look();
-        agenda_.look();
-        std::this_thread::sleep_for(lookEach);
+        supervisor_.poll();
+        scheduler_.runDue();
+        std::this_thread::sleep_for(pollInterval);
     }
 }
 
-void SoakRun::disturb()
+void SoakRun::runOperationsAndFaults()
 {
-    PlannedWork work(fleet_, agenda_, journal_, processes_, terms_);
+    PlannedOperations operations(fleet_, scheduler_, runLog_, supervisor_, parameters_);
     const Deadline end = Deadline::after(std::chrono::steady_clock::now(), settings_.duration);
     while (!end.hasPassed(std::chrono::steady_clock::now())) {
-        ++report_.faults;
-        if (strikes_) {
-            strikes_->strike(processes_, work);
-            attend(journal_.drawTime(leastStrikePauseMs, strikePauseSpreadMs));
+        ++report_.steps;
+        if (faultInjector_) {
+            faultInjector_->inject(supervisor_, operations);
+            pollFor(runLog_.drawDuration(minFaultPauseMs, faultPauseRangeMs));
         } else {
-            work.step();
-            attend(journal_.drawTime(leastWorkPauseMs, workPauseSpreadMs));
+            operations.performOne();
+            pollFor(runLog_.drawDuration(minOperationPauseMs, operationPauseRangeMs));
         }
     }
-    waitUntilBack();
-    if (!strikes_)
-        work.checkLeft();
+    waitForProcesses();
+    if (!faultInjector_)
+        operations.checkRemovedEngines();
 }
 
-/// Ends only by an exception if a process doesn't come back: `Processes` kills those that don't end.
-void SoakRun::waitUntilBack()
+/// Has no timeout of its own: `ProcessSupervisor` kills processes that do not end, and a process that does not start
+/// throws an exception.
+void SoakRun::waitForProcesses()
 {
-    while (!agenda_.isEmpty() || !processes_.areAllBack())
-        attend(lookEach);
+    while (!scheduler_.isEmpty() || !supervisor_.areAllServing())
+        pollFor(pollInterval);
 }
 
-/// Each kind of request, at each router.
+/// Waits until each kind of request is served at each router.
 void SoakRun::waitUntilServed()
 {
     int probe = 0;
     for (std::size_t router = 0; router < settings_.routers; ++router) {
         for (const std::string& kind : requestKinds) {
             if (!testsupport::isReached([&] { return isServed(kind, router, ++probe); }))
-                journal_.fail(kind + " isn't served again at router " + std::to_string(router));
+                runLog_.fail(kind + " is not served again at router " + std::to_string(router));
         }
     }
 }
 
 bool SoakRun::isServed(const std::string& kind, std::size_t router, int probe)
 {
-    CallerRequest made;
-    made.method = kind == "/get/" ? "GET" : "POST";
-    made.target = kind + "probe";
-    made.attempt = "probe" + std::to_string(probe);
-    made.model = isStream(kind) ? "cold" : "";
-    Caller caller(probeTime);
-    return caller.connect(fleet_.callers(router)) && caller.ask(made.text()).status == 200;
+    CallerRequest request;
+    request.method = kind == "/get/" ? "GET" : "POST";
+    request.target = kind + "probe";
+    request.attempt = "probe" + std::to_string(probe);
+    request.model = isStream(kind) ? "cold" : "";
+    Caller caller(probeTimeout);
+    return caller.connect(fleet_.callers(router)) && caller.call(request.text()).status == 200;
 }
 
 } // namespace lagoon::soak
--- a/tests/soak/soaksettings.cpp
+++ b/tests/soak/soaksettings.cpp
@@ -8,38 +8,39 @@
 
 using framework::Milliseconds;
 
-/// Balancers need two seconds to notice, so a router can't end sooner.
-constexpr std::uint64_t leastGraceMs = 3000;
-/// A load that begins just before a router's signal lasts beyond the router's end.
-constexpr std::uint64_t leastLoadMs = 1500;
-/// Enough for one load before the own one, so that most requests wait for a load and not for their deadline.
-constexpr Milliseconds beyondGrace { 6000 };
-/// Callers a router: where loads are slow, most of them wait.
-constexpr std::size_t callersOfSlow = 6;
-constexpr std::size_t callersOfFast = 2;
-/// One in so many runs with faults has slow loads too.
-constexpr std::uint64_t mixedRunsPerSlow = 3;
-/// Models beyond what all engines have room for: some are always being loaded.
-constexpr std::size_t modelsTooMany = 2;
-constexpr std::size_t roomOfEngine = 2;
+/// Load balancers need two seconds to notice that a router is not ready, so it must not end sooner.
+constexpr std::uint64_t minGraceMs = 3000;
+/// A load that starts just before a router receives SIGTERM outlasts the router.
+constexpr std::uint64_t minLoadMs = 1500;
+/// Requests have this much time beyond the grace period: enough for one other load before their own, so that most of
+/// them wait until their model is loaded and not until their deadline.
+constexpr Milliseconds deadlineBeyondGrace { 6000 };
+/// The number of callers per router. With slow loads there are more, because most of them wait.
+constexpr std::size_t callersPerRouterSlowLoads = 6;
+constexpr std::size_t callersPerRouterFastLoads = 2;
+/// One in this many mixed runs has slow loads.
+constexpr std::uint64_t mixedRunsPerSlowLoads = 3;
+/// The number of models beyond the capacity of all engines, so that some are always being loaded.
+constexpr std::size_t excessModels = 2;
+constexpr std::size_t modelsPerEngine = 2;
 
 } // namespace
 
-RunTerms termsOf(const SoakSettings& settings)
+RunParameters parametersOf(const SoakSettings& settings)
 {
-    RunTerms terms;
-    const bool isSlow = settings.kind == RunKind::Planned || settings.seed % mixedRunsPerSlow == 0;
-    terms.callers = (isSlow ? callersOfSlow : callersOfFast) * settings.routers;
-    if (!isSlow)
-        return terms;
+    RunParameters parameters;
+    const bool hasSlowLoads = settings.kind == RunKind::Planned || settings.seed % mixedRunsPerSlowLoads == 0;
+    parameters.callers = (hasSlowLoads ? callersPerRouterSlowLoads : callersPerRouterFastLoads) * settings.routers;
+    if (!hasSlowLoads)
+        return parameters;
     std::mt19937_64 random(settings.seed * 31);
-    terms.grace = Milliseconds(leastGraceMs + random() % 3000);
-    terms.loadTime = Milliseconds(leastLoadMs + random() % 3000);
-    terms.deadline = terms.grace + beyondGrace;
-    terms.firstEventAim = terms.deadline;
-    while (terms.models.size() < settings.engines * roomOfEngine + modelsTooMany)
-        terms.models.push_back("cold-" + std::to_string(terms.models.size()));
-    return terms;
+    parameters.grace = Milliseconds(minGraceMs + random() % 3000);
+    parameters.loadTime = Milliseconds(minLoadMs + random() % 3000);
+    parameters.deadline = parameters.grace + deadlineBeyondGrace;
+    parameters.targetLatency = parameters.deadline;
+    while (parameters.models.size() < settings.engines * modelsPerEngine + excessModels)
+        parameters.models.push_back("cold-" + std::to_string(parameters.models.size()));
+    return parameters;
 }
 
 } // namespace lagoon::soak
