--- a/src/router/internal/home.cpp
+++ b/src/router/internal/home.cpp
@@ -365,7 +365,7 @@
     if (!search)
         return;
     search->isLoading = false;
-    context_.gate.ended(where, result.has_value() && result.value().is_loaded);
+    context_.gate.didEnd(where, result.has_value() && result.value().is_loaded);
     if (result.has_value() && result.value().is_loaded) {
         for (Candidate& candidate : search->candidates)
             candidate.isLoaded = candidate.isLoaded || candidate.vm == vm;
--- a/src/router/internal/loadgate.cpp
+++ b/src/router/internal/loadgate.cpp
@@ -43,7 +43,7 @@
         found->second.load.demand = demand;
 }
 
-void LoadGate::ended(const SiteTarget& where, bool isLoaded)
+void LoadGate::didEnd(const SiteTarget& where, bool isLoaded)
 {
     const auto found = entries_.find(where);
     if (found == entries_.end())
--- a/src/router/internal/loadgate.h
+++ b/src/router/internal/loadgate.h
@@ -45,7 +45,7 @@
     /// Updates the demand for a queued or running load. Has no effect if there is no such load.
     void setDemand(const SiteTarget&, const LoadDemand&);
     /// Removes a load that has ended. Records its duration if the target is loaded.
-    void ended(const SiteTarget&, bool isLoaded);
+    void didEnd(const SiteTarget&, bool isLoaded);
     /// Forecasts the end of a queued or running load. Returns an empty forecast if there is no such load.
     policy::LoadForecast forecast(const SiteTarget&) const;
 
--- a/src/router/tests/loadgate_test.cpp
+++ b/src/router/tests/loadgate_test.cpp
@@ -47,7 +47,7 @@
 
     void endRunning()
     {
-        gate_.ended(target("running"), true);
+        gate_.didEnd(target("running"), true);
         control_.advance(Milliseconds(1000));
     }
 
