--- a/src/router/internal/dispatcher.cpp
+++ b/src/router/internal/dispatcher.cpp
@@ -201,7 +201,7 @@
     entry.coldSince = entry.coldSince.value_or(context_.clock.now());
     const auto desired = static_cast<std::uint32_t>(context_.placements.vms(where->target).size() + 1);
     const WaitingRequest waiting { entry.request.deadline, entry.request.priority };
-    wakes_->wait(*where, number, waiting, std::min(desired, std::max(1U, replicaCap(*where))));
+    wakes_->startWaiting(*where, number, waiting, std::min(desired, std::max(1U, replicaCap(*where))));
 }
 
 /// Returns this router's site if possible, otherwise another site at which the bundle decides replicas: while a model
--- a/src/router/internal/wakes.cpp
+++ b/src/router/internal/wakes.cpp
@@ -25,7 +25,7 @@
 {
 }
 
-void Wakes::wait(
+void Wakes::startWaiting(
     const SiteTarget& where, RequestNumber number, const WaitingRequest& request, std::uint32_t desiredReplicas)
 {
     Waiting& waiting = targets_[where];
--- a/src/router/internal/wakes.h
+++ b/src/router/internal/wakes.h
@@ -50,7 +50,7 @@
 
     explicit Wakes(const Context&);
 
-    void wait(const SiteTarget&, RequestNumber, const WaitingRequest&, std::uint32_t desiredReplicas);
+    void startWaiting(const SiteTarget&, RequestNumber, const WaitingRequest&, std::uint32_t desiredReplicas);
     void stopWaiting(const SiteTarget&, RequestNumber);
     /// Requests another replica although no request waits. Sends at most one wake per second and target.
     void requestScaleUp(const SiteTarget&, std::uint32_t desiredReplicas, framework::Deadline usefulUntil);
