--- a/src/agent/internal/requestledger.cpp
+++ b/src/agent/internal/requestledger.cpp
@@ -155,12 +155,12 @@
             ++entry;
             continue;
         }
-        forget(entry->second);
+        removeFromTotals(entry->second);
         entry = session.entries.erase(entry);
     }
 }
 
-void RequestLedger::forget(const Entry& entry)
+void RequestLedger::removeFromTotals(const Entry& entry)
 {
     bytes_ -= entry.answer.bytes.size();
     --entries_;
@@ -177,7 +177,7 @@
     Session& session = sessions_.at(key.router);
     if (key.sequence >= session.floor)
         return;
-    forget(*entry);
+    removeFromTotals(*entry);
     session.entries.erase(key.sequence);
 }
 
--- a/src/agent/internal/requestledger.h
+++ b/src/agent/internal/requestledger.h
@@ -116,7 +116,7 @@
     const Entry* find(const DispatchKey&) const;
     Entry* findRunning(const DispatchKey&);
     void raiseFloor(framework::Incarnation router, Session&, framework::SequenceNumber floor);
-    void forget(const Entry&);
+    void removeFromTotals(const Entry&);
 
     framework::Incarnation own_;
     LedgerLimits limits_;
