--- a/src/agent/internal/replicacontroller.cpp
+++ b/src/agent/internal/replicacontroller.cpp
@@ -193,7 +193,7 @@
     }
     if (!isDraining_)
         admitWaitingLoads(now);
-    publish(now);
+    publishMetrics(now);
     if (isInTransition() && !isPollingFast_)
         pollEngine();
 }
@@ -521,7 +521,7 @@
     return (from(present) + from(std::max(present, policy::CheckpointLocation::Disk))) / 2;
 }
 
-void ReplicaController::publish(SteadyTime now)
+void ReplicaController::publishMetrics(SteadyTime now)
 {
     const double seconds = std::chrono::duration<double>(now - publishedAt_).count();
     publishedAt_ = now;
--- a/src/agent/internal/replicacontroller.h
+++ b/src/agent/internal/replicacontroller.h
@@ -162,7 +162,7 @@
     bool isRequested(const Replica&) const;
     EngineOrder orderFor(const Replica&) const;
 
-    void publish(framework::SteadyTime now);
+    void publishMetrics(framework::SteadyTime now);
 
     ReplicaPorts ports_;
     ReplicaSettings settings_;
--- a/src/agent/internal/requestgate.cpp
+++ b/src/agent/internal/requestgate.cpp
@@ -265,7 +265,7 @@
 {
     for (const WaitingDispatch& next : admission_.takeStartable())
         run(next.key);
-    publish();
+    publishMetrics();
 }
 
 void RequestGate::run(const DispatchKey& key)
@@ -505,7 +505,7 @@
         stop(key, drainingRefusal("the agent ends before its turn", Execution::NotRun));
 }
 
-void RequestGate::publish()
+void RequestGate::publishMetrics()
 {
     ports_.metrics->setGauge("lagoon_agent_running", running());
     ports_.metrics->setGauge("lagoon_agent_waiting", waiting());
--- a/src/agent/internal/requestgate.h
+++ b/src/agent/internal/requestgate.h
@@ -82,7 +82,7 @@
     void sendStored(const std::shared_ptr<wire::ILink>&, const DispatchKey&, std::uint64_t from);
     void sendHead(wire::ILink&, const DispatchKey&, const StoredAnswer&);
     void sendEnd(wire::ILink&, const DispatchKey&, const StoredAnswer&);
-    void publish();
+    void publishMetrics();
     std::optional<framework::Error> admissionRefusal(const Call&) const;
     std::optional<framework::Error> queueRefusal(const WaitingDispatch&, const Target&) const;
     framework::Deadline answerDeadline(framework::Deadline ofRequest) const;
