--- a/src/agent/internal/servicetimes.cpp
+++ b/src/agent/internal/servicetimes.cpp
@@ -28,8 +28,8 @@
 void ServiceTimes::record(const Target& target, Milliseconds took)
 {
     const auto number = static_cast<double>(took.count());
-    take(all_, number);
-    take(byTarget_[keyOf(target)], number);
+    update(all_, number);
+    update(byTarget_[keyOf(target)], number);
 }
 
 std::optional<policy::LoadTimeEstimate> ServiceTimes::estimateFor(const Target& target) const
@@ -40,7 +40,7 @@
     return estimate(found->second);
 }
 
-void ServiceTimes::take(Average& average, double milliseconds)
+void ServiceTimes::update(Average& average, double milliseconds)
 {
     if (!average.isKnown) {
         average = { milliseconds, 0, true };
--- a/src/agent/internal/servicetimes.h
+++ b/src/agent/internal/servicetimes.h
@@ -27,7 +27,7 @@
         bool isKnown = false;
     };
 
-    static void take(Average&, double milliseconds);
+    static void update(Average&, double milliseconds);
     static policy::LoadTimeEstimate estimate(const Average&);
 
     Average all_;
