--- a/src/agent/internal/requestgate.cpp
+++ b/src/agent/internal/requestgate.cpp
@@ -21,7 +21,7 @@
 
 constexpr std::size_t maxChunkBytes = std::size_t(256) * 1024;
 constexpr std::uint8_t maxPriority = 9;
-constexpr Milliseconds retryWhenFull { 500 };
+constexpr Milliseconds retryWhenQueueFull { 500 };
 /// Retry delay of requests that are refused because the agent shuts down; another upstream may serve them immediately.
 constexpr Milliseconds retryWhenDraining { 1000 };
 constexpr unsigned short notFound = 404;
@@ -157,7 +157,7 @@
         refused = queueRefusal(waiting, target);
         if (!refused && !admission_.enqueue(waiting)) {
             refused = refusal(ErrorCode::TooManyWaiting, "the agent's queue is full", Execution::NotRun);
-            refused->retryAfter = retryWhenFull;
+            refused->retryAfter = retryWhenQueueFull;
         }
         if (refused)
             ports_.targets.endUse(target, ports_.clock.now());
