--- a/src/router/internal/idempotencykeys.cpp
+++ b/src/router/internal/idempotencykeys.cpp
@@ -132,7 +132,7 @@
 void IdempotencyKeys::waitUntilSettled(Deadline deadline)
 {
     std::unique_lock lock(callsMutex_);
-    isSettled_.wait_until(lock, deadline.at(), [this] { return calls_ == 0; });
+    settled_.wait_until(lock, deadline.at(), [this] { return calls_ == 0; });
 }
 
 void IdempotencyKeys::beginCall()
@@ -145,7 +145,7 @@
 {
     const std::lock_guard lock(callsMutex_);
     if (--calls_ == 0)
-        isSettled_.notify_all();
+        settled_.notify_all();
 }
 
 void IdempotencyKeys::startSweeping(std::function<bool()> isOwner)
--- a/src/router/internal/idempotencykeys.h
+++ b/src/router/internal/idempotencykeys.h
@@ -65,7 +65,7 @@
     /// Keys that the last sweep left in place. Accessed on worker threads only, by one sweep at a time.
     SeenKeys seen_;
     std::mutex callsMutex_;
-    std::condition_variable isSettled_;
+    std::condition_variable settled_;
     /// Number of claims and releases in progress, including claims whose handler hasn't returned yet.
     std::size_t calls_ = 0;
 };
