--- a/src/router/internal/dispatcher.cpp
+++ b/src/router/internal/dispatcher.cpp
@@ -307,7 +307,7 @@
 }
 
 void Dispatcher::handleRefusal(
-    const Error& error, framework::BundleVersion home, const std::set<RequestNumber>& requests)
+    const Error& error, framework::BundleVersion homeVersion, const std::set<RequestNumber>& requests)
 {
     for (const RequestNumber number : requests) {
         const auto found = requests_.find(number);
@@ -317,7 +317,7 @@
         const SiteTarget where = *entry.waitsFor;
         entry.waitsFor.reset();
         wakes_->stopWaiting(where, number);
-        if (awaitBundle(number, entry, home))
+        if (awaitBundle(number, entry, homeVersion))
             continue;
         entry.refusedSites.insert(where.site);
         entry.lastError = error;
@@ -328,11 +328,11 @@
 /// Delays a request that a home refused by a newer bundle, for example because the target has moved to a site that this
 /// router's bundle doesn't name yet. The newer bundle will be in force here shortly, and the request is then routed by
 /// it. Returns false if the home's bundle isn't newer or the time limit for the wait has passed.
-bool Dispatcher::awaitBundle(RequestNumber number, Request& entry, framework::BundleVersion home)
+bool Dispatcher::awaitBundle(RequestNumber number, Request& entry, framework::BundleVersion homeVersion)
 {
     const auto now = context_.clock.now();
     const bundle::BundlePointer bundle = context_.bundle();
-    if (!bundle || home <= bundle->version)
+    if (!bundle || homeVersion <= bundle->version)
         return false;
     if (!entry.bundleWaitDeadline)
         entry.bundleWaitDeadline = Deadline::after(now, maxBundleWait);
--- a/src/router/internal/dispatcher.h
+++ b/src/router/internal/dispatcher.h
@@ -47,8 +47,8 @@
     void setWakes(Wakes&);
     void setReplicaChoice(std::unique_ptr<policy::IReplicaChoice>);
     void handlePlacements(const SiteTarget&, const std::vector<framework::VmName>&, const std::set<RequestNumber>&);
-    /// `home` is the bundle version by which the home refused.
-    void handleRefusal(const framework::Error&, framework::BundleVersion home, const std::set<RequestNumber>&);
+    /// `homeVersion` is the bundle version by which the home refused.
+    void handleRefusal(const framework::Error&, framework::BundleVersion homeVersion, const std::set<RequestNumber>&);
     void handleForecast(const WakeReply&, const std::set<RequestNumber>&);
     /// Starts a graceful shutdown: each request, including those that still arrive, gets its answer within the
     /// deadlines.
--- a/src/router/internal/router.cpp
+++ b/src/router/internal/router.cpp
@@ -163,8 +163,8 @@
         [this](const auto& where, const auto& vms, const auto& requests) {
             dispatcher_.handlePlacements(where, vms, requests);
         },
-        [this](const auto& error, BundleVersion home, const auto& requests) {
-            dispatcher_.handleRefusal(error, home, requests);
+        [this](const auto& error, BundleVersion homeVersion, const auto& requests) {
+            dispatcher_.handleRefusal(error, homeVersion, requests);
         },
         [this](const WakeReply& progress, const auto& requests) { dispatcher_.handleForecast(progress, requests); } };
 }
--- a/src/router/internal/wakes.h
+++ b/src/router/internal/wakes.h
@@ -41,8 +41,10 @@
         /// Called when agents serve the target, so that its waiting requests can be dispatched.
         std::function<void(const SiteTarget&, const std::vector<framework::VmName>&, const std::set<RequestNumber>&)>
             onPlaced;
-        /// Called when the home reports that no replica is available. `home` is the bundle version by which it decided.
-        std::function<void(const framework::Error&, framework::BundleVersion home, const std::set<RequestNumber>&)>
+        /// Called when the home reports that no replica is available. It decided by the bundle of
+        /// version `homeVersion`.
+        std::function<void(
+            const framework::Error&, framework::BundleVersion homeVersion, const std::set<RequestNumber>&)>
             onRefused;
         /// Called with a progress report of the home: the load won't end before `soonestAt`.
         std::function<void(const WakeReply&, const std::set<RequestNumber>&)> onForecast;
--- a/src/router/tests/fixture.cpp
+++ b/src/router/tests/fixture.cpp
@@ -67,8 +67,8 @@
           [this](const auto& where, const auto& vms, const auto& requests) {
               dispatcher_.handlePlacements(where, vms, requests);
           },
-          [this](const auto& error, framework::BundleVersion home, const auto& requests) {
-              dispatcher_.handleRefusal(error, home, requests);
+          [this](const auto& error, framework::BundleVersion homeVersion, const auto& requests) {
+              dispatcher_.handleRefusal(error, homeVersion, requests);
           },
           [this](const auto& progress, const auto& requests) { dispatcher_.handleForecast(progress, requests); } })
 {
