--- a/src/agent/internal/agent.cpp
+++ b/src/agent/internal/agent.cpp
@@ -163,15 +163,15 @@
     // Claims are kept: the VM stays up and its engine still has the models, so a released claim would let another VM
     // load one replica too many. The next agent on this VM adopts models and claims. If the VM itself is removed, the
     // platform's VM list lets other agents drop its claims.
-    auto end = framework::ShutdownDeadlines::after(clock_.now(), settings_.shutdownGrace);
+    auto deadlines = framework::ShutdownDeadlines::after(clock_.now(), settings_.shutdownGrace);
     if (!isStarted_)
-        end.noticedBy = Deadline();
+        deadlines.noticedBy = Deadline();
     std::promise<bool> drained;
-    control_.post([this, &drained, end] {
-        gate_->beginDraining(end);
+    control_.post([this, &drained, deadlines] {
+        gate_->beginDraining(deadlines);
         if (replicas_)
             replicas_->beginDraining();
-        checkDrained(drained, end, std::nullopt);
+        checkDrained(drained, deadlines, std::nullopt);
     });
     if (drained.get_future().get())
         framework::logInfo("agent", "drained");
@@ -192,18 +192,18 @@
 /// They also stay open until routers that still send requests have learned from a refusal that the agent shuts down:
 /// for a request sent while the links close, a router can't tell whether it has run.
 void Agent::Implementation::checkDrained(
-    std::promise<bool>& drained, const framework::ShutdownDeadlines& end, std::optional<Deadline> settleBy)
+    std::promise<bool>& drained, const framework::ShutdownDeadlines& deadlines, std::optional<Deadline> settleBy)
 {
     const auto now = clock_.now();
     if (gate_->isIdle() && !settleBy)
         settleBy = Deadline::after(now, settleTimeout);
     const bool isSettled = gate_->isSettled() || (settleBy && settleBy->hasPassed(now));
-    if ((isSettled && end.noticedBy.hasPassed(now)) || end.exitBy.hasPassed(now)) {
+    if ((isSettled && deadlines.noticedBy.hasPassed(now)) || deadlines.exitBy.hasPassed(now)) {
         drained.set_value(isSettled);
         return;
     }
     drainCheck_ = control_.runAt(Deadline::after(now, drainCheckInterval),
-        [this, &drained, end, settleBy] { checkDrained(drained, end, settleBy); });
+        [this, &drained, deadlines, settleBy] { checkDrained(drained, deadlines, settleBy); });
 }
 
 StatusView Agent::Implementation::statusView() const
--- a/src/agent/internal/requestgate.cpp
+++ b/src/agent/internal/requestgate.cpp
@@ -489,9 +489,9 @@
 /// Prevents the process from being killed while requests still wait: no process could then report that they never
 /// reached the upstream, and their callers would learn only at their deadlines that the requests may have run. Requests
 /// that can't end in time by the forecast are refused immediately, so that another upstream can serve them.
-void RequestGate::beginDraining(const framework::ShutdownDeadlines& end)
+void RequestGate::beginDraining(const framework::ShutdownDeadlines& deadlines)
 {
-    shutdownDeadlines_ = end;
+    shutdownDeadlines_ = deadlines;
     std::vector<DispatchKey> hopeless;
     for (auto& [key, call] : calls_) {
         if (call.upstream)
--- a/src/agent/tests/requestgate_test.cpp
+++ b/src/agent/tests/requestgate_test.cpp
@@ -409,15 +409,15 @@
 {
     dispatch(1, 60000);
     dispatch(2, 60000);
-    const auto end = framework::ShutdownDeadlines::after(control.now(), Milliseconds(8000));
-    gate->beginDraining(end);
-    control.advance(end.startBy.remaining(control.now()) - Milliseconds(1));
+    const auto deadlines = framework::ShutdownDeadlines::after(control.now(), Milliseconds(8000));
+    gate->beginDraining(deadlines);
+    control.advance(deadlines.startBy.remaining(control.now()) - Milliseconds(1));
     BOOST_TEST(link->all<fb::RefusedT>().empty());
     control.advance(Milliseconds(1));
     checkRefused(*link, ErrorCode::Draining, Execution::NotRun);
     BOOST_TEST(link->all<fb::RefusedT>().front().retry_after_ms > 0u);
     BOOST_TEST(!upstream->calls[0]->isCancelled);
-    control.advance(end.answerBy.remaining(control.now()));
+    control.advance(deadlines.answerBy.remaining(control.now()));
     BOOST_TEST(upstream->calls.size() == 1u);
     BOOST_TEST(upstream->calls[0]->isCancelled);
     const auto refused = link->all<fb::RefusedT>();
--- a/src/router/internal/router.cpp
+++ b/src/router/internal/router.cpp
@@ -296,19 +296,19 @@
 {
     if (!shutdownDeadlines_)
         shutdownDeadlines_ = framework::ShutdownDeadlines::after(clock_.now(), settings_.shutdownGrace);
-    const framework::ShutdownDeadlines end = *shutdownDeadlines_;
+    const framework::ShutdownDeadlines deadlines = *shutdownDeadlines_;
     isShuttingDown_ = true;
     framework::logInfo("router", "shutting down, refusing new requests");
     callerServer_.refuseNew();
-    control_.post([this, end] { dispatcher_.beginShutdown(end); });
+    control_.post([this, deadlines] { dispatcher_.beginShutdown(deadlines); });
     // Callers still use connections on which no reply has asked them to close, and load balancers haven't noticed the
     // shutdown yet.
     if (isServing_)
-        std::this_thread::sleep_until(end.noticedBy.at());
-    const bool isIdle = callerServer_.waitUntilIdle(end.exitBy);
+        std::this_thread::sleep_until(deadlines.noticedBy.at());
+    const bool isIdle = callerServer_.waitUntilIdle(deadlines.exitBy);
     // Some request bodies never arrive, so the wait for them is shorter than the grace period.
-    callerServer_.waitUntilAllSent(std::min(end.exitBy, Deadline::after(clock_.now(), bodyDrainTimeout)));
-    keys_.waitUntilSettled(end.exitBy);
+    callerServer_.waitUntilAllSent(std::min(deadlines.exitBy, Deadline::after(clock_.now(), bodyDrainTimeout)));
+    keys_.waitUntilSettled(deadlines.exitBy);
     if (isIdle)
         framework::logInfo("router", "drained");
     else
