--- a/src/agent/internal/httpupstream.cpp
+++ b/src/agent/internal/httpupstream.cpp
@@ -124,19 +124,19 @@
 
 web::http::http_request httpRequest(const UpstreamRequest& request)
 {
-    web::http::http_request made(request.method);
-    made.set_request_uri(web::uri(request.path));
+    web::http::http_request forwarded(request.method);
+    forwarded.set_request_uri(web::uri(request.path));
     if (!request.body.empty())
-        made.set_body(std::vector<unsigned char>(request.body.begin(), request.body.end()));
+        forwarded.set_body(std::vector<unsigned char>(request.body.begin(), request.body.end()));
     for (const auto& [name, value] : endToEndHeaders(request.headers)) {
-        made.headers().remove(name);
-        made.headers().add(name, value);
+        forwarded.headers().remove(name);
+        forwarded.headers().add(name, value);
     }
-    made.headers().remove("X-Request-Id");
-    made.headers().add("X-Request-Id", request.name.value());
-    made.headers().remove("X-Priority");
-    made.headers().add("X-Priority", std::to_string(request.priority));
-    return made;
+    forwarded.headers().remove("X-Request-Id");
+    forwarded.headers().add("X-Request-Id", request.name.value());
+    forwarded.headers().remove("X-Priority");
+    forwarded.headers().add("X-Priority", std::to_string(request.priority));
+    return forwarded;
 }
 
 class HttpUpstream final : public IUpstream {
--- a/src/agent/internal/replicaoperations.cpp
+++ b/src/agent/internal/replicaoperations.cpp
@@ -93,8 +93,8 @@
                 return;
             }
             ports_.metrics->count("lagoon_retries_total", { { "reason", "read_claims" } });
-            const Deadline again = Deadline::after(ports_.clock.now(), retryDelay(maxDoublings / 2));
-            claimsTimer_ = ports_.control.runAt(again, [this] { readClaims(); });
+            const Deadline retryAt = Deadline::after(ports_.clock.now(), retryDelay(maxDoublings / 2));
+            claimsTimer_ = ports_.control.runAt(retryAt, [this] { readClaims(); });
         });
     });
 }
@@ -104,8 +104,8 @@
     if (!hasEngineState_) {
         // The engine's state must be read first. Otherwise each of its replicas would look as if its load order were
         // yet to arrive.
-        const Deadline again = Deadline::after(ports_.clock.now(), initialRetryDelay);
-        claimsTimer_ = ports_.control.runAt(again, [this, held] { handleClaims(held); });
+        const Deadline retryAt = Deadline::after(ports_.clock.now(), initialRetryDelay);
+        claimsTimer_ = ports_.control.runAt(retryAt, [this, held] { handleClaims(held); });
         return;
     }
     hasReadClaims_ = true;
--- a/src/agent/internal/replicaqueries.cpp
+++ b/src/agent/internal/replicaqueries.cpp
@@ -34,14 +34,14 @@
     if (needed <= offer.available.value())
         return offer;
     std::uint64_t evicted = 0;
-    SteadyTime youngest {};
+    SteadyTime lastVictimUse {};
     for (const ReplicaId& victim : victims(MebiBytes(needed - offer.available.value()), id)) {
         evicted += find(victim)->memory.value();
-        youngest = std::max(youngest, find(victim)->lastUsed);
+        lastVictimUse = std::max(lastVictimUse, find(victim)->lastUsed);
     }
     offer.evicted = MebiBytes(evicted);
     if (evicted > 0)
-        offer.victimIdle = std::chrono::duration_cast<Milliseconds>(now - youngest);
+        offer.victimIdle = std::chrono::duration_cast<Milliseconds>(now - lastVictimUse);
     return offer;
 }
 
--- a/src/agent/tests/fakeengine.h
+++ b/src/agent/tests/fakeengine.h
@@ -23,19 +23,19 @@
     framework::Result<EngineState> state(framework::Deadline) override
     {
         if (!isAvailable)
-            return lost("read state", framework::Execution::Unknown);
+            return noAnswer("read state", framework::Execution::Unknown);
         return state_;
     }
 
     framework::Result<void> load(const EngineOrder& order, framework::Deadline) override
     {
-        return take(order, [this](const EngineOrder& one) { return applyLoad(one); });
+        return receive(order, [this](const EngineOrder& one) { return applyLoad(one); });
     }
 
     framework::Result<void> unload(const EngineOrder& order, framework::Deadline) override
     {
         ++unloadOrders;
-        return take(order, [this](const EngineOrder& one) { return applyUnload(one); });
+        return receive(order, [this](const EngineOrder& one) { return applyUnload(one); });
     }
 
     void finishLoads()
@@ -99,15 +99,15 @@
     std::vector<OrderFault> faults;
 
 private:
-    static framework::Error lost(const char* step, framework::Execution execution)
+    static framework::Error noAnswer(const char* step, framework::Execution execution)
     {
         return { framework::ErrorCode::UpstreamFailed, step, "engine", "", execution };
     }
 
-    template <typename Apply> framework::Result<void> take(const EngineOrder& order, Apply&& apply)
+    template <typename Apply> framework::Result<void> receive(const EngineOrder& order, Apply&& apply)
     {
         if (!isAvailable)
-            return lost("order", framework::Execution::NotRun);
+            return noAnswer("order", framework::Execution::NotRun);
         if (faults.empty())
             return apply(order);
         const OrderFault fault = faults.front();
@@ -116,7 +116,7 @@
             held_.push_back(order);
         else
             static_cast<void>(apply(order));
-        return lost("order", framework::Execution::Unknown);
+        return noAnswer("order", framework::Execution::Unknown);
     }
 
     bool isStale(const EngineOrder& order)
--- a/src/agent/tests/requestgate_test.cpp
+++ b/src/agent/tests/requestgate_test.cpp
@@ -69,7 +69,7 @@
     /// Starts far in the past of the real clock: code that waits by the real clock (`objectstore::updateObject`) tries
     /// once and gives up.
     framework::ManualControl control { framework::SteadyTime(std::chrono::milliseconds(1)) };
-    FakeServedTargets use;
+    FakeServedTargets targets;
     std::shared_ptr<FakeUpstream> upstream = std::make_shared<FakeUpstream>();
     std::shared_ptr<framework::Metrics> metrics = std::make_shared<framework::Metrics>();
     std::shared_ptr<FakeLink> link = std::make_shared<FakeLink>();
@@ -79,16 +79,16 @@
 
     std::unique_ptr<RequestGate> makeGate()
     {
-        return std::make_unique<RequestGate>(GatePorts { control, control, use, upstream, metrics }, own, limits);
+        return std::make_unique<RequestGate>(GatePorts { control, control, targets, upstream, metrics }, own, limits);
     }
 
     std::unique_ptr<fb::DispatchIdT> id(std::uint64_t sequence) const
     {
-        auto made = std::make_unique<fb::DispatchIdT>();
-        made->router_incarnation = router.value();
-        made->session = session;
-        made->sequence = sequence;
-        return made;
+        auto dispatchId = std::make_unique<fb::DispatchIdT>();
+        dispatchId->router_incarnation = router.value();
+        dispatchId->session = session;
+        dispatchId->sequence = sequence;
+        return dispatchId;
     }
 
     void dispatch(
@@ -185,7 +185,7 @@
     BOOST_TEST(ends[0].length == 7u);
     BOOST_TEST(ends[0].checksum == policy::fnv1a("one two", 7));
     BOOST_TEST(gate->isIdle());
-    BOOST_TEST(use.uses == 0);
+    BOOST_TEST(targets.uses == 0);
 }
 
 // The link to the router goes silent during an answer, and the router resolves the id over a new link. The caller must
@@ -258,7 +258,7 @@
     dispatch(2);
     dispatch(3);
     checkRefused(*link, ErrorCode::TooManyWaiting, Execution::NotRun);
-    BOOST_TEST(use.uses == 2);
+    BOOST_TEST(targets.uses == 2);
 }
 
 // Prevents a queue that is longer than the deadlines: requests arrive faster than the upstream serves them, and if all
@@ -275,7 +275,7 @@
     dispatch(5, 240);
     checkRefused(*link, ErrorCode::DeadlineHopeless, Execution::NotRun);
     BOOST_TEST(link->all<fb::RefusedT>().front().retry_after_ms >= 1000u);
-    BOOST_TEST(use.uses == 3);
+    BOOST_TEST(targets.uses == 3);
 }
 
 // The upstream has become so slow that its service time is longer than every deadline. If a slot is free, requests must
@@ -346,7 +346,7 @@
 
 BOOST_AUTO_TEST_CASE(aTargetThatIsNotLoadedIsReportedAsNotRun)
 {
-    use.refusal = Error { ErrorCode::NotLoaded, "load", "a" };
+    targets.refusal = Error { ErrorCode::NotLoaded, "load", "a" };
     dispatch(1);
     checkRefused(*link, ErrorCode::NotLoaded, Execution::NotRun);
     BOOST_TEST(upstream->calls.empty());
--- a/src/router/internal/answerstream.cpp
+++ b/src/router/internal/answerstream.cpp
@@ -31,11 +31,11 @@
     const std::uint64_t alreadyReceived = receivedBytes_ - offset;
     if (alreadyReceived >= bytes.size())
         return true;
-    std::string fresh(bytes.begin() + static_cast<std::ptrdiff_t>(alreadyReceived), bytes.end());
-    receivedBytes_ += fresh.size();
-    checksum_ = policy::fnv1a(fresh.data(), fresh.size(), checksum_);
+    std::string newBytes(bytes.begin() + static_cast<std::ptrdiff_t>(alreadyReceived), bytes.end());
+    receivedBytes_ += newBytes.size();
+    checksum_ = policy::fnv1a(newBytes.data(), newBytes.size(), checksum_);
     if (answer_)
-        answer_->write(std::move(fresh));
+        answer_->write(std::move(newBytes));
     return true;
 }
 
--- a/src/router/internal/home.cpp
+++ b/src/router/internal/home.cpp
@@ -120,15 +120,15 @@
         if (isHere && !search.asked.contains(vm))
             next.push_back(vm);
     }
-    std::size_t fresh = 0;
+    std::size_t added = 0;
     // An adapter is loaded where replicas of its model are, so both use the rendezvous order of the model.
     for (const VmName& vm : policy::rendezvousOrder(where.target.model.value(), live)) {
-        if (fresh >= context_.settings.bids)
+        if (added >= context_.settings.bids)
             break;
         if (search.asked.contains(vm) || std::find(next.begin(), next.end(), vm) != next.end())
             continue;
         next.push_back(vm);
-        ++fresh;
+        ++added;
     }
     return next;
 }
@@ -421,17 +421,17 @@
             return evaluate(where);
         search->awaitedBundle = newerBundle(holders.value().bundleVersion);
         context_.observeVersion(holders.value().bundleVersion);
-        std::vector<VmName> unasked;
+        std::vector<VmName> usableHolders;
         for (const VmName& vm : holders.value().vms) {
             if (!context_.directory.isUsable(vm))
                 continue;
             // A holder that has bid before is asked again, since it may have started to load after its bid.
             std::erase_if(search->candidates, [&](const Candidate& candidate) { return candidate.vm == vm; });
-            unasked.push_back(vm);
+            usableHolders.push_back(vm);
         }
-        if (unasked.empty())
+        if (usableHolders.empty())
             return evaluate(where);
-        requestBids(where, unasked);
+        requestBids(where, usableHolders);
     });
 }
 
--- a/src/router/internal/loadgate.cpp
+++ b/src/router/internal/loadgate.cpp
@@ -151,9 +151,9 @@
     return forecastWaiting(ownEstimate, queue);
 }
 
-void LoadGate::setPolicy(const bundle::PolicyParameters& numbers, std::unique_ptr<policy::ILoadOrder> order)
+void LoadGate::setPolicy(const bundle::PolicyParameters& parameters, std::unique_ptr<policy::ILoadOrder> order)
 {
-    share_.setLimits(numbers);
+    share_.setLimits(parameters);
     order_ = std::move(order);
 }
 
--- a/src/router/internal/router.cpp
+++ b/src/router/internal/router.cpp
@@ -193,11 +193,11 @@
     return bundle ? bundle->version : BundleVersion();
 }
 
-void Router::Implementation::setPolicies(const bundle::PolicyParameters& numbers)
+void Router::Implementation::setPolicies(const bundle::PolicyParameters& parameters)
 {
-    gate_.setPolicy(numbers, policy::makeLoadOrder(numbers));
-    home_.setLoadPlacement(policy::makeLoadPlacement(numbers));
-    dispatcher_.setReplicaChoice(policy::makeReplicaChoice(numbers));
+    gate_.setPolicy(parameters, policy::makeLoadOrder(parameters));
+    home_.setLoadPlacement(policy::makeLoadPlacement(parameters));
+    dispatcher_.setReplicaChoice(policy::makeReplicaChoice(parameters));
 }
 
 void Router::Implementation::handleVmList(const objectstore::VmEntries& vms)
@@ -214,8 +214,8 @@
 std::size_t Router::Implementation::homesPerSite() const
 {
     const bundle::BundlePointer bundle = bundles_->current();
-    const std::uint32_t places = bundle ? bundle->policy.weightLoadsAtFullSpeed : 1;
-    return std::max<std::size_t>(1, places / std::max<std::size_t>(1, directory_.sites().size()));
+    const std::uint32_t slots = bundle ? bundle->policy.weightLoadsAtFullSpeed : 1;
+    return std::max<std::size_t>(1, slots / std::max<std::size_t>(1, directory_.sites().size()));
 }
 
 /// Updates the load gate with the number of homes and this router's rank among them.
--- a/src/router/tests/agentsession_test.cpp
+++ b/src/router/tests/agentsession_test.cpp
@@ -20,12 +20,12 @@
 
     void dispatch()
     {
-        wire::fb::DispatchT order;
-        order.target = std::make_unique<wire::fb::TargetT>();
-        order.target->service = "holds";
-        order.body = { 'x' };
+        wire::fb::DispatchT frame;
+        frame.target = std::make_unique<wire::fb::TargetT>();
+        frame.target->service = "holds";
+        frame.body = { 'x' };
         stream_ = std::make_shared<AnswerStream>(answer_, 1);
-        session()->dispatch(std::move(order), framework::Deadline::after(control_.now(), longTimeout), stream_,
+        session()->dispatch(std::move(frame), framework::Deadline::after(control_.now(), longTimeout), stream_,
             [this](const DispatchOutcome& outcome) { outcomes_.push_back(outcome); });
         runPending();
     }
--- a/src/router/tests/dispatcher_test.cpp
+++ b/src/router/tests/dispatcher_test.cpp
@@ -369,10 +369,10 @@
     const wire::Message first = link("entry-2")->takeSent(Body::Wake);
     BOOST_TEST(+first.body.AsWake()->priority == 2);
     // The home acknowledges the wake, or it would be excluded as silent.
-    wire::fb::WakeResultT heard;
-    heard.correlation = first.body.AsWake()->correlation;
-    heard.target = std::make_unique<wire::fb::TargetT>(*first.body.AsWake()->target);
-    link("entry-2")->deliver(wire::message(std::move(heard)));
+    wire::fb::WakeResultT acknowledgement;
+    acknowledgement.correlation = first.body.AsWake()->correlation;
+    acknowledgement.target = std::make_unique<wire::fb::TargetT>(*first.body.AsWake()->target);
+    link("entry-2")->deliver(wire::message(std::move(acknowledgement)));
     const auto high = ask(notes(), longTimeout, false, 7);
     const auto middle = ask(notes(), longTimeout, false, 5);
     control_.advance(Milliseconds(1000));
@@ -384,9 +384,9 @@
 // must receive the earlier forecast.
 BOOST_AUTO_TEST_CASE(aLaterWakeRaisesThePriorityOfAQueuedLoad)
 {
-    bundle::PolicyParameters numbers;
-    numbers.weightLoadsAtFullSpeed = 1;
-    gate_.setPolicy(numbers, policy::makeLoadOrder(numbers));
+    bundle::PolicyParameters parameters;
+    parameters.weightLoadsAtFullSpeed = 1;
+    gate_.setPolicy(parameters, policy::makeLoadOrder(parameters));
     const framework::SiteName site = directory_.find(framework::VmName("entry-1"))->site;
     const framework::Deadline deadline = framework::Deadline::after(control_.now(), longTimeout);
     for (const char* name : { "running", "queued" }) {
@@ -395,16 +395,16 @@
             { other, policy::CheckpointLocation::Remote, framework::MebiBytes(60), { deadline, 1, 5 } }, [] {});
     }
     std::optional<framework::Deadline> soonest;
-    const auto note = [&soonest](const WakeReply& reply) { soonest = reply.soonestAt; };
+    const auto record = [&soonest](const WakeReply& reply) { soonest = reply.soonestAt; };
     WakeOrder order { { notes(), site }, 1, deadline, deadline, 1, 0 };
-    home_.wake(framework::VmName("entry-1"), order, note);
+    home_.wake(framework::VmName("entry-1"), order, record);
     runPending();
     checkpoint_ = policy::CheckpointLocation::Remote;
     bidBoth(true);
     BOOST_REQUIRE(soonest.has_value());
     const framework::Deadline before = *soonest;
     order.priority = 9;
-    home_.wake(framework::VmName("entry-2"), order, note);
+    home_.wake(framework::VmName("entry-2"), order, record);
     BOOST_CHECK(*soonest < before);
 }
 
--- a/src/router/tests/idempotencykeys_test.cpp
+++ b/src/router/tests/idempotencykeys_test.cpp
@@ -115,13 +115,13 @@
 BOOST_AUTO_TEST_CASE(shutdownWaitsForKeyReleases)
 {
     const auto key = claim("slot-5");
-    std::promise<void> platformGoesOn;
-    workers_.run([going = platformGoesOn.get_future().share()] { going.wait(); });
+    std::promise<void> platformResumes;
+    workers_.run([resumed = platformResumes.get_future().share()] { resumed.wait(); });
     keys_.release(key.value());
     const framework::SystemClock clock;
     keys_.waitUntilSettled(framework::Deadline(clock.now()));
     BOOST_TEST(storedKeys() == 1u, "a deadline that has passed ends the wait");
-    platformGoesOn.set_value();
+    platformResumes.set_value();
     keys_.waitUntilSettled(framework::Deadline::after(clock.now(), Milliseconds(30000)));
     BOOST_TEST(storedKeys() == 0u);
 }
--- a/src/router/tests/loadgate_test.cpp
+++ b/src/router/tests/loadgate_test.cpp
@@ -22,22 +22,22 @@
 public:
     GateFixture()
     {
-        bundle::PolicyParameters numbers;
-        numbers.weightLoadsPerSecond = 10;
-        numbers.weightLoadsAtFullSpeed = 1;
-        gate_.setPolicy(numbers, policy::makeLoadOrder(numbers));
+        bundle::PolicyParameters parameters;
+        parameters.weightLoadsPerSecond = 10;
+        parameters.weightLoadsAtFullSpeed = 1;
+        gate_.setPolicy(parameters, policy::makeLoadOrder(parameters));
         gate_.setHomes(1, 0);
         enqueue(load("running"));
     }
 
     GatedLoad load(const std::string& model) const
     {
-        GatedLoad made;
-        made.where = target(model);
-        made.memory = MebiBytes(60);
-        made.demand.earliest = Deadline::after(control_.now(), Milliseconds(60000));
-        made.demand.waiters = 1;
-        return made;
+        GatedLoad gated;
+        gated.where = target(model);
+        gated.memory = MebiBytes(60);
+        gated.demand.earliest = Deadline::after(control_.now(), Milliseconds(60000));
+        gated.demand.waiters = 1;
+        return gated;
     }
 
     void enqueue(const GatedLoad& load)
