--- a/src/router/internal/agentsession.cpp
+++ b/src/router/internal/agentsession.cpp
@@ -24,7 +24,9 @@
 /// Number of settled dispatches after which the floor is sent to the agent without waiting for the next dispatch or
 /// ping.
 constexpr std::uint32_t settleBatch = 16;
+/// Number of links lost in a row after which unsent dispatches end as not run.
 constexpr std::uint32_t maxConnectAttemptsForUnsent = 2;
+/// Weight of the latest answer in the moving average of the time to the first byte.
 constexpr double firstByteSmoothing = 0.2;
 
 callers::HttpHeaders headersOf(const wire::fb::AnswerHeadT& head)
@@ -338,7 +340,7 @@
     context_.metrics.count("lagoon_links_lost_total", { { "step", why.step } });
     dropLink();
     failQueries(why);
-    // The unsent dispatches haven't left the process, so another agent may run them.
+    // The unsent dispatches haven't left the process, so they can safely be sent to another agent.
     if (failedConnects_ >= maxConnectAttemptsForUnsent || why.step == "connect")
         failUnsent(error(ErrorCode::LinkLost, "connect", why.detail, Execution::NotRun));
     armTick();
--- a/src/router/internal/agentsession.h
+++ b/src/router/internal/agentsession.h
@@ -75,7 +75,9 @@
     const framework::Endpoint& endpoint() const { return endpoint_; }
     std::size_t inFlight() const { return inFlight_.size(); }
     AgentLoad agentLoad() const { return load_; }
+    /// Whether the last link was lost and no new one is open yet.
     bool isSuspect() const { return isSuspect_; }
+    /// Moving average of the time from a dispatch to the head of its answer; 0 before the first answer.
     double firstByteSeconds() const { return firstByteSeconds_; }
     /// Time of the last change of `firstByteSeconds`.
     framework::SteadyTime lastAnswer() const { return lastAnswer_; }
@@ -118,6 +120,7 @@
     void armTick();
     void armTickAt(framework::Deadline);
     void tick();
+    /// The lowest sequence number without an outcome. The agent may drop its records of all lower ones.
     std::uint64_t floor() const;
     std::shared_ptr<AnswerStream> streamOf(std::uint64_t sequence) const;
     bool isOwnId(const wire::fb::DispatchIdT&) const;
@@ -137,6 +140,7 @@
     std::map<std::uint64_t, InFlight> inFlight_;
     std::map<std::uint64_t, Query> pendingQueries_;
     std::vector<wire::Message> unsentQueries_;
+    /// Number of dispatches settled since the last `Settle` frame.
     std::uint32_t settledSinceFloor_ = 0;
     AgentLoad load_;
     bool isSuspect_ = false;
@@ -146,9 +150,12 @@
     std::unique_ptr<framework::Timer> tickTimer_;
     framework::Deadline tickAt_;
     framework::Deadline nextPing_;
+    /// Time at which the idle link is closed; not set while the session has work.
     framework::Deadline idleUntil_;
     std::uint32_t failedConnects_ = 0;
     framework::Deadline connectAt_;
+    /// Time from which the silence limit counts, in ticks of `SteadyTime`. Set to the current time by the links'
+    /// threads for each received frame.
     std::atomic<framework::SteadyTime::rep> lastReceived_ { 0 };
 
     /// Answer streams by sequence number, accessed from the links' threads.
--- a/src/router/internal/dispatcher.cpp
+++ b/src/router/internal/dispatcher.cpp
@@ -23,6 +23,7 @@
 constexpr Milliseconds retryAfterBusy { 1000 };
 /// A refusal is sent this long before the request's deadline, so that it reaches the caller in time.
 constexpr Milliseconds answerMargin { 20 };
+/// Time for which a draining agent is excluded from selection.
 constexpr Milliseconds drainingAvoidance { 5000 };
 /// Another router can serve at once a request that this router didn't start before its shutdown.
 constexpr Milliseconds retryAfterShutdown { 1000 };
--- a/src/router/internal/home.cpp
+++ b/src/router/internal/home.cpp
@@ -31,6 +31,7 @@
     converted.freeMemory = framework::MebiBytes(bid.free_mib);
     converted.evictedMemory = framework::MebiBytes(bid.evict_mib);
     converted.victimIdle = Milliseconds(bid.victim_idle_ms);
+    // Values above 2, the value of `Remote`, count as `Remote`.
     converted.checkpoint = static_cast<policy::CheckpointLocation>(std::min<std::uint8_t>(bid.checkpoint, 2));
     converted.expectedLoad = Milliseconds(bid.expected_load_ms);
     converted.running = bid.running;
--- a/src/router/internal/loadgate.h
+++ b/src/router/internal/loadgate.h
@@ -58,6 +58,7 @@
     struct Entry {
         GatedLoad load;
         std::function<void()> start;
+        /// When the load was enqueued.
         framework::SteadyTime since {};
         bool isRunning = false;
         framework::SteadyTime startedAt {};
--- a/src/router/internal/router.cpp
+++ b/src/router/internal/router.cpp
@@ -209,8 +209,8 @@
 }
 
 /// Returns the number of loads that the weight store serves at full speed, divided by the number of sites, and at least
-/// 1: each home then has a slot of its own at the store. With more homes than slots, the homes' minimum of one slot
-/// each would add up to more than the store can serve.
+/// 1: each home then has a slot of its own at the store. Each home may always run one load, so with more homes than
+/// slots the homes together could run more loads than the store serves at full speed.
 std::size_t Router::Implementation::homesPerSite() const
 {
     const bundle::BundlePointer bundle = bundles_->current();
--- a/src/router/tests/loadgate_test.cpp
+++ b/src/router/tests/loadgate_test.cpp
@@ -64,8 +64,8 @@
 BOOST_FIXTURE_TEST_SUITE(LoadGates, GateFixture)
 
 // Prevents needless refusals: 50 requests wait for one model, and one request with an earlier deadline for another. The
-// load order starts the load for the 50 first. A forecast by deadlines put them second, and they were refused as
-// hopeless.
+// load order starts the load for the 50 first. A forecast by deadlines alone would put it second, and the 50 would be
+// refused as hopeless.
 BOOST_AUTO_TEST_CASE(theForecastFollowsTheLoadOrder)
 {
     enqueue(load("single"));
--- a/src/router/types/routersettings.h
+++ b/src/router/types/routersettings.h
@@ -23,7 +23,7 @@
     /// Retry budget: retries earned per accepted request, and the maximum number that may accumulate.
     double retryShare = 0.1;
     double retryReserve = 20;
-    /// Number of this router's in-flight requests at a replica from which on another replica is requested.
+    /// This router requests another replica of a target once it has this many requests in flight at one replica.
     std::uint32_t scaleUpInFlight = 8;
     /// Number of agents asked for a bid per round, in addition to those known to serve the target.
     std::size_t bids = 8;
--- a/src/router/types/wake.h
+++ b/src/router/types/wake.h
@@ -23,8 +23,11 @@
 /// A router's request to a home to find or load replicas of a target, since callers' requests wait for it.
 struct WakeOrder {
     SiteTarget where;
+    /// Number of waiting requests.
     std::uint32_t waiters = 0;
+    /// Earliest deadline of the waiting requests; if none waits, the same as `latest`.
     framework::Deadline earliest;
+    /// Time after which a new replica is of no use to any of the requests.
     framework::Deadline latest;
     std::uint32_t desiredReplicas = 1;
     /// Highest priority among the waiting requests.
@@ -40,9 +43,10 @@
     std::vector<framework::VmName> placements = {};
     /// Set in a final reply without placements.
     std::optional<framework::Error> error = std::nullopt;
-    /// In progress reports: earliest expected end of the load. Requests with an earlier deadline are refused.
+    /// Set in a progress report about a load: the earliest time at which the load is expected to end. Requests with an
+    /// earlier deadline are refused.
     std::optional<framework::Deadline> soonestAt = std::nullopt;
-    /// In progress reports: `Retry-After` for requests that are refused meanwhile.
+    /// Set in a progress report about a load: `Retry-After` for the requests that are refused until the load ends.
     std::optional<framework::Milliseconds> retryAfter = std::nullopt;
     /// Bundle version by which the home decided.
     framework::BundleVersion bundleVersion = {};
