--- a/src/agent/agentsettings.h
+++ b/src/agent/agentsettings.h
@@ -25,10 +25,13 @@
 };
 
 struct AgentLimits {
+    /// Maximum number of dispatches that run at the upstream at once.
     std::uint32_t running = 64;
+    /// Maximum number of dispatches that wait to run; further ones are refused.
     std::uint32_t waiting = 256;
+    /// Maximum number of dispatches that the request ledger has a record of; further ones are refused.
     std::size_t ledgerEntries = 20000;
-    /// Total size of the answers kept for routers that haven't settled them.
+    /// Maximum total size of the answers kept for routers that haven't settled them.
     std::size_t ledgerBytes = std::size_t(256) * 1024 * 1024;
     /// Maximum size of one answer; a longer answer is aborted.
     std::size_t answerBytes = std::size_t(32) * 1024 * 1024;
--- a/src/agent/internal/agent.cpp
+++ b/src/agent/internal/agent.cpp
@@ -164,6 +164,7 @@
     // load one replica too many. The next agent on this VM adopts models and claims. If the VM itself is removed, the
     // platform's VM list lets other agents drop its claims.
     auto deadlines = framework::ShutdownDeadlines::after(clock_.now(), settings_.shutdownGrace);
+    // If `start` failed, the agent doesn't wait for routers to notice its shutdown.
     if (!isStarted_)
         deadlines.noticedBy = Deadline();
     std::promise<bool> drained;
--- a/src/agent/internal/replica.h
+++ b/src/agent/internal/replica.h
@@ -53,7 +53,9 @@
     bool isClaimed = false;
     std::string nonce;
     framework::FencingToken fence;
+    /// The platform hasn't recorded yet that the claimed replica is loaded.
     bool needsConfirm = false;
+    /// It hasn't been checked yet whether this VM's claim exceeds the decided count.
     bool needsCountCheck = false;
 
     /// The engine has accepted the order of the current stage.
@@ -67,6 +69,7 @@
     bool reloadsAfterUnload = false;
 
     framework::SteadyTime stageEnteredAt {};
+    /// Number of requests that use the replica now.
     std::uint32_t uses = 0;
     /// Whether the replica was used since it was loaded.
     bool wasUsed = false;
--- a/src/agent/internal/replicacontroller.h
+++ b/src/agent/internal/replicacontroller.h
@@ -49,7 +49,9 @@
     /// Why the replica can't be loaded; std::nullopt if it can.
     std::optional<framework::Error> refusal;
     framework::MebiBytes available;
+    /// Memory of the replicas that would be evicted for the load.
     framework::MebiBytes evicted;
+    /// How long the most recently used of these replicas has been idle; 0 if none would be evicted.
     framework::Milliseconds victimIdle { 0 };
     policy::CheckpointLocation checkpoint = policy::CheckpointLocation::Remote;
     framework::Milliseconds expectedLoad { 0 };
--- a/src/agent/internal/replicaobservation.cpp
+++ b/src/agent/internal/replicaobservation.cpp
@@ -42,6 +42,7 @@
                 observe(state.value(), requestedAt);
             else
                 ports_.metrics->count("lagoon_engine_state_failures_total");
+            // Keeps `advance` from starting another poll, since the next one is scheduled below.
             isPollingFast_ = true;
             advance();
             isPollingFast_ = isInTransition();
--- a/src/agent/internal/replicaoperations.cpp
+++ b/src/agent/internal/replicaoperations.cpp
@@ -93,6 +93,7 @@
                 return;
             }
             ports_.metrics->count("lagoon_retries_total", { { "reason", "read_claims" } });
+            // The delay is always 0.8 to 1.2 s, since failed reads of the claims aren't counted.
             const Deadline retryAt = Deadline::after(ports_.clock.now(), retryDelay(maxDoublings / 2));
             claimsTimer_ = ports_.control.runAt(retryAt, [this] { readClaims(); });
         });
--- a/src/agent/internal/requestledger.h
+++ b/src/agent/internal/requestledger.h
@@ -53,8 +53,9 @@
 };
 
 /// Records each dispatch that this agent process has received, so that none runs twice and a dispatch reported as "not
-/// run" never runs. See "The request ledger" in DESIGN.md; the actions `dispatch`, `fence`, `resolve`, `settle`,
-/// `complete` and `restart` have the same names as in the model under models/. Does no I/O and reads no clock.
+/// run" never runs. See "The request ledger" in docs/DESIGN.md; the actions `dispatch`, `fence`, `resolve`, `settle`,
+/// `complete` and `restart` have the same names as in its Promela model, models/dispatch.pml. Does no I/O and reads no
+/// clock.
 class RequestLedger {
 public:
     /// Creates the empty ledger of a restarted process, which has a new incarnation. Frames addressed to the previous
--- a/src/agent/internal/servicetimes.cpp
+++ b/src/agent/internal/servicetimes.cpp
@@ -9,6 +9,7 @@
 
 namespace {
 
+/// Weight of the latest measurement in the moving averages.
 constexpr double smoothingFactor = 0.1;
 /// Distance from the mean to the tenth and ninetieth percentile, in mean absolute deviations (of a normal
 /// distribution).
--- a/src/agent/tests/fakeengine.h
+++ b/src/agent/tests/fakeengine.h
@@ -94,7 +94,7 @@
     bool isOvercommitted = false;
     unsigned loadsAccepted = 0;
     unsigned unloadOrders = 0;
-    /// In the order of the unloads.
+    /// Replicas in the order in which they were unloaded.
     std::vector<ReplicaId> unloaded;
     std::vector<OrderFault> faults;
 
--- a/src/agent/tests/replicacontroller_test.cpp
+++ b/src/agent/tests/replicacontroller_test.cpp
@@ -63,7 +63,7 @@
     return made;
 }
 
-/// The result of a load.
+/// Records the result of a load.
 struct LoadWatch {
     bool isDone = false;
     std::optional<Error> error;
