--- a/src/callers/internal/callerserver.cpp
+++ b/src/callers/internal/callerserver.cpp
@@ -228,14 +228,14 @@
             incoming.answer->finish();
             return;
         }
-        const auto filled = fill(incoming, *bundle);
-        if (filled.has_error())
-            incoming.answer->refuse(filled.error(), 0);
+        const auto result = fillRequest(incoming, *bundle);
+        if (result.has_error())
+            incoming.answer->refuse(result.error(), 0);
         else
             dispatcher_.accept(std::move(incoming.request), std::move(incoming.guard));
     }
 
-    framework::Result<void> fill(IncomingRequest& incoming, const bundle::Bundle& bundle) const
+    framework::Result<void> fillRequest(IncomingRequest& incoming, const bundle::Bundle& bundle) const
     {
         CallerRequest& request = incoming.request;
         const web::uri& uri = incoming.http.request_uri();
--- a/src/callers/internal/occupancy.cpp
+++ b/src/callers/internal/occupancy.cpp
@@ -30,7 +30,7 @@
     const std::lock_guard lock(mutex_);
     --inProgress_;
     updateMetricsLocked();
-    isEmpty_.notify_all();
+    ended_.notify_all();
 }
 
 void Occupancy::didDeferReply()
@@ -39,32 +39,32 @@
     --inProgress_;
     ++deferred_;
     updateMetricsLocked();
-    isEmpty_.notify_all();
+    ended_.notify_all();
 }
 
 void Occupancy::didEndDeferredReply()
 {
     const std::lock_guard lock(mutex_);
     --deferred_;
-    isEmpty_.notify_all();
+    ended_.notify_all();
 }
 
 void Occupancy::waitUntilEmpty()
 {
     std::unique_lock lock(mutex_);
-    isEmpty_.wait(lock, [this] { return inProgress_ == 0; });
+    ended_.wait(lock, [this] { return inProgress_ == 0; });
 }
 
 bool Occupancy::waitUntilEmpty(framework::Deadline deadline)
 {
     std::unique_lock lock(mutex_);
-    return isEmpty_.wait_until(lock, deadline.at(), [this] { return inProgress_ == 0; });
+    return ended_.wait_until(lock, deadline.at(), [this] { return inProgress_ == 0; });
 }
 
 bool Occupancy::waitUntilAllSent(framework::Deadline deadline)
 {
     std::unique_lock lock(mutex_);
-    return isEmpty_.wait_until(lock, deadline.at(), [this] { return inProgress_ + deferred_ == 0; });
+    return ended_.wait_until(lock, deadline.at(), [this] { return inProgress_ + deferred_ == 0; });
 }
 
 void Occupancy::updateMetricsLocked()
--- a/src/callers/internal/occupancy.h
+++ b/src/callers/internal/occupancy.h
@@ -36,7 +36,7 @@
     const std::size_t maxInProgress_;
     const std::shared_ptr<framework::Metrics> metrics_;
     std::mutex mutex_;
-    std::condition_variable isEmpty_;
+    std::condition_variable ended_;
     std::size_t waiting_ = 0;
     std::size_t inProgress_ = 0;
     std::size_t deferred_ = 0;
--- a/src/callers/tests/fakedispatcher.h
+++ b/src/callers/tests/fakedispatcher.h
@@ -22,14 +22,14 @@
         const std::lock_guard lock(mutex_);
         accepted_.push_back({ std::move(request), std::move(answer) });
         ++count_;
-        isNotEmpty_.notify_all();
+        added_.notify_all();
     }
 
     /// Blocks until there is a request, and removes it from the queue.
     AcceptedRequest take()
     {
         std::unique_lock lock(mutex_);
-        isNotEmpty_.wait(lock, [this] { return !accepted_.empty(); });
+        added_.wait(lock, [this] { return !accepted_.empty(); });
         AcceptedRequest first = std::move(accepted_.front());
         accepted_.pop_front();
         return first;
@@ -43,7 +43,7 @@
 
 private:
     mutable std::mutex mutex_;
-    std::condition_variable isNotEmpty_;
+    std::condition_variable added_;
     std::deque<AcceptedRequest> accepted_;
     std::size_t count_ = 0;
 };
