--- a/src/bundle/tests/bundlewatch_test.cpp
+++ b/src/bundle/tests/bundlewatch_test.cpp
@@ -19,9 +19,9 @@
 constexpr Milliseconds shortWait { 5 };
 
 /// A bundle watch as a process has it, with a record of all versions that it has reported.
-class Follower {
+class WatchingProcess {
 public:
-    Follower(HeadMode mode, std::shared_ptr<MemoryObjectStore> store, Milliseconds poll = Milliseconds(60000))
+    WatchingProcess(HeadMode mode, std::shared_ptr<MemoryObjectStore> store, Milliseconds poll = Milliseconds(60000))
         : watch_(makeBundleWatch(mode, std::move(store), control_, metrics_,
             { .watch = Milliseconds(200),
                 .poll = poll,
@@ -35,9 +35,9 @@
         });
         watch_->start();
     }
-    ~Follower() { watch_->stop(); }
-    Follower(const Follower&) = delete;
-    Follower& operator=(const Follower&) = delete;
+    ~WatchingProcess() { watch_->stop(); }
+    WatchingProcess(const WatchingProcess&) = delete;
+    WatchingProcess& operator=(const WatchingProcess&) = delete;
 
     IBundleWatch& watch() { return *watch_; }
     std::uint64_t version() const { return watch_->current() ? watch_->current()->version.value() : 0; }
@@ -85,34 +85,34 @@
 BOOST_AUTO_TEST_CASE(aWatcherFollowsTheHead)
 {
     auto store = std::make_shared<MemoryObjectStore>();
-    Follower follower(HeadMode::Watch, store);
+    WatchingProcess process(HeadMode::Watch, store);
     tests::rollOutBundle(*store, 7);
-    BOOST_TEST(follower.reachesVersion(7));
+    BOOST_TEST(process.reachesVersion(7));
     tests::rollOutBundle(*store, 8, 1);
-    BOOST_TEST(follower.reachesVersion(8));
-    BOOST_TEST(follower.watch().current()->models.begin()->second.replicas.begin()->second == 1U);
-    BOOST_TEST(follower.receivedVersions({ 7, 8 }));
+    BOOST_TEST(process.reachesVersion(8));
+    BOOST_TEST(process.watch().current()->models.begin()->second.replicas.begin()->second == 1U);
+    BOOST_TEST(process.receivedVersions({ 7, 8 }));
 }
 
 BOOST_AUTO_TEST_CASE(aListenerReadsTheHeadWhenToldOfANewerVersion)
 {
     auto store = std::make_shared<MemoryObjectStore>();
     tests::rollOutBundle(*store, 7);
-    Follower follower(HeadMode::Listen, store);
-    BOOST_TEST(follower.reachesVersion(7));
+    WatchingProcess process(HeadMode::Listen, store);
+    BOOST_TEST(process.reachesVersion(7));
     tests::rollOutBundle(*store, 8);
-    follower.watch().observeVersion(BundleVersion(8));
-    BOOST_TEST(follower.reachesVersion(8));
+    process.watch().observeVersion(BundleVersion(8));
+    BOOST_TEST(process.reachesVersion(8));
 }
 
 BOOST_AUTO_TEST_CASE(aListenerPollsWithoutNotifications)
 {
     auto store = std::make_shared<MemoryObjectStore>();
     tests::rollOutBundle(*store, 7);
-    Follower follower(HeadMode::Listen, store, shortWait);
-    BOOST_TEST(follower.reachesVersion(7));
+    WatchingProcess process(HeadMode::Listen, store, shortWait);
+    BOOST_TEST(process.reachesVersion(7));
     tests::rollOutBundle(*store, 8);
-    BOOST_TEST(follower.reachesVersion(8));
+    BOOST_TEST(process.reachesVersion(8));
 }
 
 // Prevents a process from returning to an older bundle, so that a model that operators have moved to a new site is
@@ -124,15 +124,15 @@
         tests::rollOutBundle(*store, 7);
         const objectstore::StoredObject older = headOf(*store);
         tests::rollOutBundle(*store, 8);
-        Follower follower(mode, store, shortWait);
-        BOOST_TEST(follower.reachesVersion(8));
+        WatchingProcess process(mode, store, shortWait);
+        BOOST_TEST(process.reachesVersion(8));
         store->overrideReads(bundleHeadKey(), older);
-        BOOST_TEST(Follower::waitUntil([&] { return follower.hasMetric("lagoon_bundle_older_heads_total"); }));
-        BOOST_TEST(follower.version() == 8U);
+        BOOST_TEST(WatchingProcess::waitUntil([&] { return process.hasMetric("lagoon_bundle_older_heads_total"); }));
+        BOOST_TEST(process.version() == 8U);
         store->clearReadOverrides();
         tests::rollOutBundle(*store, 9);
-        BOOST_TEST(follower.reachesVersion(9));
-        BOOST_TEST(follower.receivedVersions({ 8, 9 }));
+        BOOST_TEST(process.reachesVersion(9));
+        BOOST_TEST(process.receivedVersions({ 8, 9 }));
     }
 }
 
@@ -146,14 +146,14 @@
     tests::rollOutBundle(*store, 8);
     store->setAvailable(false);
     store->overrideReads(bundleHeadKey(), older);
-    Follower follower(HeadMode::Watch, store);
-    follower.watch().observeVersion(BundleVersion(8));
+    WatchingProcess process(HeadMode::Watch, store);
+    process.watch().observeVersion(BundleVersion(8));
     store->setAvailable(true);
-    BOOST_TEST(Follower::waitUntil([&] { return follower.hasMetric("lagoon_bundle_older_heads_total"); }));
-    BOOST_TEST(follower.version() == 0U);
+    BOOST_TEST(WatchingProcess::waitUntil([&] { return process.hasMetric("lagoon_bundle_older_heads_total"); }));
+    BOOST_TEST(process.version() == 0U);
     store->clearReadOverrides();
-    BOOST_TEST(follower.reachesVersion(8));
-    BOOST_TEST(follower.receivedVersions({ 8 }));
+    BOOST_TEST(process.reachesVersion(8));
+    BOOST_TEST(process.receivedVersions({ 8 }));
 }
 
 // Prevents a new router from staying "not ready" after an outage of the platform: it must not stop trying to read the
@@ -163,11 +163,11 @@
     auto store = std::make_shared<MemoryObjectStore>();
     tests::rollOutBundle(*store, 7);
     store->setAvailable(false);
-    Follower follower(HeadMode::Watch, store);
-    BOOST_TEST(Follower::waitUntil([&] { return follower.hasMetric("platform_unavailable\"} 2"); }));
-    BOOST_TEST(!follower.watch().current());
+    WatchingProcess process(HeadMode::Watch, store);
+    BOOST_TEST(WatchingProcess::waitUntil([&] { return process.hasMetric("platform_unavailable\"} 2"); }));
+    BOOST_TEST(!process.watch().current());
     store->setAvailable(true);
-    BOOST_TEST(follower.reachesVersion(7));
+    BOOST_TEST(process.reachesVersion(7));
 }
 
 BOOST_AUTO_TEST_CASE(aBundleWithAWrongDigestIsNotApplied)
@@ -175,14 +175,14 @@
     auto store = std::make_shared<MemoryObjectStore>();
     tests::rollOutBundle(*store, 7);
     const std::string head = *store->valueOf(bundleHeadKey());
-    Follower follower(HeadMode::Watch, store);
-    BOOST_TEST(follower.reachesVersion(7));
+    WatchingProcess process(HeadMode::Watch, store);
+    BOOST_TEST(process.reachesVersion(7));
     BundleHead wrong = parseBundleHead(head).value();
     wrong.version = BundleVersion(8);
     store->set(objectstore::ObjectKey("bundles/8"), *store->valueOf(objectstore::ObjectKey("bundles/7")));
     store->set(bundleHeadKey(), bundleHeadText(wrong));
-    BOOST_TEST(Follower::waitUntil([&] { return follower.hasMetric("code=\"bad_bundle\""); }));
-    BOOST_TEST(follower.version() == 7U);
+    BOOST_TEST(WatchingProcess::waitUntil([&] { return process.hasMetric("code=\"bad_bundle\""); }));
+    BOOST_TEST(process.version() == 7U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
