--- a/src/bundle/benchmarks/bundlebenchmark.cpp
+++ b/src/bundle/benchmarks/bundlebenchmark.cpp
@@ -159,11 +159,13 @@
     return { bundle.version, bundleDigest(manifest), "nonce", "ada", "2026-12-02T20:00:00Z" };
 }
 
+/// Results for one size and number of parts. The figures of a change are means over `measuredChanges` changes.
 struct Row {
     std::size_t parts = 0;
     std::size_t startReads = 0;
     std::size_t startBytes = 0;
     double startMs = 0;
+    /// Growth of the heap by the loaded bundle, in bytes.
     std::size_t heap = 0;
     double changeReads = 0;
     double changeBytes = 0;
--- a/src/bundle/tests/bundlewatch_test.cpp
+++ b/src/bundle/tests/bundlewatch_test.cpp
@@ -18,7 +18,7 @@
 
 constexpr Milliseconds shortWait { 5 };
 
-/// A bundle watch as a process has it, with a record of all versions that it has reported.
+/// The bundle watch of one process; records all versions that the watch reports.
 class WatchingProcess {
 public:
     WatchingProcess(HeadMode mode, std::shared_ptr<MemoryObjectStore> store, Milliseconds poll = Milliseconds(60000))
--- a/src/bundle/types/bundle.h
+++ b/src/bundle/types/bundle.h
@@ -60,7 +60,8 @@
 struct PolicyParameters {
     /// Cost of one second of a caller's cold start, in seconds of an idle accelerator.
     double coldStartWeight = 10;
-    /// Limits of the weight store, in total for all sites.
+    /// Limits of the weight store, in total for all sites: loads started per second, and loads in progress that it
+    /// serves at full speed.
     double weightLoadsPerSecond = 1.5;
     std::uint32_t weightLoadsAtFullSpeed = 4;
 };
