--- a/src/objectstore/tests/mirrorbounds_test.cpp
+++ b/src/objectstore/tests/mirrorbounds_test.cpp
@@ -320,7 +320,7 @@
     BOOST_TEST(maxRemovalDelayAfterOutage(Availability::RefusedWithRetryAfter, true).count() < maxOutageDelay.count());
 }
 
-// Prevents a missing entry from being kept forever when the store drops its history often: each new list used to start
+// Prevents a missing entry from being kept forever when the store drops its history often: each new list would start
 // another full grace period.
 BOOST_AUTO_TEST_CASE(consecutiveListsDoNotExtendAMissingEntry)
 {
