--- a/src/agent/internal/requestgate.cpp
+++ b/src/agent/internal/requestgate.cpp
@@ -21,7 +21,7 @@
 
 constexpr std::size_t maxChunkBytes = std::size_t(256) * 1024;
 constexpr std::uint8_t maxPriority = 9;
-constexpr Milliseconds retryWhenFull { 500 };
+constexpr Milliseconds retryWhenQueueFull { 500 };
 /// Retry delay of requests that are refused because the agent shuts down; another upstream may serve them immediately.
 constexpr Milliseconds retryWhenDraining { 1000 };
 constexpr unsigned short notFound = 404;
@@ -157,7 +157,7 @@
         refused = queueRefusal(waiting, target);
         if (!refused && !admission_.enqueue(waiting)) {
             refused = refusal(ErrorCode::TooManyWaiting, "the agent's queue is full", Execution::NotRun);
-            refused->retryAfter = retryWhenFull;
+            refused->retryAfter = retryWhenQueueFull;
         }
         if (refused)
             ports_.targets.endUse(target, ports_.clock.now());
@@ -265,7 +265,7 @@
 {
     for (const WaitingDispatch& next : admission_.takeStartable())
         run(next.key);
-    publish();
+    publishMetrics();
 }
 
 void RequestGate::run(const DispatchKey& key)
@@ -489,9 +489,9 @@
 /// Prevents the process from being killed while requests still wait: no process could then report that they never
 /// reached the upstream, and their callers would learn only at their deadlines that the requests may have run. Requests
 /// that can't end in time by the forecast are refused immediately, so that another upstream can serve them.
-void RequestGate::beginDraining(const framework::ShutdownDeadlines& end)
+void RequestGate::beginDraining(const framework::ShutdownDeadlines& deadlines)
 {
-    shutdownDeadlines_ = end;
+    shutdownDeadlines_ = deadlines;
     std::vector<DispatchKey> hopeless;
     for (auto& [key, call] : calls_) {
         if (call.upstream)
@@ -505,7 +505,7 @@
         stop(key, drainingRefusal("the agent ends before its turn", Execution::NotRun));
 }
 
-void RequestGate::publish()
+void RequestGate::publishMetrics()
 {
     ports_.metrics->setGauge("lagoon_agent_running", running());
     ports_.metrics->setGauge("lagoon_agent_waiting", waiting());
--- a/src/agent/internal/servicetimes.cpp
+++ b/src/agent/internal/servicetimes.cpp
@@ -9,6 +9,7 @@
 
 namespace {
 
+/// Weight of the latest measurement in the moving averages.
 constexpr double smoothingFactor = 0.1;
 /// Distance from the mean to the tenth and ninetieth percentile, in mean absolute deviations (of a normal
 /// distribution).
@@ -28,8 +29,8 @@
 void ServiceTimes::record(const Target& target, Milliseconds took)
 {
     const auto number = static_cast<double>(took.count());
-    take(all_, number);
-    take(byTarget_[keyOf(target)], number);
+    update(all_, number);
+    update(byTarget_[keyOf(target)], number);
 }
 
 std::optional<policy::LoadTimeEstimate> ServiceTimes::estimateFor(const Target& target) const
@@ -40,7 +41,7 @@
     return estimate(found->second);
 }
 
-void ServiceTimes::take(Average& average, double milliseconds)
+void ServiceTimes::update(Average& average, double milliseconds)
 {
     if (!average.isKnown) {
         average = { milliseconds, 0, true };
--- a/src/router/internal/dispatcher.cpp
+++ b/src/router/internal/dispatcher.cpp
@@ -23,6 +23,7 @@
 constexpr Milliseconds retryAfterBusy { 1000 };
 /// A refusal is sent this long before the request's deadline, so that it reaches the caller in time.
 constexpr Milliseconds answerMargin { 20 };
+/// Time for which a draining agent is excluded from selection.
 constexpr Milliseconds drainingAvoidance { 5000 };
 /// Another router can serve at once a request that this router didn't start before its shutdown.
 constexpr Milliseconds retryAfterShutdown { 1000 };
@@ -201,7 +202,7 @@
     entry.coldSince = entry.coldSince.value_or(context_.clock.now());
     const auto desired = static_cast<std::uint32_t>(context_.placements.vms(where->target).size() + 1);
     const WaitingRequest waiting { entry.request.deadline, entry.request.priority };
-    wakes_->wait(*where, number, waiting, std::min(desired, std::max(1U, replicaCap(*where))));
+    wakes_->startWaiting(*where, number, waiting, std::min(desired, std::max(1U, replicaCap(*where))));
 }
 
 /// Returns this router's site if possible, otherwise another site at which the bundle decides replicas: while a model
@@ -307,7 +308,7 @@
 }
 
 void Dispatcher::handleRefusal(
-    const Error& error, framework::BundleVersion home, const std::set<RequestNumber>& requests)
+    const Error& error, framework::BundleVersion homeVersion, const std::set<RequestNumber>& requests)
 {
     for (const RequestNumber number : requests) {
         const auto found = requests_.find(number);
@@ -317,7 +318,7 @@
         const SiteTarget where = *entry.waitsFor;
         entry.waitsFor.reset();
         wakes_->stopWaiting(where, number);
-        if (awaitBundle(number, entry, home))
+        if (awaitBundle(number, entry, homeVersion))
             continue;
         entry.refusedSites.insert(where.site);
         entry.lastError = error;
@@ -328,11 +329,11 @@
 /// Delays a request that a home refused by a newer bundle, for example because the target has moved to a site that this
 /// router's bundle doesn't name yet. The newer bundle will be in force here shortly, and the request is then routed by
 /// it. Returns false if the home's bundle isn't newer or the time limit for the wait has passed.
-bool Dispatcher::awaitBundle(RequestNumber number, Request& entry, framework::BundleVersion home)
+bool Dispatcher::awaitBundle(RequestNumber number, Request& entry, framework::BundleVersion homeVersion)
 {
     const auto now = context_.clock.now();
     const bundle::BundlePointer bundle = context_.bundle();
-    if (!bundle || home <= bundle->version)
+    if (!bundle || homeVersion <= bundle->version)
         return false;
     if (!entry.bundleWaitDeadline)
         entry.bundleWaitDeadline = Deadline::after(now, maxBundleWait);
--- a/src/router/internal/home.cpp
+++ b/src/router/internal/home.cpp
@@ -31,6 +31,7 @@
     converted.freeMemory = framework::MebiBytes(bid.free_mib);
     converted.evictedMemory = framework::MebiBytes(bid.evict_mib);
     converted.victimIdle = Milliseconds(bid.victim_idle_ms);
+    // Values above 2, the value of `Remote`, count as `Remote`.
     converted.checkpoint = static_cast<policy::CheckpointLocation>(std::min<std::uint8_t>(bid.checkpoint, 2));
     converted.expectedLoad = Milliseconds(bid.expected_load_ms);
     converted.running = bid.running;
@@ -120,15 +121,15 @@
         if (isHere && !search.asked.contains(vm))
             next.push_back(vm);
     }
-    std::size_t fresh = 0;
+    std::size_t added = 0;
     // An adapter is loaded where replicas of its model are, so both use the rendezvous order of the model.
     for (const VmName& vm : policy::rendezvousOrder(where.target.model.value(), live)) {
-        if (fresh >= context_.settings.bids)
+        if (added >= context_.settings.bids)
             break;
         if (search.asked.contains(vm) || std::find(next.begin(), next.end(), vm) != next.end())
             continue;
         next.push_back(vm);
-        ++fresh;
+        ++added;
     }
     return next;
 }
@@ -365,7 +366,7 @@
     if (!search)
         return;
     search->isLoading = false;
-    context_.gate.ended(where, result.has_value() && result.value().is_loaded);
+    context_.gate.didEnd(where, result.has_value() && result.value().is_loaded);
     if (result.has_value() && result.value().is_loaded) {
         for (Candidate& candidate : search->candidates)
             candidate.isLoaded = candidate.isLoaded || candidate.vm == vm;
@@ -421,17 +422,17 @@
             return evaluate(where);
         search->awaitedBundle = newerBundle(holders.value().bundleVersion);
         context_.observeVersion(holders.value().bundleVersion);
-        std::vector<VmName> unasked;
+        std::vector<VmName> usableHolders;
         for (const VmName& vm : holders.value().vms) {
             if (!context_.directory.isUsable(vm))
                 continue;
             // A holder that has bid before is asked again, since it may have started to load after its bid.
             std::erase_if(search->candidates, [&](const Candidate& candidate) { return candidate.vm == vm; });
-            unasked.push_back(vm);
+            usableHolders.push_back(vm);
         }
-        if (unasked.empty())
+        if (usableHolders.empty())
             return evaluate(where);
-        requestBids(where, unasked);
+        requestBids(where, usableHolders);
     });
 }
 
--- a/src/router/internal/router.cpp
+++ b/src/router/internal/router.cpp
@@ -163,8 +163,8 @@
         [this](const auto& where, const auto& vms, const auto& requests) {
             dispatcher_.handlePlacements(where, vms, requests);
         },
-        [this](const auto& error, BundleVersion home, const auto& requests) {
-            dispatcher_.handleRefusal(error, home, requests);
+        [this](const auto& error, BundleVersion homeVersion, const auto& requests) {
+            dispatcher_.handleRefusal(error, homeVersion, requests);
         },
         [this](const WakeReply& progress, const auto& requests) { dispatcher_.handleForecast(progress, requests); } };
 }
@@ -209,13 +209,13 @@
 }
 
 /// Returns the number of loads that the weight store serves at full speed, divided by the number of sites, and at least
-/// 1: each home then has a slot of its own at the store. With more homes than slots, the homes' minimum of one slot
-/// each would add up to more than the store can serve.
+/// 1: each home then has a slot of its own at the store. Each home may always run one load, so with more homes than
+/// slots the homes together could run more loads than the store serves at full speed.
 std::size_t Router::Implementation::homesPerSite() const
 {
     const bundle::BundlePointer bundle = bundles_->current();
-    const std::uint32_t places = bundle ? bundle->policy.weightLoadsAtFullSpeed : 1;
-    return std::max<std::size_t>(1, places / std::max<std::size_t>(1, directory_.sites().size()));
+    const std::uint32_t slots = bundle ? bundle->policy.weightLoadsAtFullSpeed : 1;
+    return std::max<std::size_t>(1, slots / std::max<std::size_t>(1, directory_.sites().size()));
 }
 
 /// Updates the load gate with the number of homes and this router's rank among them.
@@ -296,19 +296,19 @@
 {
     if (!shutdownDeadlines_)
         shutdownDeadlines_ = framework::ShutdownDeadlines::after(clock_.now(), settings_.shutdownGrace);
-    const framework::ShutdownDeadlines end = *shutdownDeadlines_;
+    const framework::ShutdownDeadlines deadlines = *shutdownDeadlines_;
     isShuttingDown_ = true;
     framework::logInfo("router", "shutting down, refusing new requests");
     callerServer_.refuseNew();
-    control_.post([this, end] { dispatcher_.beginShutdown(end); });
+    control_.post([this, deadlines] { dispatcher_.beginShutdown(deadlines); });
     // Callers still use connections on which no reply has asked them to close, and load balancers haven't noticed the
     // shutdown yet.
     if (isServing_)
-        std::this_thread::sleep_until(end.noticedBy.at());
-    const bool isIdle = callerServer_.waitUntilIdle(end.exitBy);
+        std::this_thread::sleep_until(deadlines.noticedBy.at());
+    const bool isIdle = callerServer_.waitUntilIdle(deadlines.exitBy);
     // Some request bodies never arrive, so the wait for them is shorter than the grace period.
-    callerServer_.waitUntilAllSent(std::min(end.exitBy, Deadline::after(clock_.now(), bodyDrainTimeout)));
-    keys_.waitUntilSettled(end.exitBy);
+    callerServer_.waitUntilAllSent(std::min(deadlines.exitBy, Deadline::after(clock_.now(), bodyDrainTimeout)));
+    keys_.waitUntilSettled(deadlines.exitBy);
     if (isIdle)
         framework::logInfo("router", "drained");
     else
--- a/src/router/tests/loadgate_test.cpp
+++ b/src/router/tests/loadgate_test.cpp
@@ -32,12 +32,12 @@
 
     GatedLoad load(const std::string& model) const
     {
-        GatedLoad made;
-        made.where = target(model);
-        made.memory = MebiBytes(60);
-        made.demand.earliest = Deadline::after(control_.now(), Milliseconds(60000));
-        made.demand.waiters = 1;
-        return made;
+        GatedLoad gated;
+        gated.where = target(model);
+        gated.memory = MebiBytes(60);
+        gated.demand.earliest = Deadline::after(control_.now(), Milliseconds(60000));
+        gated.demand.waiters = 1;
+        return gated;
     }
 
     void enqueue(const GatedLoad& load)
@@ -47,7 +47,7 @@
 
     void endRunning()
     {
-        gate_.ended(target("running"), true);
+        gate_.didEnd(target("running"), true);
         control_.advance(Milliseconds(1000));
     }
 
@@ -64,8 +64,8 @@
 BOOST_FIXTURE_TEST_SUITE(LoadGates, GateFixture)
 
 // Prevents needless refusals: 50 requests wait for one model, and one request with an earlier deadline for another. The
-// load order starts the load for the 50 first. A forecast by deadlines put them second, and they were refused as
-// hopeless.
+// load order starts the load for the 50 first. A forecast by deadlines alone would put it second, and the 50 would be
+// refused as hopeless.
 BOOST_AUTO_TEST_CASE(theForecastFollowsTheLoadOrder)
 {
     enqueue(load("single"));
