--- a/tests/standins/common/httpserver.cpp
+++ b/tests/standins/common/httpserver.cpp
@@ -18,7 +18,7 @@
 namespace beast = boost::beast;
 using boost::asio::ip::tcp;
 
-constexpr std::uint64_t largestBody = 64 * 1024 * 1024;
+constexpr std::uint64_t maxBodyBytes = 64 * 1024 * 1024;
 
 HttpRequest translate(const beast::http::request<beast::http::string_body>& message)
 {
@@ -116,7 +116,7 @@
         if (isDropped_)
             return false;
         beast::http::request_parser<beast::http::string_body> parser;
-        parser.body_limit(largestBody);
+        parser.body_limit(maxBodyBytes);
         boost::system::error_code error;
         beast::http::read(socket_, buffer_, parser, error);
         if (error)
--- a/tests/standins/engine/enginestandin.cpp
+++ b/tests/standins/engine/enginestandin.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-constexpr std::uint64_t mostFaults = 1000000;
-constexpr std::uint64_t longestDelayMs = 600000;
-constexpr int exitOfDeath = 9;
+constexpr std::uint64_t maxFaultCount = 1000000;
+constexpr std::uint64_t maxDelayMs = 600000;
+constexpr int crashExitCode = 9;
 
 /// Puts a key's fields into JSON.
 value keyJson(const ReplicaKey& key)
@@ -186,7 +186,7 @@
     std::this_thread::sleep_for(half);
     const LoadFault fault = takeLoadFault();
     if (fault == LoadFault::Die)
-        _exit(exitOfDeath);
+        _exit(crashExitCode);
     std::this_thread::sleep_for(half);
     lock.lock();
     replicas_.finishLoad(key, isFetched && fault == LoadFault::None, steady_clock::now());
@@ -288,16 +288,16 @@
     if (faults.has("loads")) {
         CheckedObject loads = faults.object("loads");
         loadFault_ = loads.choiceOr("do", "fail", { "fail", "die" }) == "die" ? LoadFault::Die : LoadFault::Fail;
-        loadFaultsLeft_ = loads.numberOr("count", 1, 0, mostFaults);
+        loadFaultsLeft_ = loads.numberOr("count", 1, 0, maxFaultCount);
     }
     if (faults.has("late_loads")) {
         CheckedObject late = faults.object("late_loads");
-        lateLoadsLeft_ = late.numberOr("count", 1, 0, mostFaults);
-        lateLoadDelay_ = Milliseconds(late.number("delay_ms", 0, longestDelayMs));
+        lateLoadsLeft_ = late.numberOr("count", 1, 0, maxFaultCount);
+        lateLoadDelay_ = Milliseconds(late.number("delay_ms", 0, maxDelayMs));
     }
-    ignoredUnloadsLeft_ = faults.numberOr("ignored_unloads", ignoredUnloadsLeft_, 0, mostFaults);
-    slowLoad_ = Milliseconds(faults.numberOr("slow_load_ms", slowLoad_.count(), 0, longestDelayMs));
-    slowToken_ = Milliseconds(faults.numberOr("slow_token_ms", slowToken_.count(), 0, longestDelayMs));
+    ignoredUnloadsLeft_ = faults.numberOr("ignored_unloads", ignoredUnloadsLeft_, 0, maxFaultCount);
+    slowLoad_ = Milliseconds(faults.numberOr("slow_load_ms", slowLoad_.count(), 0, maxDelayMs));
+    slowToken_ = Milliseconds(faults.numberOr("slow_token_ms", slowToken_.count(), 0, maxDelayMs));
     if (faults.has("calls"))
         callFaults_.set(faults.object("calls"));
     return faults.finish();
--- a/tests/standins/engine/weightfetch.cpp
+++ b/tests/standins/engine/weightfetch.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr framework::Milliseconds longestTransfer { 600000 };
+constexpr framework::Milliseconds maxTransferTime { 600000 };
 constexpr framework::Milliseconds rateLimitWait { 100 };
 
 } // namespace
@@ -21,7 +21,7 @@
         path += "/" + key.adapter;
     path += "/" + key.version;
     web::http::client::http_client_config config;
-    config.set_timeout(longestTransfer);
+    config.set_timeout(maxTransferTime);
     while (true) {
         try {
             web::http::client::http_client client(url, config);
--- a/tests/standins/platform/platformstandin.cpp
+++ b/tests/standins/platform/platformstandin.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr std::size_t largestValue = 1024 * 1024;
+constexpr std::size_t maxValueBytes = 1024 * 1024;
 /// How often waiting calls look whether the lagging list has moved on.
-constexpr Milliseconds lookInterval { 20 };
+constexpr Milliseconds pollInterval { 20 };
 const std::string objectPrefix = "/v1/objects/";
 
 std::string tagOf(std::uint64_t version) { return "\"" + std::to_string(version) + "\""; }
@@ -144,7 +144,7 @@
         expected = 0;
     if (!expected)
         return replyError(exchange, 400, "no_condition");
-    if (request.body.size() > largestValue)
+    if (request.body.size() > maxValueBytes)
         return replyError(exchange, 413, "too_large");
     std::unique_lock lock(mutex_);
     const WriteOutcome outcome = objects_.put(key, request.body, *expected);
@@ -222,7 +222,7 @@
     std::unique_lock lock(mutex_);
     vms_.advance(steady_clock::now());
     while (mode_ == Mode::Up && vms_.version() == known && steady_clock::now() < end) {
-        changed_.wait_until(lock, std::min(end, steady_clock::now() + lookInterval));
+        changed_.wait_until(lock, std::min(end, steady_clock::now() + pollInterval));
         vms_.advance(steady_clock::now());
     }
     const bool isUp = mode_ == Mode::Up;
--- a/tests/standins/proxy/piecereader.cpp
+++ b/tests/standins/proxy/piecereader.cpp
@@ -8,17 +8,17 @@
 
 namespace {
 
-constexpr std::size_t chunkBytes = 65536;
-constexpr std::size_t lengthBytes = 4;
+constexpr std::size_t readBufferBytes = 65536;
+constexpr std::size_t lengthPrefixBytes = 4;
 /// Far above any frame of ours; more is no frame.
-constexpr std::size_t largestFrame = 64 * 1024 * 1024;
+constexpr std::size_t maxFrameBytes = 64 * 1024 * 1024;
 
 std::size_t lengthOf(const std::string& bytes)
 {
     std::size_t length = 0;
-    for (std::size_t at = 0; at < lengthBytes; ++at)
+    for (std::size_t at = 0; at < lengthPrefixBytes; ++at)
         length |= static_cast<std::size_t>(static_cast<unsigned char>(bytes[at])) << (8 * at);
-    return std::min(length, largestFrame);
+    return std::min(length, maxFrameBytes);
 }
 
 /// Reads until `size` bytes have been added or the stream ends.
@@ -38,11 +38,11 @@
 {
     std::string bytes;
     if (framing == Framing::Length) {
-        if (append(socket, bytes, lengthBytes) == lengthBytes)
+        if (append(socket, bytes, lengthPrefixBytes) == lengthPrefixBytes)
             append(socket, bytes, lengthOf(bytes));
         return bytes;
     }
-    bytes.resize(chunkBytes);
+    bytes.resize(readBufferBytes);
     boost::system::error_code error;
     bytes.resize(socket.read_some(boost::asio::buffer(bytes), error));
     return bytes;
--- a/tests/standins/proxy/streamfaults.cpp
+++ b/tests/standins/proxy/streamfaults.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr std::uint64_t longestDelayMs = 600000;
-constexpr std::uint64_t mostFaults = 1000000;
+constexpr std::uint64_t maxDelayMs = 600000;
+constexpr std::uint64_t maxFaultCount = 1000000;
 
 std::size_t indexOf(Direction direction) { return static_cast<std::size_t>(direction); }
 
@@ -18,17 +18,17 @@
     const std::lock_guard lock(mutex_);
     if (json.has("delay_ms")) {
         framework::CheckedObject delays = json.object("delay_ms");
-        delays_[0] = Milliseconds(delays.numberOr("to_server", 0, 0, longestDelayMs));
-        delays_[1] = Milliseconds(delays.numberOr("to_client", 0, 0, longestDelayMs));
+        delays_[0] = Milliseconds(delays.numberOr("to_server", 0, 0, maxDelayMs));
+        delays_[1] = Milliseconds(delays.numberOr("to_client", 0, 0, maxDelayMs));
     }
     if (json.has("swap")) {
         framework::CheckedObject swaps = json.object("swap");
-        swapsLeft_[0] = swaps.numberOr("to_server", 0, 0, mostFaults);
-        swapsLeft_[1] = swaps.numberOr("to_client", 0, 0, mostFaults);
+        swapsLeft_[0] = swaps.numberOr("to_server", 0, 0, maxFaultCount);
+        swapsLeft_[1] = swaps.numberOr("to_client", 0, 0, maxFaultCount);
     }
     if (json.has("lose_answer")) {
         framework::CheckedObject loss = json.object("lose_answer");
-        lossesLeft_ = loss.numberOr("count", 1, 0, mostFaults);
+        lossesLeft_ = loss.numberOr("count", 1, 0, maxFaultCount);
         lossAfterBytes_ = loss.numberOr("after_bytes", 0, 0, UINT32_MAX);
     }
 }
--- a/tests/standins/service/servicestandin.cpp
+++ b/tests/standins/service/servicestandin.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::uint64_t longestWorkMs = 600000;
+constexpr std::uint64_t maxWorkMs = 600000;
 
 value echo(const HttpRequest& request)
 {
@@ -67,7 +67,7 @@
 {
     framework::CheckedObject faults(json, "faults", "", framework::ErrorCode::BadRequest);
     const std::lock_guard lock(mutex_);
-    work_ = Milliseconds(faults.numberOr("work_ms", work_.count(), 0, longestWorkMs));
+    work_ = Milliseconds(faults.numberOr("work_ms", work_.count(), 0, maxWorkMs));
     if (faults.has("calls"))
         callFaults_.set(faults.object("calls"));
     return faults.finish();
