--- a/tests/standins/proxy/piecereader.cpp
+++ b/tests/standins/proxy/chunkreader.cpp
@@ -1,4 +1,4 @@
-#include "standins/proxy/piecereader.h"
+#include "standins/proxy/chunkreader.h"
 
 #include <algorithm>
 #include <boost/asio/buffer.hpp>
@@ -34,10 +34,10 @@
 
 } // namespace
 
-std::string readPiece(Socket& socket, Framing framing)
+std::string readChunk(Socket& socket, Framing framing)
 {
     std::string bytes;
-    if (framing == Framing::Length) {
+    if (framing == Framing::LengthPrefix) {
         if (append(socket, bytes, lengthPrefixBytes) == lengthPrefixBytes)
             append(socket, bytes, lengthOf(bytes));
         return bytes;
--- a/tests/standins/proxy/faultproxy.cpp
+++ b/tests/standins/proxy/faultproxy.cpp
@@ -10,7 +10,7 @@
 using web::json::value;
 
 FaultProxy::FaultProxy(framework::Endpoint to, Framing framing)
-    : to_(std::move(to))
+    : target_(std::move(to))
     , framing_(framing)
 {
 }
@@ -28,20 +28,20 @@
         boost::system::error_code error;
         Socket client = acceptor_.accept(error);
         if (!error)
-            carry(std::move(client));
+            forwardConnection(std::move(client));
     }
 }
 
-void FaultProxy::carry(Socket client)
+void FaultProxy::forwardConnection(Socket client)
 {
     const std::lock_guard lock(mutex_);
     ++accepted_;
-    const auto target = parseEndpoint(to_);
+    const auto target = parseEndpoint(target_);
     Socket server(context_);
     boost::system::error_code error;
-    if (!refuses_ && target.has_value())
+    if (!refusesConnections_ && target.has_value())
         server.connect(target.value(), error);
-    if (refuses_ || error)
+    if (refusesConnections_ || error)
         return;
     boost::system::error_code ignored;
     client.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
@@ -54,34 +54,34 @@
 
 void FaultProxy::answer(Exchange& exchange) { replyError(exchange, 404, "no_such_path"); }
 
-void FaultProxy::forStreams(const std::string& word, void (DirectedStream::*action)())
+void FaultProxy::forEachRelay(const std::string& direction, void (StreamRelay::*action)())
 {
     for (const auto& connection : connections_) {
-        if (word != "to_client")
-            (connection->stream(Direction::ToServer).*action)();
-        if (word != "to_server")
-            (connection->stream(Direction::ToClient).*action)();
+        if (direction != "to_client")
+            (connection->relay(Direction::ToServer).*action)();
+        if (direction != "to_server")
+            (connection->relay(Direction::ToClient).*action)();
     }
 }
 
 framework::Result<void> FaultProxy::setFaults(const value& json)
 {
     framework::CheckedObject faults(json, "faults", "", framework::ErrorCode::BadRequest);
-    const std::vector<std::string> words { "to_server", "to_client", "both" };
+    const std::vector<std::string> directions { "to_server", "to_client", "both" };
     const std::lock_guard lock(mutex_);
     faults_.set(faults);
-    refuses_ = faults.flagOr("refuse", refuses_);
-    to_ = framework::Endpoint(faults.textOr("to", to_.value()));
+    refusesConnections_ = faults.flagOr("refuse", refusesConnections_);
+    target_ = framework::Endpoint(faults.textOr("to", target_.value()));
     if (faults.flagOr("cut", false)) {
         for (const auto& connection : connections_)
             connection->cut();
     }
     if (faults.has("silent"))
-        forStreams(faults.choiceOr("silent", "both", words), &DirectedStream::silence);
+        forEachRelay(faults.choiceOr("silent", "both", directions), &StreamRelay::blackhole);
     if (faults.has("hold"))
-        forStreams(faults.choiceOr("hold", "both", words), &DirectedStream::hold);
+        forEachRelay(faults.choiceOr("hold", "both", directions), &StreamRelay::hold);
     if (faults.flagOr("release", false))
-        forStreams("both", &DirectedStream::release);
+        forEachRelay("both", &StreamRelay::release);
     return faults.finish();
 }
 
@@ -93,11 +93,11 @@
     for (const auto& connection : connections_) {
         open += connection->isFinished() ? 0 : 1;
         for (const Direction direction : { Direction::ToServer, Direction::ToClient }) {
-            const StreamCounts counts = connection->stream(direction).counts();
+            const StreamCounts counts = connection->relay(direction).counts();
             StreamCounts& sum = sums[static_cast<std::size_t>(direction)];
             sum.delivered += counts.delivered;
             sum.held += counts.held;
-            sum.swallowed += counts.swallowed;
+            sum.discarded += counts.discarded;
         }
     }
     value record;
@@ -109,7 +109,7 @@
     for (std::size_t index = 0; index < 2; ++index) {
         record[names[index]]["delivered_bytes"] = value::number(sums[index].delivered);
         record[names[index]]["held_bytes"] = value::number(sums[index].held);
-        record[names[index]]["swallowed_bytes"] = value::number(sums[index].swallowed);
+        record[names[index]]["swallowed_bytes"] = value::number(sums[index].discarded);
     }
     return record;
 }
--- a/tests/standins/proxy/faultproxy.h
+++ b/tests/standins/proxy/faultproxy.h
@@ -15,7 +15,7 @@
 /// - `cut`: true closes all present connections
 /// - `silent`: `to_server`, `to_client` or `both`: present connections carry nothing any more in that direction, not
 ///   even their end; new connections work
-/// - `hold`: the same words: present connections' bytes are kept, also their end, until `release`: true
+/// - `hold`: the same directions: present connections' bytes are kept, also their end, until `release`: true
 /// - `swap` `{"to_server", "to_client"}`: so many pieces change places with their next
 /// - `lose_answer` `{"count", "after_bytes"}`: so many connections are closed when the server's bytes come, past the
 ///   given number
@@ -33,11 +33,11 @@
 
 private:
     void accept();
-    void carry(Socket client);
-    /// For each open connection, the streams of the direction that the word names.
-    void forStreams(const std::string& word, void (DirectedStream::*action)());
+    void forwardConnection(Socket client);
+    /// For each open connection, the relays of this direction (`to_server`, `to_client` or `both`).
+    void forEachRelay(const std::string& direction, void (StreamRelay::*action)());
 
-    framework::Endpoint to_;
+    framework::Endpoint target_;
     const Framing framing_;
     boost::asio::io_context context_;
     boost::asio::ip::tcp::acceptor acceptor_ { context_ };
@@ -46,7 +46,7 @@
     std::mutex mutex_;
     std::vector<std::shared_ptr<ProxiedConnection>> connections_;
     std::uint64_t accepted_ = 0;
-    bool refuses_ = false;
+    bool refusesConnections_ = false;
 };
 
 } // namespace lagoon::standins
--- a/tests/standins/proxy/main.cpp
+++ b/tests/standins/proxy/main.cpp
@@ -9,7 +9,7 @@
 /// The proxy's own endpoint goes into the ready line as `proxy`.
 std::shared_ptr<IStandin> makeProxy(const options::variables_map& values, ReadyLine& ready)
 {
-    const Framing framing = values["frames"].as<bool>() ? Framing::Length : Framing::None;
+    const Framing framing = values["frames"].as<bool>() ? Framing::LengthPrefix : Framing::None;
     auto proxy = std::make_shared<FaultProxy>(Endpoint(values["to"].as<std::string>()), framing);
     const auto endpoint = proxy->start(Endpoint(values["proxy"].as<std::string>()));
     if (!endpoint.has_value())
--- a/tests/standins/proxy/proxiedconnection.cpp
+++ b/tests/standins/proxy/proxiedconnection.cpp
@@ -15,16 +15,16 @@
 
 void ProxiedConnection::start()
 {
-    move(toServer_);
-    move(toClient_);
+    startRelay(toServer_);
+    startRelay(toClient_);
 }
 
-void ProxiedConnection::move(DirectedStream& stream)
+void ProxiedConnection::startRelay(StreamRelay& relay)
 {
-    std::thread([self = shared_from_this(), &stream] { stream.takeIn(); }).detach();
-    std::thread([self = shared_from_this(), &stream] {
-        stream.deliver();
-        ++self->endedStreams_;
+    std::thread([self = shared_from_this(), &relay] { relay.receive(); }).detach();
+    std::thread([self = shared_from_this(), &relay] {
+        relay.deliver();
+        ++self->endedRelays_;
     }).detach();
 }
 
--- a/tests/standins/proxy/proxiedconnection.h
+++ b/tests/standins/proxy/proxiedconnection.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "standins/proxy/directedstream.h"
+#include "standins/proxy/streamrelay.h"
 
 #include <atomic>
 #include <memory>
@@ -17,19 +17,19 @@
     void start();
     /// Closes both sides.
     void cut();
-    DirectedStream& stream(Direction direction) { return direction == Direction::ToServer ? toServer_ : toClient_; }
+    StreamRelay& relay(Direction direction) { return direction == Direction::ToServer ? toServer_ : toClient_; }
     /// Whether both directions have ended or it was cut.
-    bool isFinished() const { return isCut_ || endedStreams_ == 2; }
+    bool isFinished() const { return isCut_ || endedRelays_ == 2; }
 
 private:
-    void move(DirectedStream&);
+    void startRelay(StreamRelay&);
 
     std::shared_ptr<Socket> client_;
     std::shared_ptr<Socket> server_;
-    DirectedStream toServer_;
-    DirectedStream toClient_;
+    StreamRelay toServer_;
+    StreamRelay toClient_;
     std::atomic<bool> isCut_ = false;
-    std::atomic<int> endedStreams_ = 0;
+    std::atomic<int> endedRelays_ = 0;
 };
 
 } // namespace lagoon::standins
--- a/tests/standins/proxy/streamfaults.cpp
+++ b/tests/standins/proxy/streamfaults.cpp
@@ -39,7 +39,7 @@
     return delays_[indexOf(direction)];
 }
 
-bool StreamFaults::takesSwap(Direction direction)
+bool StreamFaults::tryTakeSwap(Direction direction)
 {
     const std::lock_guard lock(mutex_);
     std::uint64_t& left = swapsLeft_[indexOf(direction)];
@@ -50,7 +50,7 @@
     return true;
 }
 
-std::optional<std::uint64_t> StreamFaults::takeLoss()
+std::optional<std::uint64_t> StreamFaults::tryTakeAnswerLoss()
 {
     const std::lock_guard lock(mutex_);
     if (lossesLeft_ == 0)
--- a/tests/standins/proxy/streamfaults.h
+++ b/tests/standins/proxy/streamfaults.h
@@ -20,9 +20,9 @@
 
     framework::Milliseconds delay(Direction) const;
     /// True for so many pieces as shall change places with their next.
-    bool takesSwap(Direction);
+    bool tryTakeSwap(Direction);
     /// How many bytes of the answer still pass before it is lost; nothing if this one isn't.
-    std::optional<std::uint64_t> takeLoss();
+    std::optional<std::uint64_t> tryTakeAnswerLoss();
     std::uint64_t swapped() const;
     std::uint64_t lost() const;
 
--- a/tests/standins/proxy/directedstream.h
+++ b/tests/standins/proxy/streamrelay.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "standins/proxy/piecereader.h"
+#include "standins/proxy/chunkreader.h"
 #include "standins/proxy/streamfaults.h"
 
 #include <condition_variable>
@@ -15,18 +15,18 @@
 struct StreamCounts {
     std::uint64_t delivered = 0;
     std::uint64_t held = 0;
-    std::uint64_t swallowed = 0;
+    std::uint64_t discarded = 0;
 };
 
 /// One direction of a proxied connection: a thread takes pieces in, another delivers them when they are due.
-class DirectedStream {
+class StreamRelay {
 public:
-    /// `cutBoth` ends the whole connection.
-    DirectedStream(Direction, std::shared_ptr<Socket> from, std::shared_ptr<Socket> to, Framing, StreamFaults&,
-        std::function<void()> cutBoth);
+    /// `cutConnection` ends the whole connection.
+    StreamRelay(Direction, std::shared_ptr<Socket> from, std::shared_ptr<Socket> to, Framing, StreamFaults&,
+        std::function<void()> cutConnection);
 
     /// Blocks until the sender has ended.
-    void takeIn();
+    void receive();
     /// Blocks until the end has been delivered.
     void deliver();
 
@@ -34,13 +34,13 @@
     void hold();
     void release();
     /// Swallows everything from now on, also the sender's end: both ends find the connection open and silent.
-    void silence();
+    void blackhole();
     /// Delivers nothing more.
     void stop();
     StreamCounts counts() const;
 
 private:
-    struct Piece {
+    struct Chunk {
         std::string bytes;
         framework::SteadyTime due;
         bool isEnd = false;
@@ -48,7 +48,7 @@
     void queue(std::string bytes, bool isEnd);
     void swapOrQueue(std::string bytes);
     /// The next due piece, or nothing when stopped.
-    std::optional<Piece> next();
+    std::optional<Chunk> next();
     /// What of the bytes goes on; ends the connection when the answer is lost.
     bool send(const std::string& bytes);
 
@@ -57,15 +57,15 @@
     const std::shared_ptr<Socket> to_;
     const Framing framing_;
     StreamFaults& faults_;
-    const std::function<void()> cutBoth_;
+    const std::function<void()> cutConnection_;
 
     mutable std::mutex mutex_;
     std::condition_variable changed_;
-    std::deque<Piece> pieces_;
-    std::optional<std::string> swapped_;
+    std::deque<Chunk> chunks_;
+    std::optional<std::string> swapChunk_;
     std::optional<std::uint64_t> bytesUntilLoss_;
     bool isHeld_ = false;
-    bool isSilent_ = false;
+    bool isBlackholed_ = false;
     bool isStopped_ = false;
     StreamCounts counts_;
 };
