--- a/tests/standins/engine/completionwork.cpp
+++ b/tests/standins/engine/completionrequest.cpp
@@ -1,4 +1,4 @@
-#include "standins/engine/completionwork.h"
+#include "standins/engine/completionrequest.h"
 
 #include "standins/common/standinprogram.h"
 
@@ -18,7 +18,7 @@
     return textField(messages.at(messages.size() - 1), "content");
 }
 
-value frame(const CompletionRequest& request, const std::string& object, const value& choice)
+value completionObject(const CompletionRequest& request, const std::string& object, const value& choice)
 {
     value json;
     json["id"] = value::string("standin");
@@ -60,8 +60,8 @@
     std::istringstream words(completion.prompt);
     for (std::string word; words >> word;)
         completion.words_.push_back(word);
-    const std::uint64_t asked = numberField(body, "max_tokens");
-    completion.tokens = asked > 0 ? asked : std::max<std::uint64_t>(1, completion.words_.size());
+    const std::uint64_t requestedTokens = numberField(body, "max_tokens");
+    completion.tokens = requestedTokens > 0 ? requestedTokens : std::max<std::uint64_t>(1, completion.words_.size());
     completion.isChat = request.path == "/v1/chat/completions";
     completion.isStream = body.has_boolean_field("stream") && body.at("stream").as_bool();
     return completion;
@@ -74,7 +74,7 @@
         text += request.token(index);
     value choice = choiceOf(request, text, "message");
     choice["finish_reason"] = value::string("stop");
-    value json = frame(request, request.isChat ? "chat.completion" : "text_completion", choice);
+    value json = completionObject(request, request.isChat ? "chat.completion" : "text_completion", choice);
     json["usage"]["completion_tokens"] = value::number(request.tokens);
     return json.serialize();
 }
@@ -83,7 +83,7 @@
 {
     const value choice = choiceOf(request, request.token(index), "delta");
     const std::string object = request.isChat ? "chat.completion.chunk" : "text_completion";
-    return "data: " + frame(request, object, choice).serialize() + "\n\n";
+    return "data: " + completionObject(request, object, choice).serialize() + "\n\n";
 }
 
 } // namespace lagoon::standins
--- a/tests/standins/engine/enginestandin.cpp
+++ b/tests/standins/engine/enginestandin.cpp
@@ -32,7 +32,7 @@
 value eventJson(const ReplicaEvent& event)
 {
     value json = keyJson(event.key);
-    json["event"] = value::string(event.what);
+    json["event"] = value::string(event.kind);
     const auto at = std::chrono::duration_cast<std::chrono::microseconds>(event.at.time_since_epoch());
     json["at_us"] = value::number(static_cast<std::uint64_t>(at.count()));
     return json;
@@ -53,9 +53,9 @@
     if (request.path == "/v1/state" && request.method == "GET")
         replyState(exchange);
     else if (request.path == "/v1/orders" && request.method == "POST")
-        order(exchange);
+        handleOrder(exchange);
     else if (request.path == "/v1/completions" || request.path == "/v1/chat/completions")
-        complete(exchange);
+        handleCompletion(exchange);
     else
         replyError(exchange, 404, "no_such_path");
 }
@@ -85,7 +85,7 @@
     replyJson(exchange, 200, state);
 }
 
-void EngineStandin::order(Exchange& exchange)
+void EngineStandin::handleOrder(Exchange& exchange)
 {
     const value body = parseBody(exchange.request().body);
     const ReplicaKey key { textField(body, "model"), textField(body, "adapter"), textField(body, "version") };
@@ -140,7 +140,7 @@
     lock.unlock();
     if (outcome == OrderOutcome::Started) {
         std::thread([self = shared_from_this(), key] {
-            std::this_thread::sleep_for(self->options_.unload);
+            std::this_thread::sleep_for(self->options_.unloadTime);
             const std::lock_guard guard(self->mutex_);
             self->replicas_.finishUnload(key, steady_clock::now());
         }).detach();
@@ -181,7 +181,7 @@
 {
     const bool isFetched = fetchCheckpoint(key);
     std::unique_lock lock(mutex_);
-    const Milliseconds half = (options_.load + slowLoad_) / 2;
+    const Milliseconds half = (options_.loadTime + slowLoad_) / 2;
     lock.unlock();
     std::this_thread::sleep_for(half);
     const LoadFault fault = takeLoadFault();
@@ -201,11 +201,11 @@
     return loadFault_;
 }
 
-void EngineStandin::complete(Exchange& exchange)
+void EngineStandin::handleCompletion(Exchange& exchange)
 {
     CompletionRequest request = parseCompletion(exchange.request());
     std::unique_lock lock(mutex_);
-    const bool isLoaded = replicas_.use(request.target);
+    const bool isLoaded = replicas_.acquire(request.target);
     lock.unlock();
     if (!isLoaded)
         return replyError(exchange, 404, "not_loaded");
@@ -238,7 +238,7 @@
         exchange.beginStream(200, { { "content-type", "text/event-stream" } });
     for (std::uint64_t index = 0; index < request.tokens; ++index) {
         std::unique_lock lock(mutex_);
-        const Milliseconds duration = options_.token + slowToken_;
+        const Milliseconds duration = options_.tokenTime + slowToken_;
         lock.unlock();
         if (exchange.waitForCallerGone(duration))
             return "cancelled";
@@ -307,7 +307,7 @@
 {
     const std::lock_guard lock(mutex_);
     value record;
-    record["most_used_mib"] = value::number(replicas_.mostUsedMib());
+    record["most_used_mib"] = value::number(replicas_.peakUsedMib());
     record["held_loads"] = value::number(heldLoads_);
     record["events"] = value::array();
     for (const ReplicaEvent& event : replicas_.events())
--- a/tests/standins/engine/enginestandin.h
+++ b/tests/standins/engine/enginestandin.h
@@ -2,7 +2,7 @@
 
 #include "standins/common/callfaults.h"
 #include "standins/common/standinprogram.h"
-#include "standins/engine/completionwork.h"
+#include "standins/engine/completionrequest.h"
 #include "standins/engine/replicatable.h"
 
 #include <condition_variable>
@@ -18,9 +18,9 @@
     /// Of the weight store; empty: fetching takes no time.
     std::string weightsUrl;
     /// From disk or memory into the accelerator.
-    framework::Milliseconds load { 0 };
-    framework::Milliseconds unload { 0 };
-    framework::Milliseconds token { 0 };
+    framework::Milliseconds loadTime { 0 };
+    framework::Milliseconds unloadTime { 0 };
+    framework::Milliseconds tokenTime { 0 };
     /// Completions that run at once; others wait.
     std::uint64_t slots = 64;
 };
@@ -51,7 +51,7 @@
     };
 
     void replyState(Exchange&);
-    void order(Exchange&);
+    void handleOrder(Exchange&);
     void load(Exchange&, const ReplicaKey&, std::uint64_t memoryMib, std::uint64_t fence);
     void unload(Exchange&, const ReplicaKey&, std::uint64_t fence);
     void replyOrder(Exchange&, const ReplicaKey&, OrderOutcome);
@@ -60,7 +60,7 @@
     bool fetchCheckpoint(const ReplicaKey&);
     LoadFault takeLoadFault();
 
-    void complete(Exchange&);
+    void handleCompletion(Exchange&);
     void runCompletion(Exchange&, const CompletionRequest&, const CallFaults::Fault&);
     /// How it ended: `done`, `cancelled` when the caller closed, or `dropped` by a fault.
     std::string generate(Exchange&, const CompletionRequest&, const CallFaults::Fault&);
--- a/tests/standins/engine/main.cpp
+++ b/tests/standins/engine/main.cpp
@@ -12,9 +12,9 @@
     engine.memoryMib = values["memory-mib"].as<std::uint64_t>();
     engine.checksFencing = values["checks-fencing"].as<bool>();
     engine.weightsUrl = values["weights"].as<std::string>();
-    engine.load = Milliseconds(values["load-ms"].as<std::uint64_t>());
-    engine.unload = Milliseconds(values["unload-ms"].as<std::uint64_t>());
-    engine.token = Milliseconds(values["token-ms"].as<std::uint64_t>());
+    engine.loadTime = Milliseconds(values["load-ms"].as<std::uint64_t>());
+    engine.unloadTime = Milliseconds(values["unload-ms"].as<std::uint64_t>());
+    engine.tokenTime = Milliseconds(values["token-ms"].as<std::uint64_t>());
     engine.slots = values["slots"].as<std::uint64_t>();
     return std::make_shared<EngineStandin>(engine);
 }
--- a/tests/standins/engine/replicatable.cpp
+++ b/tests/standins/engine/replicatable.cpp
@@ -30,7 +30,7 @@
         return OrderOutcome::StaleFence;
     const auto present = replicas_.find(key);
     if (present != replicas_.end())
-        return present->second.state == ReplicaState::Unloading ? OrderOutcome::NotLoaded : OrderOutcome::AlreadySo;
+        return present->second.state == ReplicaState::Unloading ? OrderOutcome::NotLoaded : OrderOutcome::Unchanged;
     if (!key.adapter.empty() && !hasLoadedModel(key.model))
         return OrderOutcome::NotLoaded;
     if (usedMib() + memoryMib > memoryMib_) {
@@ -40,8 +40,8 @@
         return OrderOutcome::MemoryShort;
     }
     replicas_[key] = { memoryMib, ReplicaState::Loading, 0 };
-    mostUsedMib_ = std::max(mostUsedMib_, usedMib());
-    note(key, "loading", now);
+    peakUsedMib_ = std::max(peakUsedMib_, usedMib());
+    recordEvent(key, "loading", now);
     return OrderOutcome::Started;
 }
 
@@ -54,11 +54,11 @@
         return OrderOutcome::NotLoaded;
     Replica& replica = present->second;
     if (replica.state == ReplicaState::Unloading)
-        return OrderOutcome::AlreadySo;
-    if (replica.state == ReplicaState::Loading || replica.users > 0 || hasLoadedAdapter(key))
+        return OrderOutcome::Unchanged;
+    if (replica.state == ReplicaState::Loading || replica.activeCompletions > 0 || hasLoadedAdapter(key))
         return OrderOutcome::NotLoaded;
     replica.state = ReplicaState::Unloading;
-    note(key, "unloading", now);
+    recordEvent(key, "unloading", now);
     return OrderOutcome::Started;
 }
 
@@ -71,22 +71,22 @@
         present->second.state = ReplicaState::Loaded;
     else
         replicas_.erase(present);
-    note(key, succeeded ? "loaded" : "failed", now);
+    recordEvent(key, succeeded ? "loaded" : "failed", now);
 }
 
 void ReplicaTable::finishUnload(const ReplicaKey& key, framework::SteadyTime now)
 {
     replicas_.erase(key);
-    note(key, "unloaded", now);
+    recordEvent(key, "unloaded", now);
 }
 
-bool ReplicaTable::use(ReplicaKey& key)
+bool ReplicaTable::acquire(ReplicaKey& key)
 {
     for (auto& [present, replica] : replicas_) {
         if (present.model != key.model || present.adapter != key.adapter || replica.state != ReplicaState::Loaded)
             continue;
         key.version = present.version;
-        ++replica.users;
+        ++replica.activeCompletions;
         return true;
     }
     return false;
@@ -96,7 +96,7 @@
 {
     const auto present = replicas_.find(key);
     if (present != replicas_.end())
-        --present->second.users;
+        --present->second.activeCompletions;
 }
 
 std::uint64_t ReplicaTable::usedMib() const
@@ -137,9 +137,9 @@
     });
 }
 
-void ReplicaTable::note(const ReplicaKey& key, const std::string& what, framework::SteadyTime now)
+void ReplicaTable::recordEvent(const ReplicaKey& key, const std::string& kind, framework::SteadyTime now)
 {
-    events_.push_back({ now, key, what });
+    events_.push_back({ now, key, kind });
 }
 
 } // namespace lagoon::standins
--- a/tests/standins/engine/replicatable.h
+++ b/tests/standins/engine/replicatable.h
@@ -25,16 +25,16 @@
     std::uint64_t memoryMib = 0;
     ReplicaState state = ReplicaState::Loading;
     /// Completions that run on it.
-    std::uint64_t users = 0;
+    std::uint64_t activeCompletions = 0;
 };
 
-enum class OrderOutcome : std::uint8_t { Started, AlreadySo, StaleFence, NotLoaded, MemoryShort };
+enum class OrderOutcome : std::uint8_t { Started, Unchanged, StaleFence, NotLoaded, MemoryShort };
 
 /// What was done to a replica and when (steady clock, which all processes of a machine share).
 struct ReplicaEvent {
     framework::SteadyTime at;
     ReplicaKey key;
-    std::string what;
+    std::string kind;
 };
 
 /// An engine's replicas, its memory, and what broke the rules. Time is passed in.
@@ -47,13 +47,13 @@
     void finishLoad(const ReplicaKey&, bool succeeded, framework::SteadyTime);
     void finishUnload(const ReplicaKey&, framework::SteadyTime);
     /// Starts a completion on a loaded replica; the key's version is found and set. False if none is loaded.
-    bool use(ReplicaKey&);
+    bool acquire(ReplicaKey&);
     void release(const ReplicaKey&);
     void setChecksFencing(bool checks) { checksFencing_ = checks; }
 
     std::uint64_t memoryMib() const { return memoryMib_; }
     std::uint64_t usedMib() const;
-    std::uint64_t mostUsedMib() const { return mostUsedMib_; }
+    std::uint64_t peakUsedMib() const { return peakUsedMib_; }
     std::uint64_t highestFence(const ReplicaKey&) const;
     const std::map<ReplicaKey, Replica>& replicas() const { return replicas_; }
     const std::vector<ReplicaEvent>& events() const { return events_; }
@@ -63,11 +63,11 @@
     bool isStale(const ReplicaKey&, std::uint64_t fence);
     bool hasLoadedAdapter(const ReplicaKey&) const;
     bool hasLoadedModel(const std::string& model) const;
-    void note(const ReplicaKey&, const std::string& what, framework::SteadyTime);
+    void recordEvent(const ReplicaKey&, const std::string& kind, framework::SteadyTime);
 
     std::uint64_t memoryMib_;
     bool checksFencing_;
-    std::uint64_t mostUsedMib_ = 0;
+    std::uint64_t peakUsedMib_ = 0;
     std::map<ReplicaKey, Replica> replicas_;
     /// By model and adapter.
     std::map<std::pair<std::string, std::string>, std::uint64_t> fences_;
