--- a/tests/standins/common/callfaults.cpp
+++ b/tests/standins/common/callfaults.cpp
@@ -18,7 +18,7 @@
     const std::lock_guard lock(mutex_);
     fault_.at = stepOf(json.choiceOr("at", "before", { "before", "during", "after" }));
     fault_.hangs = json.choiceOr("do", "hang", { "hang", "close" }) == "hang";
-    left_ = json.numberOr("count", 1, 0, 1000000);
+    callsLeft_ = json.numberOr("count", 1, 0, 1000000);
     fault_.exists = true;
     ++generation_;
     changed_.notify_all();
@@ -27,13 +27,13 @@
 CallFaults::Fault CallFaults::take()
 {
     const std::lock_guard lock(mutex_);
-    if (left_ == 0)
+    if (callsLeft_ == 0)
         return {};
-    --left_;
+    --callsLeft_;
     return fault_;
 }
 
-bool CallFaults::strike(const Fault& fault, CallStep step, Exchange& exchange)
+bool CallFaults::inject(const Fault& fault, CallStep step, Exchange& exchange)
 {
     if (!fault.exists || fault.at != step)
         return false;
--- a/tests/standins/common/callfaults.h
+++ b/tests/standins/common/callfaults.h
@@ -26,13 +26,13 @@
     };
     Fault take();
     /// Carries the fault out if it belongs to this step; true if the call is over.
-    bool strike(const Fault&, CallStep, Exchange&);
+    bool inject(const Fault&, CallStep, Exchange&);
 
 private:
     std::mutex mutex_;
     std::condition_variable changed_;
     Fault fault_;
-    std::uint64_t left_ = 0;
+    std::uint64_t callsLeft_ = 0;
     std::uint64_t generation_ = 0;
 };
 
--- a/tests/standins/common/httpserver.cpp
+++ b/tests/standins/common/httpserver.cpp
@@ -58,23 +58,23 @@
     void reply(int status, const std::string& body, const HeaderMap& headers) override
     {
         beast::http::response<beast::http::string_body> response;
-        fill(response, status, headers);
+        setHead(response, status, headers);
         response.body() = body;
         response.prepare_payload();
         boost::system::error_code error;
         beast::http::write(socket_, response, error);
-        closeAfter(error);
+        dropConnectionOnError(error);
     }
 
     void beginStream(int status, const HeaderMap& headers) override
     {
         beast::http::response<beast::http::empty_body> response;
-        fill(response, status, headers);
+        setHead(response, status, headers);
         response.chunked(true);
         beast::http::response_serializer<beast::http::empty_body> serializer(response);
         boost::system::error_code error;
         beast::http::write_header(socket_, serializer, error);
-        closeAfter(error);
+        dropConnectionOnError(error);
     }
 
     void sendChunk(const std::string& bytes) override
@@ -82,14 +82,14 @@
         boost::system::error_code error;
         boost::asio::write(
             socket_, beast::http::make_chunk(boost::asio::const_buffer(bytes.data(), bytes.size())), error);
-        closeAfter(error);
+        dropConnectionOnError(error);
     }
 
     void endStream() override
     {
         boost::system::error_code error;
         boost::asio::write(socket_, beast::http::make_chunk_last(), error);
-        closeAfter(error);
+        dropConnectionOnError(error);
     }
 
     void dropConnection() override
@@ -126,7 +126,7 @@
         return true;
     }
 
-    template <typename Response> void fill(Response& response, int status, const HeaderMap& headers) const
+    template <typename Response> void setHead(Response& response, int status, const HeaderMap& headers) const
     {
         response.version(11);
         response.result(static_cast<unsigned>(status));
@@ -135,7 +135,7 @@
         response.keep_alive(keepsAlive_);
     }
 
-    void closeAfter(const boost::system::error_code& error)
+    void dropConnectionOnError(const boost::system::error_code& error)
     {
         if (error && error != beast::http::error::end_of_stream)
             dropConnection();
@@ -174,9 +174,9 @@
 
     framework::Result<framework::Endpoint> start(const framework::Endpoint& endpoint)
     {
-        BOOST_OUTCOME_TRY(inUse, listenOn(acceptor_, endpoint));
+        BOOST_OUTCOME_TRY(boundEndpoint, listenOn(acceptor_, endpoint));
         std::thread([self = shared_from_this()] { self->accept(); }).detach();
-        return inUse;
+        return boundEndpoint;
     }
 
 private:
--- a/tests/standins/common/tcpacceptor.cpp
+++ b/tests/standins/common/tcpacceptor.cpp
@@ -20,18 +20,18 @@
 
 framework::Result<Endpoint> listenOn(tcp::acceptor& acceptor, const Endpoint& endpoint)
 {
-    BOOST_OUTCOME_TRY(wanted, parseEndpoint(endpoint));
+    BOOST_OUTCOME_TRY(requested, parseEndpoint(endpoint));
     boost::system::error_code error;
-    acceptor.open(wanted.protocol(), error);
+    acceptor.open(requested.protocol(), error);
     if (!error)
         acceptor.set_option(tcp::acceptor::reuse_address(true), error);
     if (!error)
-        acceptor.bind(wanted, error);
+        acceptor.bind(requested, error);
     if (!error)
         acceptor.listen(boost::asio::socket_base::max_listen_connections, error);
     if (error)
         return Error { ErrorCode::BadSettings, "listen", endpoint.value(), error.message() };
-    return Endpoint(wanted.address().to_string() + ":" + std::to_string(acceptor.local_endpoint().port()));
+    return Endpoint(requested.address().to_string() + ":" + std::to_string(acceptor.local_endpoint().port()));
 }
 
 } // namespace lagoon::standins
--- a/tests/standins/engine/enginestandin.cpp
+++ b/tests/standins/engine/enginestandin.cpp
@@ -218,12 +218,12 @@
 
 void EngineStandin::runCompletion(Exchange& exchange, const CompletionRequest& request, const CallFaults::Fault& fault)
 {
-    if (callFaults_.strike(fault, CallStep::Before, exchange))
+    if (callFaults_.inject(fault, CallStep::Before, exchange))
         return;
     const std::size_t index = beginExecution(exchange, request);
     const std::string end = generate(exchange, request, fault);
     endExecution(index, end);
-    if (end != "done" || callFaults_.strike(fault, CallStep::After, exchange))
+    if (end != "done" || callFaults_.inject(fault, CallStep::After, exchange))
         return;
     if (!request.isStream)
         return exchange.reply(200, completionJson(request), { { "content-type", "application/json" } });
@@ -242,7 +242,7 @@
         lock.unlock();
         if (exchange.waitForCallerGone(duration))
             return "cancelled";
-        if (index == request.tokens / 2 && callFaults_.strike(fault, CallStep::During, exchange))
+        if (index == request.tokens / 2 && callFaults_.inject(fault, CallStep::During, exchange))
             return "dropped";
         if (request.isStream)
             exchange.sendChunk(completionEvent(request, index));
--- a/tests/standins/proxy/faultproxy.cpp
+++ b/tests/standins/proxy/faultproxy.cpp
@@ -17,9 +17,9 @@
 
 framework::Result<framework::Endpoint> FaultProxy::start(const framework::Endpoint& endpoint)
 {
-    BOOST_OUTCOME_TRY(inUse, listenOn(acceptor_, endpoint));
+    BOOST_OUTCOME_TRY(boundEndpoint, listenOn(acceptor_, endpoint));
     std::thread([this] { accept(); }).detach();
-    return inUse;
+    return boundEndpoint;
 }
 
 void FaultProxy::accept()
--- a/tests/standins/service/servicestandin.cpp
+++ b/tests/standins/service/servicestandin.cpp
@@ -34,7 +34,7 @@
 void ServiceStandin::answer(Exchange& exchange)
 {
     const CallFaults::Fault fault = callFaults_.take();
-    if (callFaults_.strike(fault, CallStep::Before, exchange))
+    if (callFaults_.inject(fault, CallStep::Before, exchange))
         return;
     const std::size_t index = begin(exchange.request());
     std::unique_lock lock(mutex_);
@@ -42,10 +42,10 @@
     lock.unlock();
     if (exchange.waitForCallerGone(work))
         return end(index, "cancelled");
-    if (callFaults_.strike(fault, CallStep::During, exchange))
+    if (callFaults_.inject(fault, CallStep::During, exchange))
         return end(index, "dropped");
     end(index, "done");
-    if (!callFaults_.strike(fault, CallStep::After, exchange))
+    if (!callFaults_.inject(fault, CallStep::After, exchange))
         replyJson(exchange, 200, echo(exchange.request()));
 }
 
