--- a/tests/standins/platform/platformstandin.cpp
+++ b/tests/standins/platform/platformstandin.cpp
@@ -15,7 +15,7 @@
 constexpr Milliseconds pollInterval { 20 };
 const std::string objectPrefix = "/v1/objects/";
 
-std::string tagOf(std::uint64_t version) { return "\"" + std::to_string(version) + "\""; }
+std::string etagOf(std::uint64_t version) { return "\"" + std::to_string(version) + "\""; }
 
 /// The version of `"<version>"`; nothing if the header isn't that.
 std::optional<std::uint64_t> versionOf(const std::string& tag)
@@ -30,7 +30,7 @@
 
 void replyObject(Exchange& exchange, const ObjectTable::Object& object)
 {
-    exchange.reply(200, object.value, { { "etag", tagOf(object.version) } });
+    exchange.reply(200, object.value, { { "etag", etagOf(object.version) } });
 }
 
 } // namespace
@@ -65,19 +65,19 @@
         replyError(exchange, 405, "no_such_method");
 }
 
-void PlatformStandin::count(const std::string& kind)
+void PlatformStandin::countCall(const std::string& kind)
 {
     const std::lock_guard lock(mutex_);
     ++calls_[kind];
 }
 
-bool PlatformStandin::isStruckByOutage(Exchange& exchange)
+bool PlatformStandin::injectOutage(Exchange& exchange)
 {
     std::unique_lock lock(mutex_);
-    if (slowness_.count() > 0) {
-        const Milliseconds slowness = slowness_;
+    if (callDelay_.count() > 0) {
+        const Milliseconds callDelay = callDelay_;
         lock.unlock();
-        std::this_thread::sleep_for(slowness);
+        std::this_thread::sleep_for(callDelay);
         lock.lock();
     }
     if (mode_ == Mode::Up)
@@ -95,8 +95,8 @@
 
 void PlatformStandin::get(Exchange& exchange, const std::string& key)
 {
-    count("get");
-    if (isStruckByOutage(exchange))
+    countCall("get");
+    if (injectOutage(exchange))
         return;
     std::unique_lock lock(mutex_);
     const auto object = objects_.get(key);
@@ -109,21 +109,21 @@
 
 void PlatformStandin::watch(Exchange& exchange, const std::string& key)
 {
-    count("watch");
-    if (isStruckByOutage(exchange))
+    countCall("watch");
+    if (injectOutage(exchange))
         return;
     const std::uint64_t known = exchange.request().queryNumber("watch", 0);
-    const auto end = steady_clock::now() + Milliseconds(exchange.request().queryNumber("timeout_ms", 0));
+    const auto deadline = steady_clock::now() + Milliseconds(exchange.request().queryNumber("timeout_ms", 0));
     std::unique_lock lock(mutex_);
-    const auto presentVersion = [&] {
+    const auto currentVersion = [&] {
         const auto object = objects_.get(key);
         return object ? object->version : 0;
     };
-    changed_.wait_until(lock, end, [&] { return mode_ != Mode::Up || presentVersion() != known; });
+    changed_.wait_until(lock, deadline, [&] { return mode_ != Mode::Up || currentVersion() != known; });
     const bool isUp = mode_ == Mode::Up;
     const auto object = objects_.get(key);
     lock.unlock();
-    if (!isUp && isStruckByOutage(exchange))
+    if (!isUp && injectOutage(exchange))
         return;
     if (object && object->version != known)
         replyObject(exchange, *object);
@@ -135,8 +135,8 @@
 
 void PlatformStandin::put(Exchange& exchange, const std::string& key)
 {
-    count("put");
-    if (isStruckByOutage(exchange))
+    countCall("put");
+    if (injectOutage(exchange))
         return;
     const HttpRequest& request = exchange.request();
     std::optional<std::uint64_t> expected = versionOf(request.header("if-match"));
@@ -155,8 +155,8 @@
 
 void PlatformStandin::remove(Exchange& exchange, const std::string& key)
 {
-    count("delete");
-    if (isStruckByOutage(exchange))
+    countCall("delete");
+    if (injectOutage(exchange))
         return;
     const auto expected = versionOf(exchange.request().header("if-match"));
     if (!expected)
@@ -167,10 +167,10 @@
     finishWrite(exchange, key, outcome, *expected);
 }
 
-bool PlatformStandin::takesLostAnswer(const std::string& key)
+bool PlatformStandin::tryTakeAnswerLoss(const std::string& key)
 {
     const std::lock_guard lock(mutex_);
-    if (answersToLose_ == 0 || key.compare(0, losePrefix_.size(), losePrefix_) != 0)
+    if (answersToLose_ == 0 || key.compare(0, answerLossPrefix_.size(), answerLossPrefix_) != 0)
         return false;
     --answersToLose_;
     ++lostAnswers_;
@@ -185,16 +185,16 @@
     if (outcome == WriteOutcome::WrongVersion)
         return replyError(exchange, 412, "wrong_version");
     changed_.notify_all();
-    if (takesLostAnswer(key))
+    if (tryTakeAnswerLoss(key))
         exchange.dropConnection();
     else
-        exchange.reply(200, "", { { "etag", tagOf(version) } });
+        exchange.reply(200, "", { { "etag", etagOf(version) } });
 }
 
 void PlatformStandin::list(Exchange& exchange)
 {
-    count("list");
-    if (isStruckByOutage(exchange))
+    countCall("list");
+    if (injectOutage(exchange))
         return;
     const auto prefix = exchange.request().query.find("prefix");
     std::unique_lock lock(mutex_);
@@ -214,15 +214,15 @@
 
 void PlatformStandin::listVms(Exchange& exchange)
 {
-    count("vms");
-    if (isStruckByOutage(exchange))
+    countCall("vms");
+    if (injectOutage(exchange))
         return;
     const std::uint64_t known = exchange.request().queryNumber("known", 0);
-    const auto end = steady_clock::now() + Milliseconds(exchange.request().queryNumber("timeout_ms", 0));
+    const auto deadline = steady_clock::now() + Milliseconds(exchange.request().queryNumber("timeout_ms", 0));
     std::unique_lock lock(mutex_);
     vms_.advance(steady_clock::now());
-    while (mode_ == Mode::Up && vms_.version() == known && steady_clock::now() < end) {
-        changed_.wait_until(lock, std::min(end, steady_clock::now() + pollInterval));
+    while (mode_ == Mode::Up && vms_.version() == known && steady_clock::now() < deadline) {
+        changed_.wait_until(lock, std::min(deadline, steady_clock::now() + pollInterval));
         vms_.advance(steady_clock::now());
     }
     const bool isUp = mode_ == Mode::Up;
@@ -230,7 +230,7 @@
     body["version"] = web::json::value::number(vms_.version());
     body["vms"] = vms_.vms();
     lock.unlock();
-    if (isUp || !isStruckByOutage(exchange))
+    if (isUp || !injectOutage(exchange))
         replyJson(exchange, 200, body);
 }
 
@@ -240,7 +240,7 @@
     if (!body.has_array_field("vms"))
         return replyError(exchange, 400, "no_vms");
     std::unique_lock lock(mutex_);
-    vms_.set(body.at("vms"), steady_clock::now() + vmLateness_);
+    vms_.set(body.at("vms"), steady_clock::now() + vmListDelay_);
     lock.unlock();
     changed_.notify_all();
     exchange.reply(200, "{}");
@@ -254,15 +254,15 @@
         const std::string mode = faults.choiceOr("mode", "up", { "up", "refuse", "hang" });
         mode_ = mode == "up" ? Mode::Up : mode == "refuse" ? Mode::Refuse : Mode::Hang;
     }
-    slowness_ = Milliseconds(faults.numberOr("slow_ms", slowness_.count(), 0, 600000));
+    callDelay_ = Milliseconds(faults.numberOr("slow_ms", callDelay_.count(), 0, 600000));
     if (faults.has("lose_answers")) {
         CheckedObject lost = faults.object("lose_answers");
         answersToLose_ = lost.number("count", 0, 1000000);
-        losePrefix_ = lost.textOr("prefix", "");
+        answerLossPrefix_ = lost.textOr("prefix", "");
     }
     if (faults.has("vms_frozen"))
         vms_.setFrozen(faults.flagOr("vms_frozen", false));
-    vmLateness_ = Milliseconds(faults.numberOr("vms_late_ms", vmLateness_.count(), 0, 600000));
+    vmListDelay_ = Milliseconds(faults.numberOr("vms_late_ms", vmListDelay_.count(), 0, 600000));
     changed_.notify_all();
     return faults.finish();
 }
--- a/tests/standins/platform/platformstandin.h
+++ b/tests/standins/platform/platformstandin.h
@@ -35,10 +35,10 @@
     void listVms(Exchange&);
     void setVms(Exchange&);
 
-    void count(const std::string& kind);
+    void countCall(const std::string& kind);
     /// Waits out slowness and a hang; true if the call has been answered by a fault.
-    bool isStruckByOutage(Exchange&);
-    bool takesLostAnswer(const std::string& key);
+    bool injectOutage(Exchange&);
+    bool tryTakeAnswerLoss(const std::string& key);
     void finishWrite(Exchange&, const std::string& key, WriteOutcome, std::uint64_t version);
 
     std::mutex mutex_;
@@ -46,10 +46,10 @@
     ObjectTable objects_;
     VmTable vms_;
     Mode mode_ = Mode::Up;
-    framework::Milliseconds slowness_ { 0 };
-    framework::Milliseconds vmLateness_ { 0 };
+    framework::Milliseconds callDelay_ { 0 };
+    framework::Milliseconds vmListDelay_ { 0 };
     std::uint64_t answersToLose_ = 0;
-    std::string losePrefix_;
+    std::string answerLossPrefix_;
     std::uint64_t lostAnswers_ = 0;
     std::map<std::string, std::uint64_t> calls_;
 };
