--- a/tests/standins/service/servicestandin.cpp
+++ b/tests/standins/service/servicestandin.cpp
@@ -26,8 +26,8 @@
 
 } // namespace
 
-ServiceStandin::ServiceStandin(Milliseconds work)
-    : work_(work)
+ServiceStandin::ServiceStandin(Milliseconds workTime)
+    : workTime_(workTime)
 {
 }
 
@@ -36,20 +36,20 @@
     const CallFaults::Fault fault = callFaults_.take();
     if (callFaults_.inject(fault, CallStep::Before, exchange))
         return;
-    const std::size_t index = begin(exchange.request());
+    const std::size_t index = beginExecution(exchange.request());
     std::unique_lock lock(mutex_);
-    const Milliseconds work = work_;
+    const Milliseconds workTime = workTime_;
     lock.unlock();
-    if (exchange.waitForCallerGone(work))
-        return end(index, "cancelled");
+    if (exchange.waitForCallerGone(workTime))
+        return endExecution(index, "cancelled");
     if (callFaults_.inject(fault, CallStep::During, exchange))
-        return end(index, "dropped");
-    end(index, "done");
+        return endExecution(index, "dropped");
+    endExecution(index, "done");
     if (!callFaults_.inject(fault, CallStep::After, exchange))
         replyJson(exchange, 200, echo(exchange.request()));
 }
 
-std::size_t ServiceStandin::begin(const HttpRequest& request)
+std::size_t ServiceStandin::beginExecution(const HttpRequest& request)
 {
     const std::lock_guard lock(mutex_);
     executions_.push_back({ request.header("x-request-id"), request.method, request.path,
@@ -57,7 +57,7 @@
     return executions_.size() - 1;
 }
 
-void ServiceStandin::end(std::size_t index, const std::string& state)
+void ServiceStandin::endExecution(std::size_t index, const std::string& state)
 {
     const std::lock_guard lock(mutex_);
     executions_[index].state = state;
@@ -67,7 +67,7 @@
 {
     framework::CheckedObject faults(json, "faults", "", framework::ErrorCode::BadRequest);
     const std::lock_guard lock(mutex_);
-    work_ = Milliseconds(faults.numberOr("work_ms", work_.count(), 0, maxWorkMs));
+    workTime_ = Milliseconds(faults.numberOr("work_ms", workTime_.count(), 0, maxWorkMs));
     if (faults.has("calls"))
         callFaults_.set(faults.object("calls"));
     return faults.finish();
--- a/tests/standins/service/servicestandin.h
+++ b/tests/standins/service/servicestandin.h
@@ -12,7 +12,7 @@
 /// in the record. Faults: `work_ms` for each call; `calls`, see CallFaults.
 class ServiceStandin final : public IStandin {
 public:
-    explicit ServiceStandin(framework::Milliseconds work);
+    explicit ServiceStandin(framework::Milliseconds workTime);
 
     void answer(Exchange&) override;
     framework::Result<void> setFaults(const web::json::value&) override;
@@ -26,11 +26,11 @@
         std::string token;
         std::string state;
     };
-    std::size_t begin(const HttpRequest&);
-    void end(std::size_t index, const std::string& state);
+    std::size_t beginExecution(const HttpRequest&);
+    void endExecution(std::size_t index, const std::string& state);
 
     std::mutex mutex_;
-    framework::Milliseconds work_;
+    framework::Milliseconds workTime_;
     std::vector<Execution> executions_;
     CallFaults callFaults_;
 };
--- a/tests/standins/weights/main.cpp
+++ b/tests/standins/weights/main.cpp
@@ -10,8 +10,8 @@
 {
     WeightOptions weights;
     weights.fetchesPerSecond = values["loads-per-second"].as<double>();
-    weights.transfer = Milliseconds(values["transfer-ms"].as<std::uint64_t>());
-    weights.atFullSpeed = values["full-speed"].as<std::uint64_t>();
+    weights.transferTime = Milliseconds(values["transfer-ms"].as<std::uint64_t>());
+    weights.fullSpeedFetches = values["full-speed"].as<std::uint64_t>();
     return std::make_shared<WeightStandin>(weights);
 }
 
--- a/tests/standins/weights/weightstandin.cpp
+++ b/tests/standins/weights/weightstandin.cpp
@@ -19,7 +19,7 @@
 WeightStandin::WeightStandin(const WeightOptions& options)
     : options_(options)
     , tokens_(std::ceil(options.fetchesPerSecond))
-    , tokensAt_(steady_clock::now())
+    , refilledAt_(steady_clock::now())
 {
 }
 
@@ -28,19 +28,19 @@
     const HttpRequest& request = exchange.request();
     if (request.method != "GET" || request.path.compare(0, weightsPrefix.size(), weightsPrefix) != 0)
         return replyError(exchange, 404, "no_such_path");
-    if (!takesToken())
+    if (!tryTakeToken())
         return exchange.reply(429, "", { { "retry-after", "1" } });
     transfer(exchange);
 }
 
-bool WeightStandin::takesToken()
+bool WeightStandin::tryTakeToken()
 {
     const std::lock_guard lock(mutex_);
     const auto now = steady_clock::now();
-    const double seconds = std::chrono::duration<double>(now - tokensAt_).count();
-    const double most = std::ceil(options_.fetchesPerSecond);
-    tokens_ = std::min(most, tokens_ + seconds * options_.fetchesPerSecond);
-    tokensAt_ = now;
+    const double seconds = std::chrono::duration<double>(now - refilledAt_).count();
+    const double capacity = std::ceil(options_.fetchesPerSecond);
+    tokens_ = std::min(capacity, tokens_ + seconds * options_.fetchesPerSecond);
+    refilledAt_ = now;
     if (tokens_ < 1) {
         ++limited_;
         return false;
@@ -53,18 +53,19 @@
 void WeightStandin::transfer(Exchange& exchange)
 {
     std::unique_lock lock(mutex_);
-    mostActive_ = std::max(mostActive_, ++active_);
-    double done = 0;
-    auto last = steady_clock::now();
+    peakActive_ = std::max(peakActive_, ++active_);
+    double transferredMs = 0;
+    auto updatedAt = steady_clock::now();
     bool isCallerGone = false;
-    while (done < static_cast<double>(options_.transfer.count()) && !isCallerGone) {
+    while (transferredMs < static_cast<double>(options_.transferTime.count()) && !isCallerGone) {
         lock.unlock();
         isCallerGone = exchange.waitForCallerGone(progressInterval);
         lock.lock();
         const auto now = steady_clock::now();
-        const double share = std::min(1.0, static_cast<double>(options_.atFullSpeed) / static_cast<double>(active_));
-        done += std::chrono::duration<double, std::milli>(now - last).count() * share / slowFactor_;
-        last = now;
+        const double share
+            = std::min(1.0, static_cast<double>(options_.fullSpeedFetches) / static_cast<double>(active_));
+        transferredMs += std::chrono::duration<double, std::milli>(now - updatedAt).count() * share / slowFactor_;
+        updatedAt = now;
     }
     --active_;
     lock.unlock();
@@ -86,7 +87,7 @@
     value record;
     record["fetches"] = value::number(fetches_);
     record["limited"] = value::number(limited_);
-    record["most_at_once"] = value::number(mostActive_);
+    record["most_at_once"] = value::number(peakActive_);
     return record;
 }
 
--- a/tests/standins/weights/weightstandin.h
+++ b/tests/standins/weights/weightstandin.h
@@ -10,9 +10,9 @@
     /// Fetches started in a second; one more gets 429.
     double fetchesPerSecond = 4;
     /// A fetch alone takes this long.
-    framework::Milliseconds transfer { 50 };
+    framework::Milliseconds transferTime { 50 };
     /// So many get full speed; more of them share it.
-    std::uint64_t atFullSpeed = 4;
+    std::uint64_t fullSpeedFetches = 4;
 };
 
 /// The weight store. Fault: `slow_factor`, which transfers take longer by.
@@ -25,16 +25,16 @@
     web::json::value record() override;
 
 private:
-    bool takesToken();
+    bool tryTakeToken();
     void transfer(Exchange&);
 
     const WeightOptions options_;
     std::mutex mutex_;
     double tokens_;
-    framework::SteadyTime tokensAt_;
+    framework::SteadyTime refilledAt_;
     double slowFactor_ = 1;
     std::uint64_t active_ = 0;
-    std::uint64_t mostActive_ = 0;
+    std::uint64_t peakActive_ = 0;
     std::uint64_t fetches_ = 0;
     std::uint64_t limited_ = 0;
 };
