--- a/tests/standins/tests/enginestandin_test.cpp
+++ b/tests/standins/tests/enginestandin_test.cpp
@@ -11,11 +11,11 @@
 namespace {
 
 struct EngineFixture {
-    int order(const std::string& what, const std::string& model, std::uint64_t memoryMib = 10, std::uint64_t fence = 1,
+    int order(const std::string& kind, const std::string& model, std::uint64_t memoryMib = 10, std::uint64_t fence = 1,
         const std::string& adapter = "")
     {
         value body;
-        body["order"] = value::string(what);
+        body["order"] = value::string(kind);
         body["model"] = value::string(model);
         body["adapter"] = value::string(adapter);
         body["version"] = value::string("v1");
@@ -92,7 +92,7 @@
     BOOST_TEST(violationsAt({ endpoint }).size() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(repeatedOrdersAreHarmless)
+BOOST_AUTO_TEST_CASE(repeatedOrdersHaveNoEffectAndInvalidOnesAreRefused)
 {
     load("m");
     BOOST_TEST(order("load", "m") == 202);
@@ -103,7 +103,7 @@
     BOOST_TEST(order("unload", "m") == 409);
 }
 
-BOOST_AUTO_TEST_CASE(checksFencingNumbersOrIgnoresThem)
+BOOST_AUTO_TEST_CASE(checksFencingTokensUnlessDisabled)
 {
     BOOST_TEST(order("load", "m", 10, 5) == 202);
     waitFor("m is loaded", [&] { return stateOf("m") == "loaded"; });
@@ -113,7 +113,7 @@
     BOOST_TEST(order("unload", "m", 10, 4) == 202);
 }
 
-BOOST_AUTO_TEST_CASE(loadsMayFailOrTakeTheProcessWithThem)
+BOOST_AUTO_TEST_CASE(loadsFailOrCrashTheProcess)
 {
     setFaults(endpoint, R"({"loads": {"do": "fail", "count": 1}})");
     BOOST_TEST(order("load", "m") == 202);
@@ -126,7 +126,7 @@
 
 // An order to load lies unread in the engine's receive buffer while its sender dies. Nobody has an answer, the state
 // shows nothing, and then the load begins.
-BOOST_AUTO_TEST_CASE(aLoadMayBeginLate)
+BOOST_AUTO_TEST_CASE(aDelayedLoadBeginsAfterItsCallerDisconnected)
 {
     setFaults(endpoint, R"({"late_loads": {"count": 1, "delay_ms": 300}})");
     PendingCall late({ .method = "POST",
@@ -146,7 +146,7 @@
 }
 
 // The engine has done the work and dies, or its connection does, before the answer.
-BOOST_AUTO_TEST_CASE(closesAfterItExecuted)
+BOOST_AUTO_TEST_CASE(closesAfterExecution)
 {
     load("m");
     setFaults(endpoint, R"({"calls": {"at": "after", "do": "close", "count": 1}})");
@@ -157,7 +157,7 @@
     BOOST_TEST(executionState() == "done");
 }
 
-BOOST_AUTO_TEST_CASE(hangsBeforeDuringAndAfterTheWork)
+BOOST_AUTO_TEST_CASE(hangsBeforeDuringAndAfterACompletion)
 {
     load("m");
     setFaults(endpoint, R"({"calls": {"at": "before", "do": "hang"}})");
@@ -176,7 +176,7 @@
     BOOST_TEST(!after.isFinished());
 }
 
-BOOST_AUTO_TEST_CASE(aCallerThatHangsUpCancelsTheWork)
+BOOST_AUTO_TEST_CASE(aDisconnectingCallerCancelsTheCompletion)
 {
     load("m");
     setFaults(endpoint, R"({"slow_token_ms": 600000})");
--- a/tests/standins/tests/faultproxy_test.cpp
+++ b/tests/standins/tests/faultproxy_test.cpp
@@ -12,17 +12,17 @@
 
 /// A server, the proxy before it, and one connection through it.
 struct ProxyFixture {
-    explicit ProxyFixture(const std::vector<std::string>& words = {})
-        : proxy(startProgram(Program::FaultProxy, "proxy", withTarget(words), folder))
+    explicit ProxyFixture(const std::vector<std::string>& arguments = {})
+        : proxy(startProgram(Program::FaultProxy, "proxy", withTarget(arguments), folder))
         , client(proxy->readyText("proxy"))
         , serverSide(server.accept())
     {
     }
 
-    std::vector<std::string> withTarget(std::vector<std::string> words) const
+    std::vector<std::string> withTarget(std::vector<std::string> arguments) const
     {
-        words.insert(words.end(), { "--to", server.endpoint() });
-        return words;
+        arguments.insert(arguments.end(), { "--to", server.endpoint() });
+        return arguments;
     }
 
     void set(const std::string& faults) { setFaults(proxy->readyText("http"), faults); }
@@ -51,125 +51,126 @@
 
 BOOST_AUTO_TEST_SUITE(FaultProxy)
 
-BOOST_AUTO_TEST_CASE(carriesBytesAndEndsBothWays)
+BOOST_AUTO_TEST_CASE(forwardsBytesBothWaysAndTheServersEnd)
 {
-    ProxyFixture all;
-    all.client.send("question");
-    BOOST_TEST(all.serverSide.receive(8) == "question");
-    all.serverSide.send("answer");
-    BOOST_TEST(all.client.receive(6) == "answer");
-    all.serverSide.close();
-    BOOST_TEST(all.client.reachesEnd());
+    ProxyFixture fixture;
+    fixture.client.send("question");
+    BOOST_TEST(fixture.serverSide.receive(8) == "question");
+    fixture.serverSide.send("answer");
+    BOOST_TEST(fixture.client.receive(6) == "answer");
+    fixture.serverSide.close();
+    BOOST_TEST(fixture.client.reachesEnd());
 }
 
 BOOST_AUTO_TEST_CASE(delaysOneDirection)
 {
-    ProxyFixture all;
-    all.set(R"({"delay_ms": {"to_client": 200}})");
+    ProxyFixture fixture;
+    fixture.set(R"({"delay_ms": {"to_client": 200}})");
     const auto before = std::chrono::steady_clock::now();
-    all.serverSide.send("late");
-    BOOST_TEST(all.client.receive(4) == "late");
+    fixture.serverSide.send("late");
+    BOOST_TEST(fixture.client.receive(4) == "late");
     BOOST_TEST((std::chrono::steady_clock::now() - before >= Milliseconds(200)));
-    all.set(R"({"delay_ms": {"to_server": 600000}})");
-    all.serverSide.send("soon");
-    BOOST_TEST(all.client.receive(4) == "soon");
+    fixture.set(R"({"delay_ms": {"to_server": 600000}})");
+    fixture.serverSide.send("soon");
+    BOOST_TEST(fixture.client.receive(4) == "soon");
 }
 
-BOOST_AUTO_TEST_CASE(cutsPresentConnectionsOnly)
+BOOST_AUTO_TEST_CASE(cutsOnlyExistingConnections)
 {
-    ProxyFixture all;
-    all.set(R"({"cut": true})");
-    BOOST_TEST(all.client.reachesEnd());
-    BOOST_TEST(all.serverSide.reachesEnd());
-    all.checkNewConnectionWorks();
+    ProxyFixture fixture;
+    fixture.set(R"({"cut": true})");
+    BOOST_TEST(fixture.client.reachesEnd());
+    BOOST_TEST(fixture.serverSide.reachesEnd());
+    fixture.checkNewConnectionWorks();
 }
 
 // A state table between two hosts forgets a connection: neither end hears of it, what they send vanishes, and even
 // the end of one isn't seen by the other. Another connection between the same hosts works.
-BOOST_AUTO_TEST_CASE(silencesPresentConnectionsForGood)
+BOOST_AUTO_TEST_CASE(blackholesExistingConnectionsPermanently)
 {
-    ProxyFixture all;
-    all.set(R"({"silent": "both"})");
-    all.client.send("lost question");
-    all.serverSide.send("lost answer");
+    ProxyFixture fixture;
+    fixture.set(R"({"silent": "both"})");
+    fixture.client.send("lost question");
+    fixture.serverSide.send("lost answer");
     waitFor("both were swallowed", [&] {
-        return all.number("to_server", "swallowed_bytes") == 13 && all.number("to_client", "swallowed_bytes") == 11;
+        return fixture.number("to_server", "swallowed_bytes") == 13
+            && fixture.number("to_client", "swallowed_bytes") == 11;
     });
-    BOOST_TEST(!all.client.hasInput());
-    all.checkNewConnectionWorks();
-    all.client.close();
-    all.checkNewConnectionWorks();
-    BOOST_TEST(!all.serverSide.hasInput());
+    BOOST_TEST(!fixture.client.hasInput());
+    fixture.checkNewConnectionWorks();
+    fixture.client.close();
+    fixture.checkNewConnectionWorks();
+    BOOST_TEST(!fixture.serverSide.hasInput());
 }
 
-BOOST_AUTO_TEST_CASE(silencesOneDirection)
+BOOST_AUTO_TEST_CASE(blackholesOneDirection)
 {
-    ProxyFixture all;
-    all.set(R"({"silent": "to_client"})");
-    all.serverSide.send("lost");
-    all.client.send("heard");
-    BOOST_TEST(all.serverSide.receive(5) == "heard");
-    waitFor("it was swallowed", [&] { return all.number("to_client", "swallowed_bytes") == 4; });
-    BOOST_TEST(!all.client.hasInput());
+    ProxyFixture fixture;
+    fixture.set(R"({"silent": "to_client"})");
+    fixture.serverSide.send("lost");
+    fixture.client.send("heard");
+    BOOST_TEST(fixture.serverSide.receive(5) == "heard");
+    waitFor("it was swallowed", [&] { return fixture.number("to_client", "swallowed_bytes") == 4; });
+    BOOST_TEST(!fixture.client.hasInput());
 }
 
 // A request lies in a buffer on the way. The client gives up and closes. Then the request arrives after all.
 BOOST_AUTO_TEST_CASE(deliversHeldBytesAfterTheClientClosed)
 {
-    ProxyFixture all;
-    all.set(R"({"hold": "to_server"})");
-    all.client.send("late request");
-    waitFor("it is held", [&] { return all.number("to_server", "held_bytes") == 12; });
-    all.client.close();
-    BOOST_TEST(!all.serverSide.hasInput());
-    all.set(R"({"release": true})");
-    BOOST_TEST(all.serverSide.receive(12) == "late request");
-    BOOST_TEST(all.serverSide.reachesEnd());
+    ProxyFixture fixture;
+    fixture.set(R"({"hold": "to_server"})");
+    fixture.client.send("late request");
+    waitFor("it is held", [&] { return fixture.number("to_server", "held_bytes") == 12; });
+    fixture.client.close();
+    BOOST_TEST(!fixture.serverSide.hasInput());
+    fixture.set(R"({"release": true})");
+    BOOST_TEST(fixture.serverSide.receive(12) == "late request");
+    BOOST_TEST(fixture.serverSide.reachesEnd());
 }
 
 BOOST_AUTO_TEST_CASE(swapsTwoFrames)
 {
-    ProxyFixture all({ "--frames" });
-    all.set(R"({"swap": {"to_client": 1}})");
+    ProxyFixture fixture({ "--frames" });
+    fixture.set(R"({"swap": {"to_client": 1}})");
     const std::string first = frameOf("first");
     const std::string second = frameOf("the second");
     const std::string third = frameOf("third");
-    all.serverSide.send(first + second.substr(0, 6));
-    all.serverSide.send(second.substr(6) + third);
+    fixture.serverSide.send(first + second.substr(0, 6));
+    fixture.serverSide.send(second.substr(6) + third);
     const std::string expected = second + first + third;
-    BOOST_TEST(all.client.receive(expected.size()) == expected);
+    BOOST_TEST(fixture.client.receive(expected.size()) == expected);
 }
 
 // The server has done the work and answers, but the connection ends before the answer arrives.
-BOOST_AUTO_TEST_CASE(losesAnAnswerAfterTheRequestWentThrough)
+BOOST_AUTO_TEST_CASE(losesAnAnswerAfterTheRequestWasDelivered)
 {
-    ProxyFixture all;
-    all.set(R"({"lose_answer": {"count": 1}})");
-    all.client.send("request");
-    BOOST_TEST(all.serverSide.receive(7) == "request");
-    all.serverSide.send("answer");
-    BOOST_TEST(all.client.reachesEnd());
-    BOOST_TEST(all.serverSide.reachesEnd());
-    all.checkNewConnectionWorks();
+    ProxyFixture fixture;
+    fixture.set(R"({"lose_answer": {"count": 1}})");
+    fixture.client.send("request");
+    BOOST_TEST(fixture.serverSide.receive(7) == "request");
+    fixture.serverSide.send("answer");
+    BOOST_TEST(fixture.client.reachesEnd());
+    BOOST_TEST(fixture.serverSide.reachesEnd());
+    fixture.checkNewConnectionWorks();
 }
 
-BOOST_AUTO_TEST_CASE(cutsAnAnswerInItsMiddle)
+BOOST_AUTO_TEST_CASE(truncatesAnAnswer)
 {
-    ProxyFixture all;
-    all.set(R"({"lose_answer": {"count": 1, "after_bytes": 4}})");
-    all.serverSide.send("answer");
-    BOOST_TEST(all.client.receive(6) == "answ");
+    ProxyFixture fixture;
+    fixture.set(R"({"lose_answer": {"count": 1, "after_bytes": 4}})");
+    fixture.serverSide.send("answer");
+    BOOST_TEST(fixture.client.receive(6) == "answ");
 }
 
-BOOST_AUTO_TEST_CASE(refusesNewConnectionsAndCarriesElsewhere)
+BOOST_AUTO_TEST_CASE(refusesNewConnectionsOrForwardsThemToAnotherTarget)
 {
-    ProxyFixture all;
-    all.set(R"({"refuse": true})");
-    TcpPeer refused(all.proxy->readyText("proxy"));
+    ProxyFixture fixture;
+    fixture.set(R"({"refuse": true})");
+    TcpPeer refused(fixture.proxy->readyText("proxy"));
     BOOST_TEST(refused.reachesEnd());
     TcpServer other;
-    all.set(R"({"refuse": false, "to": ")" + other.endpoint() + "\"}");
-    TcpPeer moved(all.proxy->readyText("proxy"));
+    fixture.set(R"({"refuse": false, "to": ")" + other.endpoint() + "\"}");
+    TcpPeer moved(fixture.proxy->readyText("proxy"));
     TcpPeer otherSide = other.accept();
     moved.send("moved");
     BOOST_TEST(otherSide.receive(5) == "moved");
--- a/tests/standins/tests/otherstandins_test.cpp
+++ b/tests/standins/tests/otherstandins_test.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 struct WeightFixture {
-    void start(const std::vector<std::string>& words)
+    void start(const std::vector<std::string>& arguments)
     {
-        process = startProgram(Program::WeightStandin, "weights", words, folder);
+        process = startProgram(Program::WeightStandin, "weights", arguments, folder);
     }
     int fetch() { return getFrom(process->readyText("http"), "/v1/weights/m/v1").status; }
     std::uint64_t number(const std::string& name)
@@ -52,7 +52,7 @@
 }
 
 // Lower bounds only: a busy machine makes transfers longer, never shorter.
-BOOST_AUTO_TEST_CASE(givesFullSpeedToSoMany)
+BOOST_AUTO_TEST_CASE(sharesTheBandwidthAboveTheFullSpeedLimit)
 {
     start({ "--loads-per-second", "100", "--transfer-ms", "100", "--full-speed", "1" });
     BOOST_TEST((durationOf(1) >= std::chrono::milliseconds(100)));
@@ -66,7 +66,7 @@
 namespace {
 
 struct ServiceFixture {
-    HttpCall hold(const std::string& token)
+    HttpCall reserveSlot(const std::string& token)
     {
         return { .method = "POST",
             .url = urlOf(endpoint, "/slots/4?day=2"),
@@ -85,7 +85,7 @@
 
 BOOST_AUTO_TEST_CASE(echoesAndRecords)
 {
-    const value echo = call(hold("slot-4")).json();
+    const value echo = call(reserveSlot("slot-4")).json();
     BOOST_TEST(echo.at("method").as_string() == "POST");
     BOOST_TEST(echo.at("path").as_string() == "/slots/4");
     BOOST_TEST(echo.at("query").at("day").as_string() == "2");
@@ -98,25 +98,25 @@
 }
 
 // The slot is held, then the connection ends before the answer.
-BOOST_AUTO_TEST_CASE(closesAfterItExecuted)
+BOOST_AUTO_TEST_CASE(closesAfterExecution)
 {
     setFaults(endpoint, R"({"calls": {"at": "after", "do": "close"}})");
-    BOOST_TEST(!call(hold("slot-5")).isComplete());
+    BOOST_TEST(!call(reserveSlot("slot-5")).isComplete());
     BOOST_TEST(executionsOf({ endpoint }, "slot-5") == 1);
-    BOOST_TEST(call(hold("slot-6")).status == 200);
+    BOOST_TEST(call(reserveSlot("slot-6")).status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(closesBeforeItExecuted)
+BOOST_AUTO_TEST_CASE(closesBeforeExecution)
 {
     setFaults(endpoint, R"({"calls": {"at": "before", "do": "close"}})");
-    BOOST_TEST(!call(hold("slot-7")).isComplete());
+    BOOST_TEST(!call(reserveSlot("slot-7")).isComplete());
     BOOST_TEST(executionsOf({ endpoint }, "slot-7") == 0);
 }
 
-BOOST_AUTO_TEST_CASE(showsACallerThatHasGone)
+BOOST_AUTO_TEST_CASE(recordsADisconnectedCallerAsCancelled)
 {
     setFaults(endpoint, R"({"work_ms": 600000})");
-    PendingCall pending(hold("slot-8"));
+    PendingCall pending(reserveSlot("slot-8"));
     waitFor("it runs", [&] { return executionsOf({ endpoint }, "slot-8") == 1; });
     pending.disconnect();
     waitFor("it is cancelled", [&] { return executionsAt({ endpoint }).front().state == "cancelled"; });
--- a/tests/standins/tests/platformstandin_test.cpp
+++ b/tests/standins/tests/platformstandin_test.cpp
@@ -98,7 +98,7 @@
     BOOST_TEST(put("replicas/b", "x", "*").status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(isDownAndUpAgain)
+BOOST_AUTO_TEST_CASE(refusesOrHangsInAnOutageAndRecovers)
 {
     put("a", "one", "*");
     setFaults(endpoint, R"({"mode": "refuse"})");
@@ -114,7 +114,7 @@
     BOOST_TEST(get("b").status == 404);
 }
 
-BOOST_AUTO_TEST_CASE(vmListMayLag)
+BOOST_AUTO_TEST_CASE(vmListLagsWhileFrozen)
 {
     const auto stateShown = [&] { return getJson(endpoint, "/v1/vms").at("vms").at(0).at("state").as_string(); };
     setVms("live");
