--- a/tests/standins/engine/replicatable.cpp
+++ b/tests/standins/engine/replicatable.cpp
@@ -55,7 +55,7 @@
     Replica& replica = present->second;
     if (replica.state == ReplicaState::Unloading)
         return OrderOutcome::Unchanged;
-    if (replica.state == ReplicaState::Loading || replica.activeCompletions > 0 || hasLoadedAdapter(key))
+    if (replica.state == ReplicaState::Loading || replica.activeCompletions > 0 || hasAdapterReplicas(key))
         return OrderOutcome::NotLoaded;
     replica.state = ReplicaState::Unloading;
     recordEvent(key, "unloading", now);
@@ -122,7 +122,7 @@
     return false;
 }
 
-bool ReplicaTable::hasLoadedAdapter(const ReplicaKey& key) const
+bool ReplicaTable::hasAdapterReplicas(const ReplicaKey& key) const
 {
     if (!key.adapter.empty())
         return false;
--- a/tests/standins/engine/replicatable.h
+++ b/tests/standins/engine/replicatable.h
@@ -61,7 +61,7 @@
 
 private:
     bool isStale(const ReplicaKey&, std::uint64_t fence);
-    bool hasLoadedAdapter(const ReplicaKey&) const;
+    bool hasAdapterReplicas(const ReplicaKey&) const;
     bool hasLoadedModel(const std::string& model) const;
     void recordEvent(const ReplicaKey&, const std::string& kind, framework::SteadyTime);
 
