--- a/tests/standins/common/callfaults.h
+++ b/tests/standins/common/callfaults.h
@@ -10,22 +10,23 @@
 
 namespace lagoon::standins {
 
-/// Where in a call a fault happens.
+/// The point of a call at which a fault is injected.
 enum class CallStep : std::uint8_t { Before, During, After };
 
-/// Faults of the next calls of an upstream: `{"at": "before"|"during"|"after", "do": "hang"|"close", "count": n}`.
-/// A hanging call's connection is closed when the fault is set anew.
+/// Injects a fault into the next `count` calls of an upstream:
+/// `{"at": "before"|"during"|"after", "do": "hang"|"close", "count": n}`. `close` closes the call's connection at once;
+/// `hang` blocks the call, and closes its connection when the fault is set the next time. Thread-safe.
 class CallFaults {
 public:
     void set(framework::CheckedObject);
-    /// Takes the fault that this call shall have, if any is left; null when it goes well.
     struct Fault {
         CallStep at = CallStep::Before;
         bool hangs = false;
         bool exists = false;
     };
+    /// Returns the fault for the next call and counts it as used. `exists` is false if the call is to succeed.
     Fault take();
-    /// Carries the fault out if it belongs to this step; true if the call is over.
+    /// Injects the fault if it belongs to this step. Returns true if the connection has been closed by it.
     bool inject(const Fault&, CallStep, Exchange&);
 
 private:
--- a/tests/standins/common/httpserver.cpp
+++ b/tests/standins/common/httpserver.cpp
@@ -37,7 +37,7 @@
     return request;
 }
 
-/// Turns the end of a connection into the end of its thread's work.
+/// Serves the requests of one connection on its own thread until the connection is closed or a read fails.
 class Connection final : public Exchange {
 public:
     explicit Connection(tcp::socket socket)
--- a/tests/standins/common/httpserver.h
+++ b/tests/standins/common/httpserver.h
@@ -12,44 +12,46 @@
 
 namespace lagoon::standins {
 
-/// Header names are in lower case, as are a request's.
+/// Headers by name. All names are in lower case.
 using HeaderMap = std::map<std::string, std::string>;
 
 struct HttpRequest {
     std::string method;
-    /// Without the query; as sent.
+    /// The path as sent, percent-encoded and without the query.
     std::string path;
-    /// Decoded.
+    /// The names as sent and the decoded values of the query.
     std::map<std::string, std::string> query;
     HeaderMap headers;
     std::string body;
 
+    /// The value of a header; empty if there is none. `name` is in lower case.
     std::string header(const std::string& name) const;
+    /// The value of a query parameter, or the fallback if it is missing or isn't a decimal number.
     std::uint64_t queryNumber(const std::string& name, std::uint64_t fallback) const;
 };
 
-/// One request and its answer. All calls block and belong to the connection's thread.
+/// One request and its answer. All methods block and must be called on the connection's thread.
 class Exchange {
 public:
     virtual ~Exchange() = default;
     virtual const HttpRequest& request() const = 0;
 
     virtual void reply(int status, const std::string& body, const HeaderMap& = {}) = 0;
-    /// A chunked answer: this, `sendChunk`s and `endStream`.
+    /// Starts an answer with chunked encoding. `sendChunk` sends its chunks and `endStream` ends it.
     virtual void beginStream(int status, const HeaderMap&) = 0;
     virtual void sendChunk(const std::string&) = 0;
     virtual void endStream() = 0;
-    /// Closes the connection, whatever of the answer has been sent.
+    /// Closes the connection immediately, even if the answer is missing or incomplete.
     virtual void dropConnection() = 0;
 
-    /// Sleeps; returns early, with true, when the caller has closed the connection.
+    /// Waits for the duration. Returns true as soon as the caller has closed the connection.
     virtual bool waitForCallerGone(framework::Milliseconds) = 0;
 };
 
-/// A small HTTP server with a thread for each connection, so that handlers may block and hang.
+/// A small HTTP server with a thread for each connection, so that handlers can block or hang.
 ///
-/// Made with Boost.Beast: cpprest's listener offers no way to close a connection before its answer, which is the
-/// failure that a call that may not be repeated must be tested with, and doesn't tell when the caller has gone.
+/// It uses Boost.Beast because cpprest's listener can neither close a connection before the answer nor report that the
+/// caller has disconnected. The former is the failure that calls which must not be repeated are tested with.
 class HttpServer {
 public:
     using Handler = std::function<void(Exchange&)>;
@@ -59,7 +61,8 @@
     HttpServer(const HttpServer&) = delete;
     HttpServer& operator=(const HttpServer&) = delete;
 
-    /// Listens (port 0: any free one) and returns the endpoint in use. The server's threads end with the process.
+    /// Listens on the endpoint (port 0: any free port) and returns the endpoint in use. The server's threads run until
+    /// the process ends.
     framework::Result<framework::Endpoint> start(const framework::Endpoint&);
 
 private:
--- a/tests/standins/common/standinprogram.cpp
+++ b/tests/standins/common/standinprogram.cpp
@@ -54,7 +54,8 @@
     ready["http"] = endpoint.value().value();
     printReadyLine(role, ready);
     framework::waitForTermination();
-    // Connections' threads may hang by design and use all of this: nothing is destroyed.
+    // The threads of the connections may hang because of an injected fault and use these objects, so the process exits
+    // without destroying them.
     _exit(0);
 }
 
--- a/tests/standins/common/standinprogram.h
+++ b/tests/standins/common/standinprogram.h
@@ -9,37 +9,39 @@
 #include <memory>
 #include <string>
 
-/// What the stand-ins' programs have in common.
+/// Common parts of the programs that stand in for real servers in tests.
 namespace lagoon::standins {
 
 class IStandin {
 public:
     virtual ~IStandin() = default;
-    /// Answers what the real system would answer. Called on a thread for each connection.
+    /// Answers a request as the real server would. Called concurrently, on the thread of each connection.
     virtual void answer(Exchange&) = 0;
-    /// Sets the faults that the JSON of `POST /standin/faults` names; others stay as they are.
+    /// Sets the faults given in the JSON of `POST /standin/faults`. Faults that it doesn't name keep their settings.
     virtual framework::Result<void> setFaults(const web::json::value&) = 0;
-    /// JSON of `GET /standin/record`.
+    /// Returns the JSON of `GET /standin/record`, which tells tests what the stand-in has received and done.
     virtual web::json::value record() = 0;
 };
 
-/// What a program says besides in its ready line: names and endpoints.
+/// Additional fields of the ready line, such as endpoints, by name. The ready line is the JSON line that a program
+/// prints to standard output once it accepts requests.
 using ReadyLine = std::map<std::string, std::string>;
 using StandinFactory
     = std::function<std::shared_ptr<IStandin>(const boost::program_options::variables_map&, ReadyLine&)>;
 
-/// Reads the command line (`--listen` besides the options given), serves, prints the ready line and ends on SIGTERM.
-/// Returns the exit code.
+/// Parses the command line (the given options and `--listen`), starts the server, prints the ready line and serves
+/// until SIGTERM, which ends the process. Returns the exit code after `--help` or an error.
 int runStandin(const std::string& role, int argc, char** argv, const boost::program_options::options_description&,
     const StandinFactory&);
 
-/// The JSON of a body; null if it is none.
+/// Parses a body as JSON. Returns null if it isn't JSON.
 web::json::value parseBody(const std::string&);
 void replyJson(Exchange&, int status, const web::json::value&);
-/// `{"error": code}`.
+/// Replies with `{"error": code}`.
 void replyError(Exchange&, int status, const std::string& code);
-/// The text field, or "" if there is none.
+/// Returns a text field, or "" if there is none.
 std::string textField(const web::json::value&, const std::string& name);
+/// Returns a number field, or 0 if there is none.
 std::uint64_t numberField(const web::json::value&, const std::string& name);
 
 } // namespace lagoon::standins
--- a/tests/standins/common/tcpacceptor.h
+++ b/tests/standins/common/tcpacceptor.h
@@ -7,9 +7,9 @@
 
 namespace lagoon::standins {
 
-/// The endpoint of `address:port`, or why it isn't one.
+/// Parses `address:port`.
 framework::Result<boost::asio::ip::tcp::endpoint> parseEndpoint(const framework::Endpoint&);
-/// Opens the acceptor on the endpoint (port 0: any free one) and returns the one in use.
+/// Makes the acceptor listen on the endpoint (port 0: any free port) and returns the endpoint in use.
 framework::Result<framework::Endpoint> listenOn(boost::asio::ip::tcp::acceptor&, const framework::Endpoint&);
 
 } // namespace lagoon::standins
--- a/tests/standins/engine/completionrequest.h
+++ b/tests/standins/engine/completionrequest.h
@@ -9,17 +9,19 @@
 
 namespace lagoon::standins {
 
-/// A completion as asked for in the customary JSON.
+/// A request to `/v1/completions` or `/v1/chat/completions`.
 struct CompletionRequest {
     ReplicaKey target;
-    /// As the caller named it: `model` or `model/adapter`.
+    /// The model as the caller named it: `model` or `model/adapter`.
     std::string model;
     std::string prompt;
+    /// The number of tokens to generate: `max_tokens`, or else the number of words in the prompt (at least 1).
     std::uint64_t tokens = 0;
     bool isChat = false;
     bool isStream = false;
 
-    /// The answer's next token: the prompt's words again and again, so that no other request's answer looks the same.
+    /// Returns a token of the answer. The answer repeats the words of the prompt, so that tests can tell it from the
+    /// answer to any other request.
     std::string token(std::uint64_t index) const;
 
 private:
@@ -29,9 +31,9 @@
 
 CompletionRequest parseCompletion(const HttpRequest&);
 
-/// The whole answer, not streamed.
+/// Returns the complete answer of a request that isn't streamed.
 std::string completionJson(const CompletionRequest&);
-/// The server-sent event of one token.
+/// Returns the server-sent event for one token.
 std::string completionEvent(const CompletionRequest&, std::uint64_t index);
 
 } // namespace lagoon::standins
--- a/tests/standins/engine/enginestandin.cpp
+++ b/tests/standins/engine/enginestandin.cpp
@@ -19,7 +19,6 @@
 constexpr std::uint64_t maxDelayMs = 600000;
 constexpr int crashExitCode = 9;
 
-/// Puts a key's fields into JSON.
 value keyJson(const ReplicaKey& key)
 {
     value json;
--- a/tests/standins/engine/enginestandin.h
+++ b/tests/standins/engine/enginestandin.h
@@ -15,23 +15,25 @@
 struct EngineOptions {
     std::uint64_t memoryMib = 0;
     bool checksFencing = true;
-    /// Of the weight store; empty: fetching takes no time.
+    /// The URL of the weight store. If empty, checkpoints are available without a fetch.
     std::string weightsUrl;
-    /// From disk or memory into the accelerator.
+    /// The time to load a replica into the accelerator's memory, without the fetch.
     framework::Milliseconds loadTime { 0 };
     framework::Milliseconds unloadTime { 0 };
+    /// The time to generate one token.
     framework::Milliseconds tokenTime { 0 };
-    /// Completions that run at once; others wait.
+    /// The maximum number of completions that run concurrently. Others wait for a slot.
     std::uint64_t slots = 64;
 };
 
 /// A model engine. Faults:
-/// - `checks_fencing`: whether old fencing numbers are refused
-/// - `loads` `{"do": "fail"|"die", "count"}`: so many loads end in their middle, alone or with the process
-/// - `late_loads` `{"count", "delay_ms"}`: so many load orders get no answer and start later, as if they had lain in a
-///   receive buffer
-/// - `ignored_unloads`: so many unload orders are accepted and not carried out
-/// - `slow_load_ms`, `slow_token_ms`: added to each
+/// - `checks_fencing`: whether orders with a stale fencing token are refused
+/// - `loads` `{"do": "fail"|"die", "count"}`: the next `count` loads fail; with `die`, the process exits in
+///   the middle of the load
+/// - `late_loads` `{"count", "delay_ms"}`: the next `count` load orders get no answer and are executed after the delay,
+///   as if they had stayed unread in the receive buffer
+/// - `ignored_unloads`: the number of unload orders that are accepted but not executed
+/// - `slow_load_ms`, `slow_token_ms`: added to the time of each load or token
 /// - `calls`: see CallFaults
 class EngineStandin final : public IStandin, public std::enable_shared_from_this<EngineStandin> {
 public:
@@ -62,7 +64,8 @@
 
     void handleCompletion(Exchange&);
     void runCompletion(Exchange&, const CompletionRequest&, const CallFaults::Fault&);
-    /// How it ended: `done`, `cancelled` when the caller closed, or `dropped` by a fault.
+    /// Generates the tokens and returns the final state of the execution: `done`, `cancelled` if the caller
+    /// disconnected, or `dropped` if a fault closed the connection.
     std::string generate(Exchange&, const CompletionRequest&, const CallFaults::Fault&);
     void takeSlot();
     void freeSlot();
@@ -84,7 +87,7 @@
     std::uint64_t loadFaultsLeft_ = 0;
     std::uint64_t lateLoadsLeft_ = 0;
     framework::Milliseconds lateLoadDelay_ { 0 };
-    /// Orders that lie unread now.
+    /// Load orders that are being delayed by `late_loads`.
     std::uint64_t heldLoads_ = 0;
     std::uint64_t ignoredUnloadsLeft_ = 0;
     framework::Milliseconds slowLoad_ { 0 };
--- a/tests/standins/platform/platformstandin.cpp
+++ b/tests/standins/platform/platformstandin.cpp
@@ -11,13 +11,13 @@
 namespace {
 
 constexpr std::size_t maxValueBytes = 1024 * 1024;
-/// How often waiting calls look whether the lagging list has moved on.
+/// How often calls that wait for a new VM list check whether a delayed one has become visible.
 constexpr Milliseconds pollInterval { 20 };
 const std::string objectPrefix = "/v1/objects/";
 
 std::string etagOf(std::uint64_t version) { return "\"" + std::to_string(version) + "\""; }
 
-/// The version of `"<version>"`; nothing if the header isn't that.
+/// Parses an ETag of the form `"<version>"`. Returns nothing if the header has another form.
 std::optional<std::uint64_t> versionOf(const std::string& tag)
 {
     if (tag.size() < 3 || tag.front() != '"' || tag.back() != '"')
--- a/tests/standins/platform/platformstandin.h
+++ b/tests/standins/platform/platformstandin.h
@@ -11,12 +11,14 @@
 namespace lagoon::standins {
 
 /// The platform's object API and VM list. Faults:
-/// - `mode`: `up`, `refuse` (503) or `hang` (no answer until it is up again, then the connection is closed)
-/// - `slow_ms`: each call takes so much longer
-/// - `lose_answers` `{"count", "prefix"}`: so many applied writes of keys with the prefix get no answer
-/// - `vms_frozen`, `vms_late_ms`: the list stays as it is; changes show later
+/// - `mode`: `up`, `refuse` (503) or `hang` (calls get no answer; their connections are closed when the mode changes)
+/// - `slow_ms`: added to the time of each call
+/// - `lose_answers` `{"count", "prefix"}`: the next `count` writes to keys with the prefix are applied but not
+///   answered
+/// - `vms_frozen`: whether the VM list that callers see stays as it is
+/// - `vms_late_ms`: the time after which callers see a change of the VM list
 ///
-/// `PUT /standin/vms` sets the list.
+/// `PUT /standin/vms` sets the VM list.
 class PlatformStandin final : public IStandin {
 public:
     void answer(Exchange&) override;
@@ -36,8 +38,10 @@
     void setVms(Exchange&);
 
     void countCall(const std::string& kind);
-    /// Waits out slowness and a hang; true if the call has been answered by a fault.
+    /// Delays the call and applies the mode. Returns true if the call is over: refused, or its connection closed after
+    /// a hang.
     bool injectOutage(Exchange&);
+    /// Returns whether the answer to an applied write of this key is to be lost, and counts it.
     bool tryTakeAnswerLoss(const std::string& key);
     void finishWrite(Exchange&, const std::string& key, WriteOutcome, std::uint64_t version);
 
--- a/tests/standins/platform/vmtable.h
+++ b/tests/standins/platform/vmtable.h
@@ -8,15 +8,15 @@
 
 namespace lagoon::standins {
 
-/// The VM list as it is, and as the lagging platform shows it. Time is passed in.
+/// The VM list that callers see, and newer lists that aren't visible yet. The caller passes in the time.
 class VmTable {
 public:
     VmTable();
 
-    /// Shows the list once `visibleAt` has passed and the list isn't frozen.
+    /// Sets a new list, which becomes visible at `visibleAt`, or later if the table is frozen then.
     void set(const web::json::value& vms, framework::SteadyTime visibleAt);
     void setFrozen(bool);
-    /// Moves on to what is to be seen now.
+    /// Makes the lists visible that are due.
     void advance(framework::SteadyTime now);
 
     std::uint64_t version() const { return version_; }
--- a/tests/standins/proxy/chunkreader.cpp
+++ b/tests/standins/proxy/chunkreader.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::size_t readBufferBytes = 65536;
 constexpr std::size_t lengthPrefixBytes = 4;
-/// Far above any frame of ours; more is no frame.
+/// Far above the size of any frame of the wire protocol. A longer length means that the stream has no frames.
 constexpr std::size_t maxFrameBytes = 64 * 1024 * 1024;
 
 std::size_t lengthOf(const std::string& bytes)
@@ -21,7 +21,7 @@
     return std::min(length, maxFrameBytes);
 }
 
-/// Reads until `size` bytes have been added or the stream ends.
+/// Appends `size` bytes, or fewer if the stream ends before. Returns the number of bytes appended.
 std::size_t append(Socket& socket, std::string& bytes, std::size_t size)
 {
     const std::size_t before = bytes.size();
--- a/tests/standins/proxy/chunkreader.h
+++ b/tests/standins/proxy/chunkreader.h
@@ -8,11 +8,12 @@
 
 using Socket = boost::asio::ip::tcp::socket;
 
-/// What counts as one piece of a stream: whatever comes at once, or a frame of four bytes of length (little-endian)
-/// and so many of content.
+/// How a stream is split into chunks: by what one read returns, or into frames, each of which has a length of four
+/// bytes (little-endian) followed by that many bytes of content.
 enum class Framing : std::uint8_t { None, LengthPrefix };
 
-/// Blocks for the next piece; empty at the stream's end. A frame that ends early comes as it is.
+/// Blocks until the next chunk has been read. Returns an empty string at the end of the stream, and an incomplete frame
+/// if the stream ends within it.
 std::string readChunk(Socket&, Framing);
 
 } // namespace lagoon::standins
--- a/tests/standins/proxy/faultproxy.h
+++ b/tests/standins/proxy/faultproxy.h
@@ -10,22 +10,23 @@
 
 namespace lagoon::standins {
 
-/// A TCP proxy between two processes, which makes the failures of networks. Faults:
-/// - `delay_ms` `{"to_server", "to_client"}`: bytes come so much later
-/// - `cut`: true closes all present connections
-/// - `silent`: `to_server`, `to_client` or `both`: present connections carry nothing any more in that direction, not
-///   even their end; new connections work
-/// - `hold`: the same directions: present connections' bytes are kept, also their end, until `release`: true
-/// - `swap` `{"to_server", "to_client"}`: so many pieces change places with their next
-/// - `lose_answer` `{"count", "after_bytes"}`: so many connections are closed when the server's bytes come, past the
-///   given number
+/// A TCP proxy between two processes that injects network faults:
+/// - `delay_ms` `{"to_server", "to_client"}`: bytes in this direction are delayed by this time
+/// - `cut`: true closes all existing connections
+/// - `silent`: `to_server`, `to_client` or `both`: existing connections are black-holed in this direction: all further
+///   bytes and the end of the connection are discarded; new connections work
+/// - `hold`: `to_server`, `to_client` or `both`: existing connections hold back all further bytes and the end of the
+///   connection in this direction until `release`: true
+/// - `swap` `{"to_server", "to_client"}`: the next chunks, up to this number, are each swapped with the following chunk
+/// - `lose_answer` `{"count", "after_bytes"}`: `count` connections are closed when the server sends, once
+///   `after_bytes` of its bytes have been delivered
 /// - `refuse`: whether new connections are closed at once
-/// - `to`: where new connections are carried to
+/// - `to`: the address to which new connections are forwarded
 class FaultProxy final : public IStandin {
 public:
     FaultProxy(framework::Endpoint to, Framing);
 
-    /// Listens for the connections to carry, and returns the endpoint in use.
+    /// Listens for connections to forward, and returns the endpoint in use.
     framework::Result<framework::Endpoint> start(const framework::Endpoint&);
     void answer(Exchange&) override;
     framework::Result<void> setFaults(const web::json::value&) override;
@@ -34,7 +35,7 @@
 private:
     void accept();
     void forwardConnection(Socket client);
-    /// For each open connection, the relays of this direction (`to_server`, `to_client` or `both`).
+    /// Calls the method on each connection's relays of this direction (`to_server`, `to_client` or `both`).
     void forEachRelay(const std::string& direction, void (StreamRelay::*action)());
 
     framework::Endpoint target_;
--- a/tests/standins/proxy/main.cpp
+++ b/tests/standins/proxy/main.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// The proxy's own endpoint goes into the ready line as `proxy`.
+/// The ready line reports the endpoint for the connections to forward as `proxy`.
 std::shared_ptr<IStandin> makeProxy(const options::variables_map& values, ReadyLine& ready)
 {
     const Framing framing = values["frames"].as<bool>() ? Framing::LengthPrefix : Framing::None;
--- a/tests/standins/proxy/proxiedconnection.h
+++ b/tests/standins/proxy/proxiedconnection.h
@@ -7,18 +7,18 @@
 
 namespace lagoon::standins {
 
-/// A client's connection and the one opened for it to the server.
+/// The connection of a client and the corresponding connection to the server.
 class ProxiedConnection : public std::enable_shared_from_this<ProxiedConnection> {
 public:
     ProxiedConnection(
         std::shared_ptr<Socket> client, std::shared_ptr<Socket> server, Framing framing, StreamFaults& faults);
 
-    /// Starts the threads that move bytes; they keep the connection alive.
+    /// Starts the threads that relay bytes. They keep this object alive.
     void start();
     /// Closes both sides.
     void cut();
     StreamRelay& relay(Direction direction) { return direction == Direction::ToServer ? toServer_ : toClient_; }
-    /// Whether both directions have ended or it was cut.
+    /// Whether both directions have ended or the connection was cut.
     bool isFinished() const { return isCut_ || endedRelays_ == 2; }
 
 private:
--- a/tests/standins/proxy/streamfaults.h
+++ b/tests/standins/proxy/streamfaults.h
@@ -12,16 +12,18 @@
 
 enum class Direction : std::uint8_t { ToServer, ToClient };
 
-/// Faults that strike whichever connection carries the next bytes. Thread-safe.
+/// Faults that aren't bound to existing connections: they apply to whichever connection carries the next bytes.
+/// Thread-safe.
 class StreamFaults {
 public:
-    /// Reads `delay_ms`, `swap` and `lose_answer` of the faults' JSON.
+    /// Sets the faults `delay_ms`, `swap` and `lose_answer` from the JSON, as far as it has them.
     void set(framework::CheckedObject&);
 
     framework::Milliseconds delay(Direction) const;
-    /// True for so many pieces as shall change places with their next.
+    /// Returns whether the next chunk is to be swapped with the following one, and counts the swap as used.
     bool tryTakeSwap(Direction);
-    /// How many bytes of the answer still pass before it is lost; nothing if this one isn't.
+    /// Returns the number of bytes to deliver before the connection is closed, and counts the fault as used. Returns
+    /// nothing if the answer isn't to be lost.
     std::optional<std::uint64_t> tryTakeAnswerLoss();
     std::uint64_t swapped() const;
     std::uint64_t lost() const;
--- a/tests/standins/service/servicestandin.h
+++ b/tests/standins/service/servicestandin.h
@@ -8,8 +8,10 @@
 
 namespace lagoon::standins {
 
-/// A plain service: executes any request by echoing it as JSON. The body's `token`, if it is JSON, names the execution
-/// in the record. Faults: `work_ms` for each call; `calls`, see CallFaults.
+/// A plain service that answers any request with its echo as JSON. If the body is JSON, its `token` identifies the
+/// execution in the record. Faults:
+/// - `work_ms`: the time of each call
+/// - `calls`: see CallFaults
 class ServiceStandin final : public IStandin {
 public:
     explicit ServiceStandin(framework::Milliseconds workTime);
--- a/tests/standins/tests/enginestandin_test.cpp
+++ b/tests/standins/tests/enginestandin_test.cpp
@@ -124,8 +124,8 @@
     BOOST_TEST(process->waitForExit() == 9);
 }
 
-// An order to load lies unread in the engine's receive buffer while its sender dies. Nobody has an answer, the state
-// shows nothing, and then the load begins.
+// A load order stays unread in the engine's receive buffer while its sender dies. Nobody gets an answer, the engine's
+// state doesn't show the load, and then the load begins.
 BOOST_AUTO_TEST_CASE(aDelayedLoadBeginsAfterItsCallerDisconnected)
 {
     setFaults(endpoint, R"({"late_loads": {"count": 1, "delay_ms": 300}})");
@@ -145,7 +145,7 @@
     BOOST_TEST(stateOf("m") == "loaded");
 }
 
-// The engine has done the work and dies, or its connection does, before the answer.
+// The engine executes the request, but the engine or the connection fails before the answer is sent.
 BOOST_AUTO_TEST_CASE(closesAfterExecution)
 {
     load("m");
--- a/tests/standins/tests/faultproxy_test.cpp
+++ b/tests/standins/tests/faultproxy_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A server, the proxy before it, and one connection through it.
+/// A server, the proxy in front of it, and one connection through the proxy.
 struct ProxyFixture {
     explicit ProxyFixture(const std::vector<std::string>& arguments = {})
         : proxy(startProgram(Program::FaultProxy, "proxy", withTarget(arguments), folder))
@@ -84,8 +84,8 @@
     fixture.checkNewConnectionWorks();
 }
 
-// A state table between two hosts forgets a connection: neither end hears of it, what they send vanishes, and even
-// the end of one isn't seen by the other. Another connection between the same hosts works.
+// A firewall or NAT between two hosts drops a connection from its state table: neither end is notified, the bytes that
+// they send are lost, and neither sees the other close the connection. New connections between the hosts work.
 BOOST_AUTO_TEST_CASE(blackholesExistingConnectionsPermanently)
 {
     ProxyFixture fixture;
@@ -114,7 +114,8 @@
     BOOST_TEST(!fixture.client.hasInput());
 }
 
-// A request lies in a buffer on the way. The client gives up and closes. Then the request arrives after all.
+// A request is delayed in a buffer of the network. The client gives up and closes the connection, and then the request
+// arrives.
 BOOST_AUTO_TEST_CASE(deliversHeldBytesAfterTheClientClosed)
 {
     ProxyFixture fixture;
@@ -141,7 +142,7 @@
     BOOST_TEST(fixture.client.receive(expected.size()) == expected);
 }
 
-// The server has done the work and answers, but the connection ends before the answer arrives.
+// The server executes the request and answers, but the connection is closed before the answer arrives.
 BOOST_AUTO_TEST_CASE(losesAnAnswerAfterTheRequestWasDelivered)
 {
     ProxyFixture fixture;
--- a/tests/standins/tests/otherstandins_test.cpp
+++ b/tests/standins/tests/otherstandins_test.cpp
@@ -22,7 +22,7 @@
     {
         return getJson(process->readyText("http"), "/standin/record").at(name).as_number().to_uint64();
     }
-    /// How long so many fetches at once take.
+    /// Returns the time that this number of concurrent fetches takes.
     std::chrono::milliseconds durationOf(std::size_t fetches)
     {
         const auto before = steady_clock::now();
@@ -51,7 +51,7 @@
     BOOST_TEST(number("limited") == 1);
 }
 
-// Lower bounds only: a busy machine makes transfers longer, never shorter.
+// Checks lower bounds only: on a busy machine transfers take longer, never shorter.
 BOOST_AUTO_TEST_CASE(sharesTheBandwidthAboveTheFullSpeedLimit)
 {
     start({ "--loads-per-second", "100", "--transfer-ms", "100", "--full-speed", "1" });
@@ -97,7 +97,7 @@
     BOOST_TEST(executions.front().state == "done");
 }
 
-// The slot is held, then the connection ends before the answer.
+// The slot is reserved, but the connection is closed before the answer.
 BOOST_AUTO_TEST_CASE(closesAfterExecution)
 {
     setFaults(endpoint, R"({"calls": {"at": "after", "do": "close"}})");
--- a/tests/standins/tests/platformstandin_test.cpp
+++ b/tests/standins/tests/platformstandin_test.cpp
@@ -88,7 +88,7 @@
     BOOST_TEST(call({ .url = objectUrl("none?watch=4&timeout_ms=60000") }).status == 404);
 }
 
-// A write takes effect, but its answer never reaches the writer, who can't tell it from a write that wasn't applied.
+// A write is applied, but its answer is lost, so the writer can't distinguish it from a write that wasn't applied.
 BOOST_AUTO_TEST_CASE(losesTheAnswerOfAnAppliedWrite)
 {
     setFaults(endpoint, R"({"lose_answers": {"count": 1, "prefix": "replicas/"}})");
--- a/tests/standins/weights/weightstandin.h
+++ b/tests/standins/weights/weightstandin.h
@@ -7,15 +7,15 @@
 namespace lagoon::standins {
 
 struct WeightOptions {
-    /// Fetches started in a second; one more gets 429.
+    /// The rate limit for starting fetches, enforced by a token bucket. Fetches beyond it get 429.
     double fetchesPerSecond = 4;
-    /// A fetch alone takes this long.
+    /// The time of a fetch at full speed.
     framework::Milliseconds transferTime { 50 };
-    /// So many get full speed; more of them share it.
+    /// The number of concurrent fetches that get full speed. If there are more, they share the same bandwidth equally.
     std::uint64_t fullSpeedFetches = 4;
 };
 
-/// The weight store. Fault: `slow_factor`, which transfers take longer by.
+/// The weight store. Fault: `slow_factor`, by which the time of transfers is multiplied.
 class WeightStandin final : public IStandin {
 public:
     explicit WeightStandin(const WeightOptions&);
