--- a/tests/standins/tests/enginestandin_test.cpp
+++ b/tests/standins/tests/enginestandin_test.cpp
@@ -134,7 +134,7 @@
         .body = R"({"order":"load","model":"m","adapter":"","version":"v1","memory_mib":10,"fence":1})" });
     BOOST_TEST(order("unload", "m") == 409);
     late.disconnect();
-    waitFor("it is loaded all the same", [&] { return stateOf("m") == "loaded"; });
+    waitFor("the delayed load has finished", [&] { return stateOf("m") == "loaded"; });
 }
 
 BOOST_AUTO_TEST_CASE(ignoresAnUnload)
@@ -162,17 +162,18 @@
     load("m");
     setFaults(endpoint, R"({"calls": {"at": "before", "do": "hang"}})");
     PendingCall before(completion("m", "before it", true));
-    waitFor("it has come", [&] { return getJson(endpoint, "/v1/state").at("running").as_integer() == 1; });
+    waitFor(
+        "the request occupies a slot", [&] { return getJson(endpoint, "/v1/state").at("running").as_integer() == 1; });
     BOOST_TEST(executionsOf({ endpoint }, "before it") == 0);
     setFaults(endpoint, R"({"calls": {"at": "during", "do": "hang"}})");
     BOOST_TEST(!before.answer().isComplete());
     PendingCall during(completion("m", "during it", true));
-    waitFor("a part has come", [&] { return during.bodySoFar().find("during") != std::string::npos; });
+    waitFor("the first token has arrived", [&] { return during.bodySoFar().find("during") != std::string::npos; });
     BOOST_TEST(executionState() == "running");
     setFaults(endpoint, R"({"calls": {"at": "after", "do": "hang"}})");
     BOOST_TEST(!during.answer().isComplete());
     PendingCall after(completion("m", "after it", true));
-    waitFor("it is done", [&] { return executionState() == "done"; });
+    waitFor("the execution is done", [&] { return executionState() == "done"; });
     BOOST_TEST(!after.isFinished());
 }
 
@@ -181,9 +182,9 @@
     load("m");
     setFaults(endpoint, R"({"slow_token_ms": 600000})");
     PendingCall pending(completion("m", "never", true));
-    waitFor("it runs", [&] { return executionState() == "running"; });
+    waitFor("the execution has begun", [&] { return executionState() == "running"; });
     pending.disconnect();
-    waitFor("it is cancelled", [&] { return executionState() == "cancelled"; });
+    waitFor("the execution is cancelled", [&] { return executionState() == "cancelled"; });
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/standins/tests/faultproxy_test.cpp
+++ b/tests/standins/tests/faultproxy_test.cpp
@@ -92,7 +92,7 @@
     fixture.set(R"({"silent": "both"})");
     fixture.client.send("lost question");
     fixture.serverSide.send("lost answer");
-    waitFor("both were swallowed", [&] {
+    waitFor("the bytes of both directions are discarded", [&] {
         return fixture.number("to_server", "swallowed_bytes") == 13
             && fixture.number("to_client", "swallowed_bytes") == 11;
     });
@@ -110,7 +110,7 @@
     fixture.serverSide.send("lost");
     fixture.client.send("heard");
     BOOST_TEST(fixture.serverSide.receive(5) == "heard");
-    waitFor("it was swallowed", [&] { return fixture.number("to_client", "swallowed_bytes") == 4; });
+    waitFor("the answer is discarded", [&] { return fixture.number("to_client", "swallowed_bytes") == 4; });
     BOOST_TEST(!fixture.client.hasInput());
 }
 
@@ -121,7 +121,7 @@
     ProxyFixture fixture;
     fixture.set(R"({"hold": "to_server"})");
     fixture.client.send("late request");
-    waitFor("it is held", [&] { return fixture.number("to_server", "held_bytes") == 12; });
+    waitFor("the request is held back", [&] { return fixture.number("to_server", "held_bytes") == 12; });
     fixture.client.close();
     BOOST_TEST(!fixture.serverSide.hasInput());
     fixture.set(R"({"release": true})");
--- a/tests/standins/tests/otherstandins_test.cpp
+++ b/tests/standins/tests/otherstandins_test.cpp
@@ -117,9 +117,9 @@
 {
     setFaults(endpoint, R"({"work_ms": 600000})");
     PendingCall pending(reserveSlot("slot-8"));
-    waitFor("it runs", [&] { return executionsOf({ endpoint }, "slot-8") == 1; });
+    waitFor("the execution has begun", [&] { return executionsOf({ endpoint }, "slot-8") == 1; });
     pending.disconnect();
-    waitFor("it is cancelled", [&] { return executionsAt({ endpoint }).front().state == "cancelled"; });
+    waitFor("the execution is cancelled", [&] { return executionsAt({ endpoint }).front().state == "cancelled"; });
 }
 
 BOOST_AUTO_TEST_SUITE_END()
