--- a/tests/standins/engine/enginestandin.cpp
+++ b/tests/standins/engine/enginestandin.cpp
@@ -15,11 +15,10 @@
 
 namespace {
 
-constexpr std::uint64_t mostFaults = 1000000;
-constexpr std::uint64_t longestDelayMs = 600000;
-constexpr int exitOfDeath = 9;
+constexpr std::uint64_t maxFaultCount = 1000000;
+constexpr std::uint64_t maxDelayMs = 600000;
+constexpr int crashExitCode = 9;
 
-/// Puts a key's fields into JSON.
 value keyJson(const ReplicaKey& key)
 {
     value json;
@@ -32,7 +31,7 @@
 value eventJson(const ReplicaEvent& event)
 {
     value json = keyJson(event.key);
-    json["event"] = value::string(event.what);
+    json["event"] = value::string(event.kind);
     const auto at = std::chrono::duration_cast<std::chrono::microseconds>(event.at.time_since_epoch());
     json["at_us"] = value::number(static_cast<std::uint64_t>(at.count()));
     return json;
@@ -53,9 +52,9 @@
     if (request.path == "/v1/state" && request.method == "GET")
         replyState(exchange);
     else if (request.path == "/v1/orders" && request.method == "POST")
-        order(exchange);
+        handleOrder(exchange);
     else if (request.path == "/v1/completions" || request.path == "/v1/chat/completions")
-        complete(exchange);
+        handleCompletion(exchange);
     else
         replyError(exchange, 404, "no_such_path");
 }
@@ -85,7 +84,7 @@
     replyJson(exchange, 200, state);
 }
 
-void EngineStandin::order(Exchange& exchange)
+void EngineStandin::handleOrder(Exchange& exchange)
 {
     const value body = parseBody(exchange.request().body);
     const ReplicaKey key { textField(body, "model"), textField(body, "adapter"), textField(body, "version") };
@@ -140,7 +139,7 @@
     lock.unlock();
     if (outcome == OrderOutcome::Started) {
         std::thread([self = shared_from_this(), key] {
-            std::this_thread::sleep_for(self->options_.unload);
+            std::this_thread::sleep_for(self->options_.unloadTime);
             const std::lock_guard guard(self->mutex_);
             self->replicas_.finishUnload(key, steady_clock::now());
         }).detach();
@@ -181,12 +180,12 @@
 {
     const bool isFetched = fetchCheckpoint(key);
     std::unique_lock lock(mutex_);
-    const Milliseconds half = (options_.load + slowLoad_) / 2;
+    const Milliseconds half = (options_.loadTime + slowLoad_) / 2;
     lock.unlock();
     std::this_thread::sleep_for(half);
     const LoadFault fault = takeLoadFault();
     if (fault == LoadFault::Die)
-        _exit(exitOfDeath);
+        _exit(crashExitCode);
     std::this_thread::sleep_for(half);
     lock.lock();
     replicas_.finishLoad(key, isFetched && fault == LoadFault::None, steady_clock::now());
@@ -201,11 +200,11 @@
     return loadFault_;
 }
 
-void EngineStandin::complete(Exchange& exchange)
+void EngineStandin::handleCompletion(Exchange& exchange)
 {
     CompletionRequest request = parseCompletion(exchange.request());
     std::unique_lock lock(mutex_);
-    const bool isLoaded = replicas_.use(request.target);
+    const bool isLoaded = replicas_.acquire(request.target);
     lock.unlock();
     if (!isLoaded)
         return replyError(exchange, 404, "not_loaded");
@@ -218,12 +217,12 @@
 
 void EngineStandin::runCompletion(Exchange& exchange, const CompletionRequest& request, const CallFaults::Fault& fault)
 {
-    if (callFaults_.strike(fault, CallStep::Before, exchange))
+    if (callFaults_.inject(fault, CallStep::Before, exchange))
         return;
     const std::size_t index = beginExecution(exchange, request);
     const std::string end = generate(exchange, request, fault);
     endExecution(index, end);
-    if (end != "done" || callFaults_.strike(fault, CallStep::After, exchange))
+    if (end != "done" || callFaults_.inject(fault, CallStep::After, exchange))
         return;
     if (!request.isStream)
         return exchange.reply(200, completionJson(request), { { "content-type", "application/json" } });
@@ -238,11 +237,11 @@
         exchange.beginStream(200, { { "content-type", "text/event-stream" } });
     for (std::uint64_t index = 0; index < request.tokens; ++index) {
         std::unique_lock lock(mutex_);
-        const Milliseconds duration = options_.token + slowToken_;
+        const Milliseconds duration = options_.tokenTime + slowToken_;
         lock.unlock();
         if (exchange.waitForCallerGone(duration))
             return "cancelled";
-        if (index == request.tokens / 2 && callFaults_.strike(fault, CallStep::During, exchange))
+        if (index == request.tokens / 2 && callFaults_.inject(fault, CallStep::During, exchange))
             return "dropped";
         if (request.isStream)
             exchange.sendChunk(completionEvent(request, index));
@@ -288,16 +287,16 @@
     if (faults.has("loads")) {
         CheckedObject loads = faults.object("loads");
         loadFault_ = loads.choiceOr("do", "fail", { "fail", "die" }) == "die" ? LoadFault::Die : LoadFault::Fail;
-        loadFaultsLeft_ = loads.numberOr("count", 1, 0, mostFaults);
+        loadFaultsLeft_ = loads.numberOr("count", 1, 0, maxFaultCount);
     }
     if (faults.has("late_loads")) {
         CheckedObject late = faults.object("late_loads");
-        lateLoadsLeft_ = late.numberOr("count", 1, 0, mostFaults);
-        lateLoadDelay_ = Milliseconds(late.number("delay_ms", 0, longestDelayMs));
+        lateLoadsLeft_ = late.numberOr("count", 1, 0, maxFaultCount);
+        lateLoadDelay_ = Milliseconds(late.number("delay_ms", 0, maxDelayMs));
     }
-    ignoredUnloadsLeft_ = faults.numberOr("ignored_unloads", ignoredUnloadsLeft_, 0, mostFaults);
-    slowLoad_ = Milliseconds(faults.numberOr("slow_load_ms", slowLoad_.count(), 0, longestDelayMs));
-    slowToken_ = Milliseconds(faults.numberOr("slow_token_ms", slowToken_.count(), 0, longestDelayMs));
+    ignoredUnloadsLeft_ = faults.numberOr("ignored_unloads", ignoredUnloadsLeft_, 0, maxFaultCount);
+    slowLoad_ = Milliseconds(faults.numberOr("slow_load_ms", slowLoad_.count(), 0, maxDelayMs));
+    slowToken_ = Milliseconds(faults.numberOr("slow_token_ms", slowToken_.count(), 0, maxDelayMs));
     if (faults.has("calls"))
         callFaults_.set(faults.object("calls"));
     return faults.finish();
@@ -307,7 +306,7 @@
 {
     const std::lock_guard lock(mutex_);
     value record;
-    record["most_used_mib"] = value::number(replicas_.mostUsedMib());
+    record["most_used_mib"] = value::number(replicas_.peakUsedMib());
     record["held_loads"] = value::number(heldLoads_);
     record["events"] = value::array();
     for (const ReplicaEvent& event : replicas_.events())
--- a/tests/standins/proxy/piecereader.cpp
+++ b/tests/standins/proxy/chunkreader.cpp
@@ -1,4 +1,4 @@
-#include "standins/proxy/piecereader.h"
+#include "standins/proxy/chunkreader.h"
 
 #include <algorithm>
 #include <boost/asio/buffer.hpp>
@@ -8,20 +8,20 @@
 
 namespace {
 
-constexpr std::size_t chunkBytes = 65536;
-constexpr std::size_t lengthBytes = 4;
-/// Far above any frame of ours; more is no frame.
-constexpr std::size_t largestFrame = 64 * 1024 * 1024;
+constexpr std::size_t readBufferBytes = 65536;
+constexpr std::size_t lengthPrefixBytes = 4;
+/// Far above the size of any frame of the wire protocol. A longer length means that the stream has no frames.
+constexpr std::size_t maxFrameBytes = 64 * 1024 * 1024;
 
 std::size_t lengthOf(const std::string& bytes)
 {
     std::size_t length = 0;
-    for (std::size_t at = 0; at < lengthBytes; ++at)
+    for (std::size_t at = 0; at < lengthPrefixBytes; ++at)
         length |= static_cast<std::size_t>(static_cast<unsigned char>(bytes[at])) << (8 * at);
-    return std::min(length, largestFrame);
+    return std::min(length, maxFrameBytes);
 }
 
-/// Reads until `size` bytes have been added or the stream ends.
+/// Appends `size` bytes, or fewer if the stream ends before. Returns the number of bytes appended.
 std::size_t append(Socket& socket, std::string& bytes, std::size_t size)
 {
     const std::size_t before = bytes.size();
@@ -34,15 +34,15 @@
 
 } // namespace
 
-std::string readPiece(Socket& socket, Framing framing)
+std::string readChunk(Socket& socket, Framing framing)
 {
     std::string bytes;
-    if (framing == Framing::Length) {
-        if (append(socket, bytes, lengthBytes) == lengthBytes)
+    if (framing == Framing::LengthPrefix) {
+        if (append(socket, bytes, lengthPrefixBytes) == lengthPrefixBytes)
             append(socket, bytes, lengthOf(bytes));
         return bytes;
     }
-    bytes.resize(chunkBytes);
+    bytes.resize(readBufferBytes);
     boost::system::error_code error;
     bytes.resize(socket.read_some(boost::asio::buffer(bytes), error));
     return bytes;
--- a/tests/standins/tests/enginestandin_test.cpp
+++ b/tests/standins/tests/enginestandin_test.cpp
@@ -11,11 +11,11 @@
 namespace {
 
 struct EngineFixture {
-    int order(const std::string& what, const std::string& model, std::uint64_t memoryMib = 10, std::uint64_t fence = 1,
+    int order(const std::string& kind, const std::string& model, std::uint64_t memoryMib = 10, std::uint64_t fence = 1,
         const std::string& adapter = "")
     {
         value body;
-        body["order"] = value::string(what);
+        body["order"] = value::string(kind);
         body["model"] = value::string(model);
         body["adapter"] = value::string(adapter);
         body["version"] = value::string("v1");
@@ -92,7 +92,7 @@
     BOOST_TEST(violationsAt({ endpoint }).size() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(repeatedOrdersAreHarmless)
+BOOST_AUTO_TEST_CASE(repeatedOrdersHaveNoEffectAndInvalidOnesAreRefused)
 {
     load("m");
     BOOST_TEST(order("load", "m") == 202);
@@ -103,7 +103,7 @@
     BOOST_TEST(order("unload", "m") == 409);
 }
 
-BOOST_AUTO_TEST_CASE(checksFencingNumbersOrIgnoresThem)
+BOOST_AUTO_TEST_CASE(checksFencingTokensUnlessDisabled)
 {
     BOOST_TEST(order("load", "m", 10, 5) == 202);
     waitFor("m is loaded", [&] { return stateOf("m") == "loaded"; });
@@ -113,7 +113,7 @@
     BOOST_TEST(order("unload", "m", 10, 4) == 202);
 }
 
-BOOST_AUTO_TEST_CASE(loadsMayFailOrTakeTheProcessWithThem)
+BOOST_AUTO_TEST_CASE(loadsFailOrCrashTheProcess)
 {
     setFaults(endpoint, R"({"loads": {"do": "fail", "count": 1}})");
     BOOST_TEST(order("load", "m") == 202);
@@ -124,9 +124,9 @@
     BOOST_TEST(process->waitForExit() == 9);
 }
 
-// An order to load lies unread in the engine's receive buffer while its sender dies. Nobody has an answer, the state
-// shows nothing, and then the load begins.
-BOOST_AUTO_TEST_CASE(aLoadMayBeginLate)
+// A load order stays unread in the engine's receive buffer while its sender dies. Nobody gets an answer, the engine's
+// state doesn't show the load, and then the load begins.
+BOOST_AUTO_TEST_CASE(aDelayedLoadBeginsAfterItsCallerDisconnected)
 {
     setFaults(endpoint, R"({"late_loads": {"count": 1, "delay_ms": 300}})");
     PendingCall late({ .method = "POST",
@@ -134,7 +134,7 @@
         .body = R"({"order":"load","model":"m","adapter":"","version":"v1","memory_mib":10,"fence":1})" });
     BOOST_TEST(order("unload", "m") == 409);
     late.disconnect();
-    waitFor("it is loaded all the same", [&] { return stateOf("m") == "loaded"; });
+    waitFor("the delayed load has finished", [&] { return stateOf("m") == "loaded"; });
 }
 
 BOOST_AUTO_TEST_CASE(ignoresAnUnload)
@@ -145,8 +145,8 @@
     BOOST_TEST(stateOf("m") == "loaded");
 }
 
-// The engine has done the work and dies, or its connection does, before the answer.
-BOOST_AUTO_TEST_CASE(closesAfterItExecuted)
+// The engine executes the request, but the engine or the connection fails before the answer is sent.
+BOOST_AUTO_TEST_CASE(closesAfterExecution)
 {
     load("m");
     setFaults(endpoint, R"({"calls": {"at": "after", "do": "close", "count": 1}})");
@@ -157,33 +157,34 @@
     BOOST_TEST(executionState() == "done");
 }
 
-BOOST_AUTO_TEST_CASE(hangsBeforeDuringAndAfterTheWork)
+BOOST_AUTO_TEST_CASE(hangsBeforeDuringAndAfterACompletion)
 {
     load("m");
     setFaults(endpoint, R"({"calls": {"at": "before", "do": "hang"}})");
     PendingCall before(completion("m", "before it", true));
-    waitFor("it has come", [&] { return getJson(endpoint, "/v1/state").at("running").as_integer() == 1; });
+    waitFor(
+        "the request occupies a slot", [&] { return getJson(endpoint, "/v1/state").at("running").as_integer() == 1; });
     BOOST_TEST(executionsOf({ endpoint }, "before it") == 0);
     setFaults(endpoint, R"({"calls": {"at": "during", "do": "hang"}})");
     BOOST_TEST(!before.answer().isComplete());
     PendingCall during(completion("m", "during it", true));
-    waitFor("a part has come", [&] { return during.bodySoFar().find("during") != std::string::npos; });
+    waitFor("the first token has arrived", [&] { return during.bodySoFar().find("during") != std::string::npos; });
     BOOST_TEST(executionState() == "running");
     setFaults(endpoint, R"({"calls": {"at": "after", "do": "hang"}})");
     BOOST_TEST(!during.answer().isComplete());
     PendingCall after(completion("m", "after it", true));
-    waitFor("it is done", [&] { return executionState() == "done"; });
+    waitFor("the execution is done", [&] { return executionState() == "done"; });
     BOOST_TEST(!after.isFinished());
 }
 
-BOOST_AUTO_TEST_CASE(aCallerThatHangsUpCancelsTheWork)
+BOOST_AUTO_TEST_CASE(aDisconnectingCallerCancelsTheCompletion)
 {
     load("m");
     setFaults(endpoint, R"({"slow_token_ms": 600000})");
     PendingCall pending(completion("m", "never", true));
-    waitFor("it runs", [&] { return executionState() == "running"; });
+    waitFor("the execution has begun", [&] { return executionState() == "running"; });
     pending.disconnect();
-    waitFor("it is cancelled", [&] { return executionState() == "cancelled"; });
+    waitFor("the execution is cancelled", [&] { return executionState() == "cancelled"; });
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/standins/tests/platformstandin_test.cpp
+++ b/tests/standins/tests/platformstandin_test.cpp
@@ -88,7 +88,7 @@
     BOOST_TEST(call({ .url = objectUrl("none?watch=4&timeout_ms=60000") }).status == 404);
 }
 
-// A write takes effect, but its answer never reaches the writer, who can't tell it from a write that wasn't applied.
+// A write is applied, but its answer is lost, so the writer can't distinguish it from a write that wasn't applied.
 BOOST_AUTO_TEST_CASE(losesTheAnswerOfAnAppliedWrite)
 {
     setFaults(endpoint, R"({"lose_answers": {"count": 1, "prefix": "replicas/"}})");
@@ -98,7 +98,7 @@
     BOOST_TEST(put("replicas/b", "x", "*").status == 200);
 }
 
-BOOST_AUTO_TEST_CASE(isDownAndUpAgain)
+BOOST_AUTO_TEST_CASE(refusesOrHangsInAnOutageAndRecovers)
 {
     put("a", "one", "*");
     setFaults(endpoint, R"({"mode": "refuse"})");
@@ -114,7 +114,7 @@
     BOOST_TEST(get("b").status == 404);
 }
 
-BOOST_AUTO_TEST_CASE(vmListMayLag)
+BOOST_AUTO_TEST_CASE(vmListLagsWhileFrozen)
 {
     const auto stateShown = [&] { return getJson(endpoint, "/v1/vms").at("vms").at(0).at("state").as_string(); };
     setVms("live");
