--- a/src/framework/testing/manualcontrol.cpp
+++ b/src/framework/testing/manualcontrol.cpp
@@ -6,22 +6,22 @@
 
 class ManualControl::ManualTimer final : public Timer {
 public:
-    explicit ManualTimer(std::shared_ptr<Armed> armed)
-        : armed_(std::move(armed))
+    explicit ManualTimer(std::shared_ptr<PendingTimer> pending)
+        : pending_(std::move(pending))
     {
     }
-    ~ManualTimer() override { armed_->action = nullptr; }
-    void cancel() override { armed_->action = nullptr; }
+    ~ManualTimer() override { pending_->action = nullptr; }
+    void cancel() override { pending_->action = nullptr; }
 
 private:
-    std::shared_ptr<Armed> armed_;
+    std::shared_ptr<PendingTimer> pending_;
 };
 
 std::unique_ptr<Timer> ManualControl::runAt(Deadline at, std::function<void()> action)
 {
-    auto armed = std::make_shared<Armed>(Armed { std::move(action) });
-    timers_.emplace(at, armed);
-    return std::make_unique<ManualTimer>(armed);
+    auto pending = std::make_shared<PendingTimer>(PendingTimer { std::move(action) });
+    timers_.emplace(at, pending);
+    return std::make_unique<ManualTimer>(pending);
 }
 
 void ManualControl::post(std::function<void()> action)
--- a/src/framework/testing/manualcontrol.h
+++ b/src/framework/testing/manualcontrol.h
@@ -39,7 +39,7 @@
 
 private:
     class ManualTimer;
-    struct Armed {
+    struct PendingTimer {
         std::function<void()> action;
     };
 
@@ -50,7 +50,7 @@
     std::mutex mutex_;
     std::condition_variable wasPosted_;
     std::deque<std::function<void()>> posted_;
-    std::multimap<Deadline, std::shared_ptr<Armed>> timers_;
+    std::multimap<Deadline, std::shared_ptr<PendingTimer>> timers_;
 };
 
 } // namespace lagoon::framework
