--- a/src/framework/internal/decisionlog.cpp
+++ b/src/framework/internal/decisionlog.cpp
@@ -103,11 +103,11 @@
 {
     if (!isStarted.exchange(false))
         return;
-    auto isWritten = std::make_shared<std::promise<void>>();
-    auto written = isWritten->get_future();
-    std::thread([isWritten, queue = lineQueue()] {
+    auto done = std::make_shared<std::promise<void>>();
+    auto written = done->get_future();
+    std::thread([done, queue = lineQueue()] {
         queue->close();
-        isWritten->set_value();
+        done->set_value();
     }).detach();
     written.wait_for(timeout);
 }
