--- a/src/framework/internal/jsonrepair.cpp
+++ b/src/framework/internal/jsonrepair.cpp
@@ -103,9 +103,9 @@
         const std::size_t end = scanner.endOfValue(begin);
         const std::string value = text.substr(begin, end - begin);
         // The value's own depth adds to the depth at which it stands.
-        const JsonLimits left { limits.bytes, limits.depth - std::min(limits.depth, depth) };
+        const JsonLimits remaining { limits.bytes, limits.depth - std::min(limits.depth, depth) };
         result.append(text, at, begin - at);
-        result += isParsable(value, left) ? value : "null";
+        result += isParsable(value, remaining) ? value : "null";
         at = end;
     }
     return result;
