--- a/src/http/internal/callerconnection.cpp
+++ b/src/http/internal/callerconnection.cpp
@@ -237,11 +237,11 @@
 /// Resets the connection, since without chunks its normal close would mean that the answer is complete.
 void CallerConnection::reset()
 {
-    setReset();
+    setResetOnClose();
     close();
 }
 
-void CallerConnection::setReset()
+void CallerConnection::setResetOnClose()
 {
     boost::system::error_code ignored;
     socket_.set_option(boost::asio::socket_base::linger(true, 0), ignored);
@@ -390,9 +390,9 @@
 
 void CallerConnection::closeNow()
 {
-    const bool isCut = (stage_ == Stage::Handling && hasBegunAnswer_) || !unsent_.empty();
-    if (isCut && !isChunked_)
-        setReset();
+    const bool isTruncated = (stage_ == Stage::Handling && hasBegunAnswer_) || !unsent_.empty();
+    if (isTruncated && !isChunked_)
+        setResetOnClose();
     handleDisconnect();
 }
 
@@ -423,7 +423,7 @@
 
 std::shared_ptr<CallerConnection> CallerExchange::release()
 {
-    onGone_ = nullptr;
+    onDisconnect_ = nullptr;
     onDrained_ = nullptr;
     return std::exchange(connection_, nullptr);
 }
@@ -458,7 +458,7 @@
         connection->breakOff();
 }
 
-void CallerExchange::setDisconnectHandler(std::function<void()> handler) { onGone_ = std::move(handler); }
+void CallerExchange::setDisconnectHandler(std::function<void()> handler) { onDisconnect_ = std::move(handler); }
 
 void CallerExchange::setDrainedHandler(std::function<void()> handler) { onDrained_ = std::move(handler); }
 
@@ -466,7 +466,7 @@
 {
     connection_ = nullptr;
     onDrained_ = nullptr;
-    if (auto handler = std::exchange(onGone_, nullptr))
+    if (auto handler = std::exchange(onDisconnect_, nullptr))
         handler();
 }
 
--- a/src/http/internal/callerconnection.h
+++ b/src/http/internal/callerconnection.h
@@ -82,7 +82,7 @@
     void finishAnswer();
     void becomeIdle();
     bool isIdle() const;
-    void setReset();
+    void setResetOnClose();
     void armTimer(framework::Milliseconds, void (CallerConnection::*onExpired)());
     void handleIdleTimeout();
     void handleHeaderTimeout();
@@ -144,7 +144,7 @@
     std::shared_ptr<CallerConnection> connection_;
     Request request_;
     framework::SteadyTime receivedAt_;
-    std::function<void()> onGone_;
+    std::function<void()> onDisconnect_;
     std::function<void()> onDrained_;
 };
 
