--- a/src/http/internal/tcpclientconnection.cpp
+++ b/src/http/internal/tcpclientconnection.cpp
@@ -304,11 +304,11 @@
     if (isClosed_)
         return;
     isClosed_ = true;
-    const auto keepsItself = shared_from_this();
+    const auto thisConnection = shared_from_this();
     connectTimer_.cancel();
     boost::system::error_code ignored;
     socket_.close(ignored);
-    observers_.didClose(keepsItself);
+    observers_.didClose(thisConnection);
 }
 
 } // namespace lagoon::http
