--- a/src/app/internal/bundlecommands.cpp
+++ b/src/app/internal/bundlecommands.cpp
@@ -85,7 +85,7 @@
         if (!bundle)
             return reportFailure(bundle.error());
         const auto manifest
-            = bundle::signOff(*connect(platform).store, bundle.value(), operatorAct(platform), deadlineOf(platform));
+            = bundle::signOff(*connect(platform).store, bundle.value(), operatorAction(platform), deadlineOf(platform));
         if (!manifest)
             return reportFailure(manifest.error());
         printSummary(bundle.value());
@@ -113,7 +113,7 @@
         if (const auto fault = validationError(platform, OperatorOption::Required))
             return line.reportUsageError(*fault);
         const auto result = bundle::rollOut(
-            *connect(platform).store, framework::BundleVersion(version), operatorAct(platform), deadlineOf(platform));
+            *connect(platform).store, framework::BundleVersion(version), operatorAction(platform), deadlineOf(platform));
         if (!result)
             return reportFailure(result.error());
         std::cout << "version " << version << " is in force, before it " << result.value().previous << "; "
--- a/src/app/internal/claimcommand.cpp
+++ b/src/app/internal/claimcommand.cpp
@@ -72,7 +72,7 @@
     static int release(const bundle::ClaimRelease& claim, const PlatformOptions& platform)
     {
         const auto object
-            = bundle::releaseClaim(*connect(platform).store, claim, operatorAct(platform), deadlineOf(platform));
+            = bundle::releaseClaim(*connect(platform).store, claim, operatorAction(platform), deadlineOf(platform));
         if (!object)
             return reportFailure(object.error());
         std::cout << claim.key << ": " << claim.vm << " released, " << object.value().holders.size()
--- a/src/app/internal/directagentcommand.cpp
+++ b/src/app/internal/directagentcommand.cpp
@@ -18,11 +18,11 @@
     framework::ControlThread control;
     framework::EventThread traffic;
     platform::StoreClient store(traffic, control, settings.objectStore);
-    platform::StoreFencingTokenSource fences(store, settings.identity.vm);
+    platform::StoreFencingTokenSource fencingTokens(store, settings.identity.vm);
     platform::StoreProfileSource profiles(store);
     platform::EngineClient engine(traffic, control, settings.engine);
     direct::DirectAgent agent(
-        { control, traffic, clock, std::make_shared<framework::Metrics>(), engine, fences, profiles }, settings);
+        { control, traffic, clock, std::make_shared<framework::Metrics>(), engine, fencingTokens, profiles }, settings);
     const auto endpoints = agent.start();
     if (endpoints.has_error())
         return reportStartFailure("direct-agent", endpoints.error(), ExitFailure);
--- a/src/app/internal/platformoptions.cpp
+++ b/src/app/internal/platformoptions.cpp
@@ -74,7 +74,7 @@
     return framework::Deadline::after(framework::SystemClock().now(), std::chrono::seconds(parsed.timeout));
 }
 
-bundle::OperatorAction operatorAct(const PlatformOptions& parsed) { return { parsed.operatorName, utcNow() }; }
+bundle::OperatorAction operatorAction(const PlatformOptions& parsed) { return { parsed.operatorName, utcNow() }; }
 
 int reportFailure(const framework::Error& error)
 {
--- a/src/app/internal/platformoptions.h
+++ b/src/app/internal/platformoptions.h
@@ -27,7 +27,7 @@
 objectstore::ObjectStoreClient connect(const PlatformOptions&);
 framework::Deadline deadlineOf(const PlatformOptions&);
 /// Returns the operator from the options together with the current time.
-bundle::OperatorAction operatorAct(const PlatformOptions&);
+bundle::OperatorAction operatorAction(const PlatformOptions&);
 /// Prints the error, and a warning if the command may have taken effect nevertheless. Returns the exit code.
 int reportFailure(const framework::Error&);
 
