--- a/src/app/internal/bundlecommands.cpp
+++ b/src/app/internal/bundlecommands.cpp
@@ -112,8 +112,8 @@
             return *exitCode;
         if (const auto fault = validationError(platform, OperatorOption::Required))
             return line.reportUsageError(*fault);
-        const auto result = bundle::rollOut(
-            *connect(platform).store, framework::BundleVersion(version), operatorAction(platform), deadlineOf(platform));
+        const auto result = bundle::rollOut(*connect(platform).store, framework::BundleVersion(version),
+            operatorAction(platform), deadlineOf(platform));
         if (!result)
             return reportFailure(result.error());
         std::cout << "version " << version << " is in force, before it " << result.value().previous << "; "
