--- a/src/framework/icontrolexecutor.h
+++ b/src/framework/icontrolexecutor.h
@@ -7,7 +7,7 @@
 
 namespace lagoon::framework {
 
-/// Handle of a timer. Once it is destroyed or `cancel`led on the control thread, the timer's action never runs.
+/// Handle of a timer. Once it is destroyed or cancelled on the control thread, the timer's action never runs.
 class Timer {
 public:
     virtual ~Timer() = default;
--- a/src/framework/internal/jsonrepair.cpp
+++ b/src/framework/internal/jsonrepair.cpp
@@ -102,7 +102,7 @@
         const std::size_t begin = scanner.skipSpace(colon + 1);
         const std::size_t end = scanner.endOfValue(begin);
         const std::string value = text.substr(begin, end - begin);
-        // The value's own depth adds to the depth at which it stands.
+        // The limit applies to the whole text, so the value may only use the depth that its surroundings leave.
         const JsonLimits remaining { limits.bytes, limits.depth - std::min(limits.depth, depth) };
         result.append(text, at, begin - at);
         result += isParsable(value, remaining) ? value : "null";
--- a/src/framework/tests/eventthread_test.cpp
+++ b/src/framework/tests/eventthread_test.cpp
@@ -9,17 +9,17 @@
 BOOST_AUTO_TEST_SUITE(EventThreads)
 
 // Prevents one message whose handler throws from ending the process and all its requests. The parser had thrown on a
-// server's report that contained half a character.
+// server's report that contained half of a surrogate pair.
 BOOST_AUTO_TEST_CASE(aThrowingHandlerStopsNeitherTheThreadNorLaterHandlers)
 {
     EventThread thread;
     std::promise<void> afterAction;
-    thread.post([] { throw std::runtime_error("can't be read"); });
+    thread.post([] { throw std::runtime_error("an action failed"); });
     thread.post([&] { afterAction.set_value(); });
     afterAction.get_future().wait();
     std::promise<void> afterTimer;
     const auto now = std::chrono::steady_clock::now();
-    const auto failing = thread.runAt(Deadline(now), [] { throw std::logic_error("nor this"); });
+    const auto failing = thread.runAt(Deadline(now), [] { throw std::logic_error("a timer failed"); });
     const auto next = thread.runAt(Deadline::after(now, Milliseconds(1)), [&] { afterTimer.set_value(); });
     afterTimer.get_future().wait();
     thread.stop();
--- a/src/framework/types/shutdowndeadlines.h
+++ b/src/framework/types/shutdowndeadlines.h
@@ -17,10 +17,10 @@
     /// The process keeps running at least until then, even if it is idle: callers and balancers that haven't noticed
     /// its shutdown yet get a refusal instead of a closed connection.
     Deadline noticedBy;
-    /// Requests that no upstream has by then are refused as not run. This is half of the serving time: the other half
-    /// is left for their callers to be served elsewhere, and for requests that were started late to finish.
+    /// Requests that no upstream has received by then are refused as not run. This is half of the serving time: the
+    /// other half is left for their callers to be served elsewhere, and for requests that were started late to finish.
     Deadline startBy;
-    /// Requests that still run then are given up, and their callers get what is known about the execution.
+    /// Requests that still run then are abandoned: their callers are told what is known about the execution.
     Deadline answerBy;
     /// The process exits then, whatever work is left.
     Deadline exitBy;
