--- a/src/http/exchangeserver.h
+++ b/src/http/exchangeserver.h
@@ -15,7 +15,7 @@
 struct ExchangeLimits {
     std::uint32_t headerBytes = 16 * 1024;
     std::uint64_t bodyBytes = 8 * 1024 * 1024;
-    /// From the first byte of a request to the end of its headers; then the request is refused with 408.
+    /// Time limit from the first byte of a request to the end of its headers. A slower request is refused with 408.
     framework::Milliseconds headerTimeout { 3000 };
     /// How long a connection without a request is kept open.
     framework::Milliseconds idleTimeout { 15000 };
--- a/src/http/internal/callclient.cpp
+++ b/src/http/internal/callclient.cpp
@@ -21,7 +21,7 @@
 /// An answer that has made no progress for this long is considered lost, since links have latencies of some
 /// milliseconds.
 constexpr Milliseconds progressTimeout { 700 };
-/// Enough for the largest answer over the slowest of today's links, 10 Mbit/s, which callers' requests share.
+/// Enough for the largest answer over the slowest links, which have 10 Mbit/s and also carry callers' requests.
 constexpr Milliseconds maxAnswerTime { 15000 };
 
 /// One call in progress.
--- a/src/http/internal/callerconnection.cpp
+++ b/src/http/internal/callerconnection.cpp
@@ -348,8 +348,8 @@
 }
 
 /// Called when the whole answer has been written, so that the idle timeout, which starts here, cannot truncate an
-/// answer that is still being sent. While draining, this closes a connection whose answer could not announce that,
-/// unless the caller has already sent its next request, which is answered first.
+/// answer that is still being sent. While draining, this closes a connection whose answer began before draining and so
+/// lacks `Connection: close`, unless the caller has already sent its next request, which is answered first.
 void CallerConnection::becomeIdle()
 {
     if (context_->isDraining)
