--- a/src/wire/internal/message.cpp
+++ b/src/wire/internal/message.cpp
@@ -10,6 +10,7 @@
 using framework::Error;
 using framework::ErrorCode;
 
+/// Frames whose tables are nested deeper than this, or that contain more tables, are refused.
 constexpr unsigned maxDepth = 8;
 constexpr unsigned maxTables = 100000;
 
--- a/src/wire/internal/tcplink.h
+++ b/src/wire/internal/tcplink.h
@@ -26,7 +26,7 @@
     /// Starts reading and writing on a connected socket.
     void start();
     void startConnecting(const boost::asio::ip::tcp::endpoint&);
-    /// Fails asynchronously on the strand, as a connection would. Used for endpoints that are not addresses.
+    /// Fails asynchronously on the strand, like a failed connection attempt. Used for endpoints that are not addresses.
     void failLater(framework::Error);
 
     void send(const Message&) override;
--- a/src/wire/testing/faketransport.h
+++ b/src/wire/testing/faketransport.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-/// For the unit tests of all modules; never part of the program.
+/// Test doubles for the unit tests of all modules; not linked into the program.
 namespace lagoon::wire {
 
 /// A link whose remote end is simulated by the test.
