--- a/src/direct/internal/directrouter.cpp
+++ b/src/direct/internal/directrouter.cpp
@@ -82,16 +82,16 @@
 
     void drain()
     {
-        const auto end = framework::ShutdownDeadlines::after(ports_.clock.now(), settings_.grace);
-        const std::size_t requests = queryTrafficThread([this, end] { return startShutdown(end); });
+        const auto deadlines = framework::ShutdownDeadlines::after(ports_.clock.now(), settings_.grace);
+        const std::size_t requests = queryTrafficThread([this, deadlines] { return startShutdown(deadlines); });
         clearReadiness();
         logDecision(LogLine("draining").number("requests", requests).number("grace_ms", settings_.grace.count()));
-        std::this_thread::sleep_until(end.noticedBy.at());
+        std::this_thread::sleep_until(deadlines.noticedBy.at());
         ports_.traffic.post([this] {
             callers_.closeIdle();
             refuseIncomplete();
         });
-        while (!end.exitBy.hasPassed(ports_.clock.now())
+        while (!deadlines.exitBy.hasPassed(ports_.clock.now())
             && queryTrafficThread([this] { return callers_.busyConnections(); }) > 0)
             std::this_thread::sleep_for(drainCheckInterval);
         const std::size_t unanswered = queryTrafficThread([this] { return stopAccepting(); });
@@ -109,11 +109,11 @@
     /// Starts the shutdown and returns the number of requests in progress. Runs on the traffic thread, before the
     /// router reports that it isn't ready: from then on each answer announces that its connection closes, and each
     /// request has a deadline.
-    std::size_t startShutdown(const framework::ShutdownDeadlines& end)
+    std::size_t startShutdown(const framework::ShutdownDeadlines& deadlines)
     {
         const std::size_t requests = forwarder_.requests();
         callers_.beginDraining();
-        forwarder_.beginShutdown(end);
+        forwarder_.beginShutdown(deadlines);
         return requests;
     }
 
--- a/src/forwarding/internal/forwarder.cpp
+++ b/src/forwarding/internal/forwarder.cpp
@@ -127,14 +127,14 @@
         schedulePlan(urgentPlanDelay);
     }
 
-    void beginShutdown(const framework::ShutdownDeadlines& end)
+    void beginShutdown(const framework::ShutdownDeadlines& deadlines)
     {
-        end_ = end;
+        shutdownDeadlines_ = deadlines;
         for (const auto& job : jobs_)
-            job->beginShutdown(end);
+            job->beginShutdown(deadlines);
         dispatchWaiting();
         // Requests that still wait at that time are too late to start.
-        startByTimer_ = context_.traffic.runAt(end.startBy, [weak = weak_from_this()] {
+        startByTimer_ = context_.traffic.runAt(deadlines.startBy, [weak = weak_from_this()] {
             if (const auto self = weak.lock())
                 self->dispatchWaiting();
         });
@@ -228,8 +228,8 @@
         spec.facts = std::move(facts);
         budget(spec.service).earn();
         const auto job = std::make_shared<RequestJob>(*this, exchange, std::move(spec));
-        if (end_)
-            job->beginShutdown(*end_);
+        if (shutdownDeadlines_)
+            job->beginShutdown(*shutdownDeadlines_);
         jobs_.insert(job);
         if (!job->spec().facts.model.value().empty())
             jobsByModel_[job->spec().facts.model].insert(job);
@@ -385,7 +385,7 @@
     Context context_;
     ForwarderSettings settings_;
     /// Set when this process begins to shut down.
-    std::optional<framework::ShutdownDeadlines> end_;
+    std::optional<framework::ShutdownDeadlines> shutdownDeadlines_;
     std::unique_ptr<framework::Timer> startByTimer_;
     UpstreamTable upstreams_;
     std::unique_ptr<catalog::RouteTable> routes_;
@@ -433,7 +433,10 @@
 
 void Forwarder::didLoseAgent(const Endpoint& engine) { implementation_->didLoseAgent(engine); }
 
-void Forwarder::beginShutdown(const framework::ShutdownDeadlines& end) { implementation_->beginShutdown(end); }
+void Forwarder::beginShutdown(const framework::ShutdownDeadlines& deadlines)
+{
+    implementation_->beginShutdown(deadlines);
+}
 
 void Forwarder::answerNow() { implementation_->answerNow(); }
 
--- a/src/forwarding/internal/requestjob.cpp
+++ b/src/forwarding/internal/requestjob.cpp
@@ -83,14 +83,14 @@
 /// Applies the shutdown as a deadline wherever deadlines count: in forecasts, so that a wait that can't succeed ends at
 /// once, and in the time that a server is given. Prevents a request from being pending when the router ends: its caller
 /// would see a closed connection, and couldn't know that the request hasn't run and can be sent to another router.
-void RequestJob::beginShutdown(const framework::ShutdownDeadlines& end)
+void RequestJob::beginShutdown(const framework::ShutdownDeadlines& deadlines)
 {
-    if (isEnded_ || spec_.deadline <= end.answerBy)
+    if (isEnded_ || spec_.deadline <= deadlines.answerBy)
         return;
     isCutByShutdown_ = true;
-    startBy_ = end.startBy;
-    spec_.deadline = end.answerBy;
-    spec_.firstEventBy = std::min(spec_.firstEventBy, end.startBy);
+    startBy_ = deadlines.startBy;
+    spec_.deadline = deadlines.answerBy;
+    spec_.firstEventBy = std::min(spec_.firstEventBy, deadlines.startBy);
     if (deadlineTimer_)
         armDeadline();
 }
--- a/src/forwarding/tests/forwarder_test.cpp
+++ b/src/forwarding/tests/forwarder_test.cpp
@@ -153,10 +153,10 @@
     void shutDownWithin(Milliseconds startWithin, Milliseconds answerWithin)
     {
         onTraffic([&] {
-            framework::ShutdownDeadlines end;
-            end.startBy = Deadline::after(clock.now(), startWithin);
-            end.answerBy = Deadline::after(clock.now(), answerWithin);
-            forwarder.beginShutdown(end);
+            framework::ShutdownDeadlines deadlines;
+            deadlines.startBy = Deadline::after(clock.now(), startWithin);
+            deadlines.answerBy = Deadline::after(clock.now(), answerWithin);
+            forwarder.beginShutdown(deadlines);
         });
     }
     void shutDownWithin(Milliseconds startWithin) { shutDownWithin(startWithin, 2 * startWithin); }
--- a/src/policy/benchmarks/policybenchmark.cpp
+++ b/src/policy/benchmarks/policybenchmark.cpp
@@ -43,10 +43,10 @@
 /// Makes the lagoon policies with one part replaced by a baseline, which shows the benefit of that part.
 PolicySet withReplacedPart(const std::string& name, const std::function<void(PolicySet&, const PolicySet&)>& change)
 {
-    PolicySet made = lagoonPolicies();
-    change(made, fixedTimeout("", Minutes(30)));
-    made.name = name;
-    return made;
+    PolicySet variant = lagoonPolicies();
+    change(variant, fixedTimeout("", Minutes(30)));
+    variant.name = name;
+    return variant;
 }
 
 std::vector<PolicySet> policySets(bool hasParts)
@@ -56,18 +56,19 @@
         fixedTimeout("never-unload", Hours(1000)) };
     if (!hasParts)
         return all;
-    using Policies = PolicySet;
-    all.push_back(withReplacedPart(
-        "in-turn placement", [](Policies& made, const PolicySet& other) { made.placement = other.placement; }));
+    using Variant = PolicySet;
+    all.push_back(withReplacedPart("in-turn placement",
+        [](Variant& variant, const PolicySet& baseline) { variant.placement = baseline.placement; }));
     all.push_back(withReplacedPart(
-        "fixed-30min keep", [](Policies& made, const PolicySet& other) { made.keepWarm = other.keepWarm; }));
+        "fixed-30min keep", [](Variant& variant, const PolicySet& baseline) { variant.keepWarm = baseline.keepWarm; }));
     all.push_back(withReplacedPart("fixed-5min keep",
-        [](Policies& made, const PolicySet&) { made.keepWarm = fixedTimeout("", Minutes(5)).keepWarm; }));
-    all.push_back(
-        withReplacedPart("arrival order", [](Policies& made, const PolicySet& other) { made.order = other.order; }));
+        [](Variant& variant, const PolicySet&) { variant.keepWarm = fixedTimeout("", Minutes(5)).keepWarm; }));
+    all.push_back(withReplacedPart(
+        "arrival order", [](Variant& variant, const PolicySet& baseline) { variant.order = baseline.order; }));
+    all.push_back(withReplacedPart(
+        "no hopelessness", [](Variant& variant, const PolicySet&) { variant.refusesHopeless = false; }));
     all.push_back(
-        withReplacedPart("no hopelessness", [](Policies& made, const PolicySet&) { made.refusesHopeless = false; }));
-    all.push_back(withReplacedPart("with borrowing", [](Policies& made, const PolicySet&) { made.mayBorrow = true; }));
+        withReplacedPart("with borrowing", [](Variant& variant, const PolicySet&) { variant.mayBorrow = true; }));
     return all;
 }
 
--- a/src/router/tests/fixture.h
+++ b/src/router/tests/fixture.h
@@ -36,8 +36,8 @@
 
 /// The components of a router that run on the control thread, with a manual clock. The test acts as the agents. There
 /// is one pool: its upstreams `draft-1` and `draft-2` may load the model `notes` (one replica) and run the service
-/// `holds`, whose typical request, a slot hold, must not run twice. The upstream `far-1` is at another site, for which
-/// the bundle decides no replicas.
+/// `holds`, whose requests must not run twice. The upstream `far-1` is at another site, for which the bundle decides no
+/// replicas.
 class RouterFixture {
 public:
     RouterFixture();
--- a/tests/soak/processsupervisor.cpp
+++ b/tests/soak/processsupervisor.cpp
@@ -21,8 +21,8 @@
 
 } // namespace
 
-ProcessSupervisor::ProcessSupervisor(const Dependencies& dependencies, const RunParameters& parameters)
-    : dependencies_(dependencies)
+ProcessSupervisor::ProcessSupervisor(const Context& context, const RunParameters& parameters)
+    : context_(context)
     , parameters_(parameters)
 {
 }
@@ -40,8 +40,7 @@
         if (index > 0)
             start(slots_.back());
         else
-            dependencies_.balancer.setRouter(
-                index, dependencies_.fleet.callers(index), dependencies_.fleet.readiness(index));
+            context_.balancer.setRouter(index, context_.fleet.callers(index), context_.fleet.readiness(index));
     }
 }
 
@@ -54,14 +53,14 @@
 void ProcessSupervisor::start(Slot& slot)
 {
     if (slot.role == Role::Agent) {
-        dependencies_.fleet.startAgent(slot.index);
+        context_.fleet.startAgent(slot.index);
     } else {
-        dependencies_.fleet.startRouter(slot.index);
-        dependencies_.balancer.setRouter(
-            slot.index, dependencies_.fleet.callers(slot.index), dependencies_.fleet.readiness(slot.index));
+        context_.fleet.startRouter(slot.index);
+        context_.balancer.setRouter(
+            slot.index, context_.fleet.callers(slot.index), context_.fleet.readiness(slot.index));
     }
     slot.state = State::Serving;
-    dependencies_.runLog.endFaults(slot.faults);
+    context_.runLog.endFaults(slot.faults);
 }
 
 const ProcessSupervisor::Slot* ProcessSupervisor::find(Role role, std::size_t index) const
@@ -78,7 +77,7 @@
 
 testsupport::ChildProcess& ProcessSupervisor::process(const Slot& slot)
 {
-    return slot.role == Role::Router ? dependencies_.fleet.router(slot.index) : dependencies_.fleet.agent(slot.index);
+    return slot.role == Role::Router ? context_.fleet.router(slot.index) : context_.fleet.agent(slot.index);
 }
 
 /// The router that a fault of the process affects; std::nullopt for an agent, whose faults affect all routers.
@@ -110,7 +109,7 @@
     if (!isServing(role, index))
         return;
     Slot& ended = slot(role, index);
-    dependencies_.runLog.note("SIGTERM " + process(ended).name());
+    context_.runLog.note("SIGTERM " + process(ended).name());
     process(ended).sendSignal(SIGTERM);
     ended.state = State::Ending;
     ended.endsBy = after(parameters_.grace + terminationMargin);
@@ -127,7 +126,7 @@
     const Slot& reloaded = slot(role, index);
     if (reloaded.state == State::Down || reloaded.state == State::Retired)
         return;
-    dependencies_.runLog.note("SIGHUP " + process(reloaded).name());
+    context_.runLog.note("SIGHUP " + process(reloaded).name());
     process(reloaded).sendSignal(SIGHUP);
 }
 
@@ -136,8 +135,8 @@
     Slot& killed = slot(role, index);
     if (killed.state == State::Down || killed.state == State::Retired)
         return;
-    dependencies_.runLog.note("SIGKILL " + process(killed).name());
-    dependencies_.runLog.beginFault(killed.faults, routerOf(killed));
+    context_.runLog.note("SIGKILL " + process(killed).name());
+    context_.runLog.beginFault(killed.faults, routerOf(killed));
     process(killed).kill();
     scheduleStart(killed);
     killed.state = killed.comesBack ? State::Down : State::Retired;
@@ -149,27 +148,26 @@
     if (paused.state == State::Down || paused.state == State::Retired || std::exchange(paused.isPaused, true))
         return;
     const std::string name = process(paused).name();
-    dependencies_.runLog.note("SIGSTOP " + name);
-    dependencies_.runLog.beginFault(paused.faults, routerOf(paused));
+    context_.runLog.note("SIGSTOP " + name);
+    context_.runLog.beginFault(paused.faults, routerOf(paused));
     process(paused).sendSignal(SIGSTOP);
-    dependencies_.scheduler.schedule(
-        dependencies_.runLog.drawDuration(minPauseMs, pauseRangeMs), [this, role, index, name] {
-            Slot& continued = slot(role, index);
-            continued.isPaused = false;
-            // The process may have been killed and a new one started in its place.
-            if (process(continued).name() != name)
-                return;
-            dependencies_.runLog.note("SIGCONT " + name);
-            process(continued).sendSignal(SIGCONT);
-            dependencies_.runLog.endFaults(continued.faults);
-        });
+    context_.scheduler.schedule(context_.runLog.drawDuration(minPauseMs, pauseRangeMs), [this, role, index, name] {
+        Slot& continued = slot(role, index);
+        continued.isPaused = false;
+        // The process may have been killed and a new one started in its place.
+        if (process(continued).name() != name)
+            return;
+        context_.runLog.note("SIGCONT " + name);
+        process(continued).sendSignal(SIGCONT);
+        context_.runLog.endFaults(continued.faults);
+    });
 }
 
 void ProcessSupervisor::scheduleStart(const Slot& ended)
 {
     if (!ended.comesBack)
         return;
-    dependencies_.scheduler.schedule(dependencies_.runLog.drawDuration(0, restartDelayRangeMs),
+    context_.scheduler.schedule(context_.runLog.drawDuration(0, restartDelayRangeMs),
         [this, role = ended.role, index = ended.index] { start(slot(role, index)); });
 }
 
@@ -187,7 +185,7 @@
         return didEnd(slot);
     if (slot.state != State::Ending || !slot.endsBy.hasPassed(std::chrono::steady_clock::now()))
         return;
-    dependencies_.runLog.fail(process(slot).name() + " did not end after SIGTERM:\n" + process(slot).log());
+    context_.runLog.fail(process(slot).name() + " did not end after SIGTERM:\n" + process(slot).log());
     kill(slot.role, slot.index);
 }
 
@@ -196,12 +194,11 @@
     const int code = process(slot).waitForExit();
     const std::string name = process(slot).name();
     if (slot.state == State::Serving)
-        dependencies_.runLog.fail(
+        context_.runLog.fail(
             name + " exited unexpectedly with status " + std::to_string(code) + ":\n" + process(slot).log());
     else if (code != 0)
-        dependencies_.runLog.fail(
-            name + " did not shut down gracefully, but exited with status " + std::to_string(code));
-    dependencies_.runLog.note("ended: " + name);
+        context_.runLog.fail(name + " did not shut down gracefully, but exited with status " + std::to_string(code));
+    context_.runLog.note("ended: " + name);
     scheduleStart(slot);
     slot.state = slot.comesBack ? State::Down : State::Retired;
 }
--- a/tests/soak/processsupervisor.h
+++ b/tests/soak/processsupervisor.h
@@ -17,14 +17,14 @@
 /// used on the main thread only, because a process is killed when the thread that started it ends.
 class ProcessSupervisor {
 public:
-    struct Dependencies {
+    struct Context {
         fleet::Fleet& fleet;
         ActionScheduler& scheduler;
         RunLog& runLog;
         LoadBalancer& balancer;
     };
 
-    ProcessSupervisor(const Dependencies&, const RunParameters&);
+    ProcessSupervisor(const Context&, const RunParameters&);
 
     /// Takes over the router and the two agents that the fleet has started, and starts the others.
     void adopt(std::size_t routers, std::size_t agents);
@@ -74,7 +74,7 @@
     void pollSlot(Slot&);
     void didEnd(Slot&);
 
-    Dependencies dependencies_;
+    Context context_;
     const RunParameters& parameters_;
     std::vector<Slot> slots_;
 };
--- a/tests/soak/runlog.cpp
+++ b/tests/soak/runlog.cpp
@@ -51,9 +51,9 @@
 bool RunLog::hadFault(std::size_t router, SteadyTime from, SteadyTime to) const
 {
     for (const Fault& fault : faults_) {
-        const bool isThere = !fault.router || *fault.router == router;
-        const bool isOverBefore = fault.until && *fault.until + recoveryTime < from;
-        if (isThere && fault.from <= to && !isOverBefore)
+        const bool affectsRouter = !fault.router || *fault.router == router;
+        const bool hasEndedBefore = fault.until && *fault.until + recoveryTime < from;
+        if (affectsRouter && fault.from <= to && !hasEndedBefore)
             return true;
     }
     return false;
--- a/tests/standins/proxy/main.cpp
+++ b/tests/standins/proxy/main.cpp
@@ -24,8 +24,8 @@
 {
     options::options_description own("proxy");
     own.add_options()("proxy", options::value<std::string>()->default_value("127.0.0.1:0"),
-        "address:port of the connections to carry; --listen is that of the switches")(
-        "to", options::value<std::string>()->required(), "address:port where they are carried to")(
-        "frames", options::bool_switch(), "a piece is a frame with four bytes of length before it");
+        "address:port for the connections to forward; --listen is the endpoint of the control interface")(
+        "to", options::value<std::string>()->required(), "address:port that they are forwarded to")(
+        "frames", options::bool_switch(), "split streams into frames, each with a length prefix of four bytes");
     return runStandin("faultproxy", argc, argv, own, makeProxy);
 }
